--- a/crates/sillpin-gateway/src/place/allowed.rs
+++ b/crates/sillpin-gateway/src/place/allowed.rs
@@ -1,4 +1,4 @@
-//! Which weights a prompt may run on.
+//! Decides on which weights versions a prompt may run.
 
 use crate::beliefs::{Named, Wanted};
 use sillpin_core::WeightVersion;
@@ -6,52 +6,57 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Requests stop going to replaced weights this long before they must not begin there any more, if there are newer ones: they may wait at the
-/// engine. On days with late beginnings they waited up to 2.9 s there; what waits longer is taken back.
+/// If newer weights are served, requests are sent to replaced weights only until this long before
+/// the last moment at which they may start there, since they may wait at the engine. On days with
+/// late starts they waited up to 2.9 s there; those that wait longer are withdrawn.
 const QUEUE_MARGIN: Duration = Duration::from_millis(2_500);
 
-/// The same if there are none. A prompt that is taken back is lost, one that is refused comes again: of 390 that were taken back, 84 had been sent up to
-/// that moment because there was no newer engine, and 4 were served elsewhere.
+/// The margin if no newer weights are served. A withdrawn prompt is lost, while a refused one is
+/// sent again by its client: of 390 that were withdrawn, 84 had been sent until then because there
+/// was no newer engine, and 4 were served elsewhere.
 const LAST_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// Prompts that wait at an engine are taken back this long before they must not begin there any more: this box may have learned late that the weights were
-/// replaced, and the engine hears late that they are taken back. Boxes learned of 2,542 namings within 3 ms (99 in 100) to 224 ms.
+/// Prompts that wait at an engine are withdrawn this long before the last moment at which they may
+/// start there: this box may have learned late that the weights were replaced, and the withdrawal
+/// takes time. Boxes learned of 2,542 announcements of weights within 3 ms (99 %) to 224 ms.
 const BEGIN_MARGIN: Duration = Duration::from_millis(300);
 
-/// Nobody saw these weights being named, so for how long they have been wanted is not known. That this part of the engines serves them, or newer ones, shows
-/// that it has been for seconds, and leaves enough engines to do without the others.
+/// If no box observed when a weights version was announced, its age is unknown. This share of
+/// engines that serve it, or newer ones, shows that it was announced seconds ago, and is enough to
+/// do without the other engines.
 const WIDELY_SERVED: f64 = 0.5;
 
-/// Weights that a prompt may run on, and why; for logs as well.
+/// The weights that a prompt may run on, with the reason for logs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AllowedWeights {
-    /// The newest that operators want; zero if none is known to be wanted.
+    /// Newest version that operators want; zero if none is known.
     pub wanted: WeightVersion,
-    /// How long they have been wanted, as far as this box knows.
+    /// Time for which it has been wanted, as far as this box knows.
     pub wanted_for: Duration,
-    /// Engines with older ones are no candidates; zero allows all.
+    /// Engines with older versions are not considered; zero allows all.
     pub oldest: WeightVersion,
-    /// Why it is so.
+    /// Reason for `oldest`.
     pub why: &'static str,
 }
 
-/// What the choice of allowed weights depends on.
+/// The state on which the choice of allowed weights depends.
 #[derive(Debug, Clone, Copy)]
 pub struct WeightsUse<'a> {
-    /// What operators want.
+    /// Versions that operators want.
     pub wanted: Option<&'a Wanted>,
-    /// Versions that engines serve, and how many of them.
+    /// Versions that engines serve, with the number of engines.
     pub serving: &'a BTreeMap<WeightVersion, usize>,
-    /// No request begins on weights that were replaced longer ago.
+    /// Requests do not start on weights that were replaced longer ago than this.
     pub limit: Duration,
-    /// Since when this box has been in touch with the platform's store, if it is.
+    /// Since when this box has been connected to the platform's store; `None` if it is not.
     pub in_touch: Option<Instant>,
-    /// Now.
+    /// Current time.
     pub now: Instant,
 }
 
 impl WeightsUse<'_> {
-    /// Weights that a prompt may be sent to. Without the store nobody brings engines to new weights, and the old ones go on.
+    /// Returns the weights that a prompt may be sent to. While the store is unreachable no box can
+    /// make engines load new weights, so old ones remain allowed.
     pub fn allowed(&self) -> AllowedWeights {
         let any = WeightVersion(0);
         let Some(wanted) = self.wanted else {
@@ -71,7 +76,7 @@
         if let Some(newest) = served().rfind(|version| by(version, LAST_MARGIN)) {
             return self.since(*newest, "no engine serves newer ones");
         }
-        // While the store was away nobody could bring engines to new weights.
+        // While the store was unreachable no box could make engines load new weights.
         let newest = served().next_back();
         match newest.filter(|_| self.now + LAST_MARGIN < in_touch + self.limit) {
             Some(newest) => self.since(*newest, "the store has just come back"),
@@ -82,15 +87,16 @@
         }
     }
 
-    /// Until when a prompt may begin on weights that it was sent to; `None` if nothing that is known ends their time. The time without the store does not
-    /// count: nobody could load newer ones.
+    /// Returns the last moment at which a prompt may start on the weights that it was sent to;
+    /// `None` if there is no known limit. Time without the store does not count, because no newer
+    /// weights could be loaded.
     pub fn begin_by(&self, version: WeightVersion) -> Option<Instant> {
         let replaced = self.wanted?.newer(version).map(|newer| newer.since).min()?;
         let counted = replaced.max(self.in_touch?);
         Some(counted + self.limit.saturating_sub(BEGIN_MARGIN))
     }
 
-    /// When the time of weights is over, if newer ones are wanted.
+    /// Returns when a version may no longer be used, if newer ones are wanted.
     fn usable_until(&self, wanted: &Wanted, version: WeightVersion) -> Option<Instant> {
         let until = |named: &Named| match named.witnessed || !self.is_widely_served(named.version) {
             true => named.since + self.limit,
@@ -99,7 +105,7 @@
         wanted.newer(version).map(until).min()
     }
 
-    /// Whether many engines serve a version or newer ones.
+    /// Returns whether many engines serve a version or newer ones.
     fn is_widely_served(&self, version: WeightVersion) -> bool {
         let all: usize = self.serving.values().sum();
         let newer: usize = self
--- a/crates/sillpin-gateway/src/place/choose.rs
+++ b/crates/sillpin-gateway/src/place/choose.rs
@@ -1,8 +1,10 @@
-//! The choice among the targets of a pool: least expected wait, with affinity and zone as tie-breaks.
+//! Chooses among the targets of a pool: the least expected wait, with affinity and zone as
+//! tie-breaks.
 //!
-//! In a large fleet a box hears of what others send some 0.2 s late, in which a zone's boxes send more prompts than the zone has
-//! engines. If all of them took the engine that looked freest, it would get them all. So a prompt looks at a few engines first, drawn by its own
-//! key, and at more only if none of those is free.
+//! In a large fleet a box learns of what others send about 0.2 s late. In that time the boxes of a
+//! zone send more prompts than the zone has engines, and if all of them chose the engine that
+//! looked least loaded, it would get all of these prompts. So a prompt first considers a few
+//! engines, selected by a hash of the prompt, and further ones only if all of those are busy.
 
 use super::index::{Indexed, PoolTargets, TargetIndex};
 use super::limits::Gate;
@@ -20,96 +22,101 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What a request under way at an engine adds to the next one's expected time, in milliseconds: an
-/// engine's step grows by 0.1 ms with each, and one request's steps are a few dozen.
+/// What each request in flight at an engine adds to the next one's expected time, in milliseconds:
+/// each makes a step of the engine 0.1 ms longer, and a request takes a few dozen steps.
 const IN_FLIGHT_MS: f64 = 2.0;
 
-/// Share of an engine's memory that requests may take together before the next one waits: the rest is for what they
-/// generate.
+/// Share of an engine's memory that requests may occupy before the next one waits; the rest is for
+/// the tokens that they generate.
 const MEMORY_SHARE: f64 = 0.9;
 
-/// Part of the aim that a prompt may be expected to wait for memory at an engine that counts as one with room: its parts
-/// are fetched meanwhile. Engines with room go first. Measured, worth of days with trouble, against fixed parts of the
-/// memory: with aims of 0.3 to 0.5 s 0.644, where 0.9 of it gave 0.635 and 1.25 gave 0.649; with aims of 1.2 s, hard days,
-/// 0.657, where 0.9 gave 0.652. Differences below 0.02 are noise.
+/// Longest expected wait for memory, as a part of the latency goal, at which an engine still counts
+/// as one with free memory: the prompt's parts are fetched meanwhile. Engines with free memory are
+/// preferred. Measured against fixed parts of the memory, in scores of days with faults: with goals
+/// of 0.3 to 0.5 s 0.644, where 0.9 of the memory gave 0.635 and 1.25 gave 0.649; with goals of 1.2
+/// s, on hard days, 0.657, where 0.9 gave 0.652. Differences below 0.02 are noise.
 const ROOM_WAIT_AIM_PART: f64 = 0.15;
 
-/// What one request under way at a plain target adds, in milliseconds: its work is 30 to 60 ms and a
-/// target runs six at once.
+/// What each request in flight at a target without a model adds, in milliseconds: its work takes 30
+/// to 60 ms, and a target runs six at once.
 const PLAIN_IN_FLIGHT_MS: f64 = 12.0;
 
-/// Advantage of a prompt's home over other engines, in milliseconds. An engine keeps what it read for a second or
-/// two and a session is back after twelve, so its home saves one fetch in eight. Measured: 5 and 15 alike, 40 worse.
+/// Advantage of a prompt's home over other engines, in milliseconds. An engine holds a prefilled
+/// prompt for one or two seconds and a session's next request comes after twelve, so the home saves
+/// one fetch in eight. Measured: 5 and 15 are equal, 40 is worse.
 const HOME_MS: f64 = 15.0;
 
-/// Price of another zone, in milliseconds: the way is longer.
+/// Cost of another zone in milliseconds, for the longer network path.
 const FOREIGN_ZONE_MS: f64 = 8.0;
 
-/// Price of a request's bytes between zones, in milliseconds a byte: 27 ms for a long prompt of 18 KB, less than a
-/// queue that matters. Measured: twice that no better.
+/// Cost of sending a request's body to another zone, in milliseconds per byte: 27 ms for a long
+/// prompt of 18 KB, less than a queue that matters. Measured: twice the cost is no better.
 const FOREIGN_BYTE_MS: f64 = 0.0015;
 
-/// Price of weights that are being replaced: such answers lose a fifth of their credit after a while.
-/// Small against a queue, so that the first engines with new weights are not flooded.
+/// Cost of weights that are being replaced: responses from them lose a fifth of their credit after
+/// a while. Small compared with a queue, so that the first engines with new weights are not
+/// flooded.
 const OLD_WEIGHTS_MS: f64 = 60.0;
 
-/// Price of a target that failed all of its last requests.
+/// Cost of a target whose recent requests all failed.
 const FAILING_MS: f64 = 400.0;
 
-/// Price of a zone that looks cut off: each try there takes a third of a second and most likely fails.
+/// Cost of a zone that looks partitioned: each attempt there takes a third of a second and most
+/// likely fails.
 const CUT_OFF_MS: f64 = 1_500.0;
 
-/// Price of a target that is passed over; it is taken only when no other is there.
+/// Cost of a target in cooldown; such a target is chosen only if there is no other.
 const RESTING_MS: f64 = 10_000.0;
 
-/// What is asked for.
+/// A request to place, and the state on which the choice depends.
 pub struct Choice<'a> {
-    /// All targets.
+    /// Index of all targets.
     pub targets: &'a TargetIndex,
-    /// Whether other boxes' work is heard so late that a prompt looks at few engines first.
+    /// Whether the work of other boxes is known so late that only a few engines are considered
+    /// first.
     pub heard_late: bool,
-    /// Their loads.
+    /// Loads of the targets.
     pub loads: &'a Loads,
-    /// The pool.
+    /// Pool in which a target is chosen.
     pub pool: &'a PoolId,
-    /// The zone of this box.
+    /// Zone of this box.
     pub zone: &'a ZoneId,
-    /// Requests that this box may have under way at one target.
+    /// Maximum number of requests that this box may have in flight at one target.
     pub most_in_flight: u32,
-    /// Targets that had the request already.
+    /// Targets to which the request was sent before.
     pub tried: &'a [TargetId],
     /// Length of the request's body in bytes.
     pub body_len: usize,
-    /// The request's prompt, for engines.
+    /// The request's prompt, if it is for an engine.
     pub prompt: Option<PromptChoice<'a>>,
-    /// Where it may go.
+    /// Regions in which the request may be served.
     pub residency: Residency<'a>,
-    /// What limited targets get.
+    /// State needed to apply the limits of targets; `None` applies no limits.
     pub gate: Option<Gate<'a>>,
-    /// Now.
+    /// Current time.
     pub now: Instant,
 }
 
-/// What is asked of an engine.
+/// The properties of a prompt on which the choice of an engine depends.
 pub struct PromptChoice<'a> {
-    /// The model.
+    /// Model that the prompt is for.
     pub model: &'a ModelId,
     /// Length of the prompt.
     pub tokens: Tokens,
-    /// Time within which its first event is wanted.
+    /// Time within which the first event of the response should come.
     pub aim: Duration,
     /// Memory of one engine.
     pub room: Tokens,
-    /// Weights that are wanted.
+    /// Weights version that operators want.
     pub wanted: Option<WeightVersion>,
-    /// Engines with older weights than these are no candidates.
+    /// Engines with older weights are not considered.
     pub oldest: WeightVersion,
-    /// Where the prompt's parts are, for each version of weights that engines serve.
+    /// Sources of the prompt's parts, for each weights version that engines serve.
     pub plans: &'a [(WeightVersion, Plan)],
 }
 
 impl PromptChoice<'_> {
-    /// Where the prompt's parts are for a version of weights.
+    /// Returns the sources of the prompt's parts for a weights version.
     pub fn plan(&self, version: WeightVersion) -> Option<&Plan> {
         let found = self.plans.iter().find(|(of, _)| *of == version);
         found.map(|(_, plan)| plan)
@@ -120,27 +127,27 @@
     }
 }
 
-/// A target and why it was chosen.
+/// The chosen target, with the estimates behind the choice.
 #[derive(Debug, Clone)]
 pub struct Chosen {
-    /// The target.
+    /// The chosen target.
     pub target: Arc<TargetEntry>,
-    /// Weights that it serves, for engines.
+    /// Weights version that the target serves, if it is an engine.
     pub version: Option<WeightVersion>,
-    /// Prompt work ahead of it there, and the wait for memory, in milliseconds.
+    /// Prefill work ahead of the request at the target plus the wait for memory, in milliseconds.
     pub queue_ms: f64,
-    /// Its expected time and prices in milliseconds.
+    /// Expected time plus the added costs, in milliseconds.
     pub cost_ms: f64,
-    /// Targets that could have taken the request.
+    /// Number of targets that could have taken the request.
     pub candidates: usize,
-    /// Whether it is passed over while others are there.
+    /// Whether the target is in cooldown, so that it is used only if there is no other.
     pub rests: bool,
-    /// Whether it has room for the request.
+    /// Whether the target has enough memory for the request.
     pub fits: bool,
 }
 
 impl Chosen {
-    /// Order of preference: targets with room first, then the cheapest.
+    /// Orders targets: those with enough memory first, then by cost.
     fn is_better_than(&self, other: &Chosen) -> bool {
         match self.fits == other.fits {
             true => self.cost_ms < other.cost_ms,
@@ -149,19 +156,22 @@
     }
 }
 
-/// Engines of the own zone that a prompt looks at first, where work is heard late. Of 51 engines behind 60 boxes that hear
-/// of each other 0.15 to 0.3 s late, at 84 in 100 of what they can read, 95 in 100 prompts begin within 0.5 s with a look at two, 92 with
-/// three, 66 with all (`herd.rs`, three seeds).
+/// Number of engines of the own zone considered first if other boxes' work is known late. With 51
+/// engines behind 60 boxes that hear of each other 0.15 to 0.3 s late, at 84 % of the prefill
+/// capacity, 95 % of prompts start within 0.5 s if two engines are considered, 92 % with three, and
+/// 66 % with all (`herd.rs`, three seeds).
 const FIRST_LOOK: usize = 2;
 
-/// Engines of the own zone, and as many of all others, that are looked at next.
+/// Number of engines of the own zone, and of all other zones, that are considered next.
 const SECOND_LOOK: usize = 4;
 
-/// A prompt looks further if it would wait for longer than this many aims: it is late then anyway. With half of an aim fewer begin in time
-/// (0.86 instead of 0.91 at 94 in 100 of what engines can read, same test), since what looks free elsewhere looks so to all.
+/// More engines are considered if the prompt would wait for longer than its latency goal times this
+/// factor: it is late then anyway. With half the goal fewer prompts start in time (0.86 instead of
+/// 0.91 at 94 % of the prefill capacity, same test), because an engine that looks idle looks so to
+/// all boxes.
 const FURTHER_AIMS: f64 = 1.0;
 
-/// The cheapest target, if any can take the request.
+/// Returns the target with the lowest cost, or `None` if no target can take the request.
 pub fn choose(choice: &Choice<'_>) -> Option<Chosen> {
     let found = choose_with(choice, Admission::Part);
     match &choice.gate {
@@ -181,7 +191,7 @@
     search.look_wider(pool)
 }
 
-/// The better of two.
+/// Returns the better of two choices.
 fn better(a: Option<Chosen>, b: Option<Chosen>) -> Option<Chosen> {
     match (a, b) {
         (Some(a), Some(b)) => Some(if b.is_better_than(&a) { b } else { a }),
@@ -189,14 +199,14 @@
     }
 }
 
-/// What one choice needs besides what is asked.
+/// The request, with state that is computed once per choice.
 struct Search<'a> {
     choice: &'a Choice<'a>,
     admission: Admission,
     others: Arc<HashMap<TargetHash, Work>>,
-    /// Targets that get nothing from this box, by their own words.
+    /// Targets that accept nothing from this box, according to their own responses.
     closed: HashSet<LifeHash>,
-    /// Hash of the prompt's last shared part, for its homes.
+    /// Hash of the prompt's last shared part, which determines its homes.
     key: Option<u64>,
     table: Table<'a>,
 }
@@ -222,7 +232,8 @@
         }
     }
 
-    /// Targets with their place in the order of the prompt's homes. All boxes leave a busy home for the same other engine.
+    /// Returns targets in the order in which they are homes of the prompt. The order is the same at
+    /// all boxes, so they all leave a busy home for the same other engine.
     fn ranked<'t>(&self, targets: impl Iterator<Item = &'t Indexed>) -> Vec<&'t Indexed> {
         let mut targets: Vec<&Indexed> = targets.collect();
         if let Some(key) = self.key {
@@ -231,15 +242,17 @@
         targets
     }
 
-    /// The zone whose stores hold most of the prompt, if it is not the own one. A fetch from another zone takes a store's link for twice as
-    /// long, and what all fetches together take of the links decides how long each waits.
+    /// Returns the zone whose stores hold most of the prompt, unless it is the own zone. A fetch
+    /// from another zone takes a store's link for twice as long, and the total load of the links
+    /// decides how long each fetch waits.
     fn parts_zone(&self) -> Option<&ZoneId> {
         let prompt = self.choice.prompt.as_ref()?;
         let (_, newest) = prompt.plans.last()?;
         newest.main_zone().filter(|zone| *zone != self.choice.zone)
     }
 
-    /// Two engines of the own zone and of the one where the prompt's parts are, then a few more of all zones, and all if none of those takes requests.
+    /// Considers two engines of the own zone and two of the zone that holds the prompt's parts,
+    /// then a few more of all zones, then all if each of those is in cooldown.
     fn look_wider(&self, pool: &PoolTargets) -> Option<Chosen> {
         let own = self.ranked(pool.of_zone(self.choice.zone).iter());
         let near_parts = self
@@ -262,8 +275,8 @@
         self.best_of(&all, usize::MAX)
     }
 
-    /// Those of the targets that are limited. Few boxes have a part of what one may get, and two engines drawn for a prompt are seldom the ones where its
-    /// box has it.
+    /// Returns those of the targets that are limited. Few boxes have a share of a target's limit,
+    /// and two engines selected for a prompt are rarely those at which its box has one.
     fn limited<'t>(&self, targets: &[&'t Indexed]) -> Vec<&'t Indexed> {
         let Some(gate) = &self.choice.gate else {
             return Vec::new();
@@ -277,13 +290,14 @@
         targets.iter().filter(is_limited).copied().collect()
     }
 
-    /// Whether a prompt need not look further than at an engine that was found.
+    /// Returns whether a choice is good enough to consider no more engines.
     fn is_soon(&self, found: &Chosen) -> bool {
         let aim = self.choice.prompt.as_ref().map_or(0.0, |p| millis(p.aim));
         !found.rests && found.queue_ms <= aim * FURTHER_AIMS
     }
 
-    /// The best of the first targets that can take the request, of which `most` are not passed over.
+    /// Returns the best of the first targets that can take the request, counting at most `most`
+    /// targets that are not in cooldown.
     fn best_of(&self, targets: &[&Indexed], most: usize) -> Option<Chosen> {
         let (mut candidates, mut active) = (0, 0);
         let mut best: Option<Chosen> = None;
@@ -303,7 +317,7 @@
         best.map(|best| Chosen { candidates, ..best })
     }
 
-    /// Whether a target's limits let this box send it one more request.
+    /// Returns whether a target's limits let this box send it one more request.
     fn is_admitted(&self, entry: &TargetEntry) -> bool {
         let Some(gate) = &self.choice.gate else {
             return true;
@@ -312,7 +326,8 @@
         limits.admits(gate, entry, self.admission, self.choice.now)
     }
 
-    /// A target that can take the request, and what that costs; `place` is its place among the prompt's homes.
+    /// Returns a target with its cost, or `None` if it can't take the request. `place` is its
+    /// position among the prompt's homes.
     fn candidate(&self, target: &Indexed, place: usize) -> Option<Chosen> {
         let (choice, entry) = (self.choice, &target.entry);
         if choice.tried.contains(&entry.id) || self.closed.contains(&target.life) {
@@ -377,7 +392,7 @@
     ms + away_ms(away)
 }
 
-/// Whether an engine has room for a prompt by the time that the prompt has been fetched and its turn comes.
+/// Returns whether an engine will have memory for a prompt soon enough.
 fn fits(choice: &Choice<'_>, load: &Load) -> bool {
     let Some(prompt) = &choice.prompt else {
         return true;
@@ -385,7 +400,7 @@
     memory_ms(choice, load) <= millis(prompt.aim) * ROOM_WAIT_AIM_PART
 }
 
-/// How long a prompt waits for room in an engine's memory, in milliseconds.
+/// Returns the expected wait for memory at an engine, in milliseconds.
 fn memory_ms(choice: &Choice<'_>, load: &Load) -> f64 {
     let Some(prompt) = &choice.prompt else {
         return 0.0;
@@ -395,16 +410,16 @@
     if lacking <= 0.0 {
         return 0.0;
     }
-    // What is held is let go evenly over the time that it is held.
+    // Memory is assumed to be freed evenly over the time for which it is held.
     choice.loads.held_ms() * lacking / load.work.tokens.max(lacking)
 }
 
-/// Breaks ties between plain targets alike in every decision of one process.
+/// Breaks ties between targets without a model, the same way in all decisions of a process.
 fn spread(target: &TargetEntry) -> f64 {
     unit(hash_pair(target.id.as_str(), ""))
 }
 
-/// What it costs to go elsewhere than home: nothing at the first engine, and more the further down the order.
+/// Returns the cost of not using the home: zero for the first engine, increasing with the position.
 fn away_ms(place: usize) -> f64 {
     HOME_MS * place as f64 / (1.0 + place as f64)
 }
--- a/crates/sillpin-gateway/src/place/held.rs
+++ b/crates/sillpin-gateway/src/place/held.rs
@@ -1,20 +1,21 @@
-//! How long requests hold an engine's memory.
+//! Estimates how long requests hold an engine's memory.
 //!
-//! From the first event to the end a request holds memory for its prompt, and other prompts wait for that. How long it takes
-//! follows from the engines, from what runs beside it and from how much it generates, so it is observed.
+//! A request holds memory for its prompt from the first event until the end, and other prompts wait
+//! for that memory. The time depends on the engine, on concurrent requests and on the number of
+//! generated tokens, so it is measured.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Samples count half after this long: a dozen or more requests of a box end within it, and a burst shows in it.
+/// Half-life of samples: a box completes a dozen or more requests in this time, and bursts show up
+/// in it.
 const HALF_LIFE: Duration = Duration::from_secs(4);
 
-/// What is taken for granted before requests have ended, and how many tokens' worth of samples that counts for: about one
-/// long prompt.
+/// Estimate before any request has ended, and its weight in tokens, which is about one long prompt.
 const PRIOR: Duration = Duration::from_millis(300);
 const PRIOR_TOKENS: f64 = 10_000.0;
 
-/// A mean over the requests that ended of late, each as heavy as the memory that it held.
+/// Mean hold time of recently completed requests, weighted by memory.
 #[derive(Debug, Clone, Copy)]
 pub struct HeldTime {
     tokens: f64,
@@ -33,7 +34,7 @@
 }
 
 impl HeldTime {
-    /// A request held so many tokens for so long.
+    /// Records that a request held `tokens` of memory for `held`.
     pub fn note(&mut self, tokens: f64, held: Duration, now: Instant) {
         let age = self.at.map_or(Duration::ZERO, |at| now - at);
         let left = 0.5_f64.powf(age.as_secs_f64() / HALF_LIFE.as_secs_f64());
@@ -42,7 +43,7 @@
         self.at = Some(now);
     }
 
-    /// How long a token of memory is held, in milliseconds.
+    /// Returns the mean time for which a token of memory is held, in milliseconds.
     pub fn ms(&self) -> f64 {
         let token_ms = self.token_ms + PRIOR_TOKENS * millis(PRIOR);
         token_ms / (self.tokens + PRIOR_TOKENS)
--- a/crates/sillpin-gateway/src/place/index.rs
+++ b/crates/sillpin-gateway/src/place/index.rs
@@ -1,4 +1,4 @@
-//! Targets by pool and zone, for decisions: made once when the targets change, not for each request.
+//! Index of targets by pool and zone, built when the targets change rather than for each request.
 
 use super::work::{LifeHash, TargetHash};
 use crate::beliefs::Evacuations;
@@ -12,76 +12,78 @@
 /// A target that takes requests.
 #[derive(Debug)]
 pub struct Indexed {
-    /// Its entry.
+    /// Entry of the target.
     pub entry: Arc<TargetEntry>,
-    /// Its short name.
+    /// Hash of the target's id.
     pub hash: TargetHash,
-    /// That of its life.
+    /// Hash of the target's current instance.
     pub life: LifeHash,
-    /// Hash of its name, for its rank among the homes of prompts.
+    /// Hash of the target's id for ranking homes.
     seed: u64,
 }
 
 impl Indexed {
-    /// The target's rank for a key: the largest is its first home. Every box gives the same answer.
+    /// Returns the target's rank for a key; the target with the highest rank is the first home. The
+    /// rank is the same at all boxes.
     pub fn rank(&self, key: u64) -> u64 {
         mix(self.seed ^ key)
     }
 }
 
-/// Spreads all bits of a number over all bits of the result (the finalizer of splitmix64).
+/// Mixes all bits of a number (the finalizer of splitmix64).
 fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
 }
 
-/// Versions of one model's weights, and how many targets serve each.
+/// Weights versions of one model, with the number of targets that serve each.
 type Serving = BTreeMap<WeightVersion, usize>;
 
 /// Targets of one pool that take requests.
 #[derive(Debug, Default)]
 pub struct PoolTargets {
-    /// All of them, those of a zone next to each other.
+    /// All targets, grouped by zone.
     pub all: Vec<Indexed>,
-    /// Zones that have any, in order.
+    /// Zones that have targets, sorted.
     pub zone_names: Vec<ZoneId>,
     zones: HashMap<ZoneId, std::ops::Range<usize>>,
     serving: HashMap<ModelId, Serving>,
 }
 
 impl PoolTargets {
-    /// Those of a zone.
+    /// Returns the targets of a zone.
     pub fn of_zone(&self, zone: &ZoneId) -> &[Indexed] {
         let range = self.zones.get(zone).cloned();
         range.map_or(&[], |range| &self.all[range])
     }
 
-    /// Those of other zones.
+    /// Returns the targets of all other zones.
     pub fn of_others(&self, zone: &ZoneId) -> impl Iterator<Item = &Indexed> {
         let own = self.zones.get(zone).cloned().unwrap_or(0..0);
         self.all[..own.start].iter().chain(&self.all[own.end..])
     }
 
-    /// Versions of a model's weights that they serve, and how many serve each.
+    /// Returns the weights versions of a model that the targets serve, with the number of targets.
     pub fn serving(&self, model: &ModelId) -> Option<&Serving> {
         self.serving.get(model)
     }
 }
 
-/// Targets that take requests, by pool.
+/// Index of the targets that take requests, by pool.
 #[derive(Debug, Default)]
 pub struct TargetIndex {
     pools: HashMap<PoolId, PoolTargets>,
 }
 
 impl TargetIndex {
-    /// Sorts targets by pool and zone; those that leave are left out.
+    /// Builds the index of all targets that are ready.
     pub fn new(targets: &HashMap<TargetId, Arc<TargetEntry>>) -> Self {
         Self::without(targets, &Evacuations::default())
     }
 
-    /// The same without targets of evacuated zones. Whatever chooses a target chooses from here, so no sending of any kind goes to such a zone.
+    /// Builds the index of all ready targets outside evacuated zones. All choices of targets use
+    /// this index, so no request of any kind is sent to an evacuated zone.
     pub fn without(
         targets: &HashMap<TargetId, Arc<TargetEntry>>,
         evacuations: &Evacuations,
@@ -118,7 +120,7 @@
         Self { pools }
     }
 
-    /// Targets of a pool, if it has any.
+    /// Returns the targets of a pool, if it has any.
     pub fn pool(&self, pool: &PoolId) -> Option<&PoolTargets> {
         self.pools.get(pool)
     }
--- a/crates/sillpin-gateway/src/place/limits.rs
+++ b/crates/sillpin-gateway/src/place/limits.rs
@@ -1,4 +1,4 @@
-//! Which limits hold at a target, and whether this box may send to it.
+//! Applies the limits of targets to requests of this box.
 
 use super::shared_limit::{Admission, SharedLimit, SharedLimits, Sharers};
 use super::slow_start::{self, SlowStart};
@@ -12,25 +12,25 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What one decision needs to know of limits.
+/// The state that one decision about limits depends on.
 #[derive(Debug, Clone, Copy)]
 pub struct Gate<'a> {
-    /// Until when targets are cold, as they say or operators let expect.
+    /// Until when targets are cold, as reported by them or set by operators.
     pub cold: &'a HashMap<TargetId, Instant>,
-    /// What a cold target of the pool bears; `None`: as much as a warm one.
+    /// Load that a cold target of the pool can handle; `None` if cold targets need no limit.
     pub warm_up: Option<WarmUp>,
-    /// What is allowed beyond that.
+    /// Overload that is tolerated beyond the limit.
     pub rules: WarmUpRules,
-    /// Who shares the limits.
+    /// The boxes that share the limits.
     pub sharers: Sharers<'a>,
 }
 
-/// Limits of targets, and what this box has sent them.
+/// Limits of all targets, and the requests of this box that count against them.
 #[derive(Debug)]
 pub struct Limits {
-    /// Targets that have just started.
+    /// Targets that have restarted recently.
     pub slow_start: SlowStart,
-    /// What targets say of themselves.
+    /// Signals that targets sent in their responses.
     pub words: Words,
     shared: SharedLimits,
 }
@@ -46,7 +46,7 @@
 }
 
 impl Limits {
-    /// Whether this box may send one more request to a target now.
+    /// Returns whether this box may send one more request to a target now.
     pub fn admits(
         &mut self,
         gate: &Gate<'_>,
@@ -58,18 +58,19 @@
         limits.all(|limit| self.shared.admits(&gate.sharers, target, limit, how, now))
     }
 
-    /// Whether any target may be limited.
+    /// Returns whether any target may be limited.
     pub fn has_any(&self, gate: &Gate<'_>) -> bool {
         let cold = gate.warm_up.is_some() && (!gate.cold.is_empty() || self.slow_start.has_any());
         cold || !self.words.limits.is_empty()
     }
 
-    /// Whether a target is limited.
+    /// Returns whether a target is limited.
     pub fn is_limited(&self, gate: &Gate<'_>, target: &TargetEntry, now: Instant) -> bool {
         self.of(gate, target, now).iter().any(Option::is_some)
     }
 
-    /// How long this box has to wait until it may send one more request to a target; `None`: no limit is in its way.
+    /// Returns how long this box has to wait before it may send one more request to a target;
+    /// `None` if no limit applies now.
     pub fn wait(
         &mut self,
         gate: &Gate<'_>,
@@ -79,14 +80,15 @@
         let limits = self.of(gate, target, now).into_iter().flatten();
         let waits = limits.filter_map(|limit| {
             let free = self.shared.free_at(&gate.sharers, target, limit, now);
-            // Other boxes send it one request in each of so many parts of the period.
+            // Other boxes send the target one request in each of so many parts of the period.
             let others = || now + limit.period / limit.whole.max(1);
             Some(free.unwrap_or_else(others)).filter(|at| *at > now)
         });
         waits.max().map(|at| at - now)
     }
 
-    /// The limits that hold at a target.
+    /// Returns the limits that apply at a target now: that of a cold target, and the one that the
+    /// target reports.
     fn of(&self, gate: &Gate<'_>, target: &TargetEntry, now: Instant) -> [Option<SharedLimit>; 2] {
         let cold = self.cold_limit(gate, target, now);
         let limits = &self.words.limits;
@@ -109,12 +111,12 @@
         is_cold.then(|| slow_start::limit(warm_up, gate.rules))
     }
 
-    /// Takes note that a request goes to a target.
+    /// Records that a request is sent to a target.
     pub fn note_sent(&mut self, target: &TargetId, now: Instant) {
         self.shared.note_sent(target, now);
     }
 
-    /// Forgets targets that are not listed, and sendings that do not count any more.
+    /// Removes targets that are not listed, and requests that no longer count.
     pub fn follow(&mut self, is_listed: impl Fn(&TargetId) -> bool, now: Instant) {
         self.slow_start.follow(&is_listed);
         self.shared.follow(is_listed, now);
--- a/crates/sillpin-gateway/src/place/load.rs
+++ b/crates/sillpin-gateway/src/place/load.rs
@@ -1,4 +1,4 @@
-//! What this box has under way at each target, and how the target has behaved.
+//! Requests that this box has in flight at each target, and the health of targets.
 
 use super::held::HeldTime;
 use super::limits::Limits;
@@ -14,35 +14,37 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How long a target that cannot be reached is passed over, unless a connection to it succeeds before. Its
-/// entry lapses after three heartbeats, so this only bounds what a lost prober would cost.
+/// Cooldown of a target that can't be reached, unless a connection to it succeeds earlier. The
+/// target's entry lapses after three heartbeats, so this only limits the effect of a probe that was
+/// lost.
 const UNREACHABLE_REST: Duration = Duration::from_secs(15);
 
-/// How long a target that refused is passed over at first: a full queue drains in less. Each refusal in a row
-/// doubles it.
+/// First cooldown of a target that refused a request: a full queue drains in less. Doubled by each
+/// further refusal in a row.
 const REFUSAL_REST: Duration = Duration::from_millis(250);
 
-/// Longest rest after refusals: a load of weights that this box did not hear of takes one to two seconds.
+/// Longest cooldown after refusals: a load of weights that this box was not told of takes one to
+/// two seconds.
 const MAX_REFUSAL_REST: Duration = Duration::from_millis(1_000);
 
-/// How long an engine that loads weights is passed over, unless it is heard to be done before: its runs
-/// end first, and the load takes 0.76 s, more while others load.
+/// Cooldown of an engine that loads weights, unless the end of the load is known earlier: the
+/// engine's requests end first, and the load takes 0.76 s, or more while others load.
 const LOADING_REST: Duration = Duration::from_millis(3_500);
 
-/// Weight of the newest outcome in a target's failure share. About the last ten count.
+/// Weight of the newest outcome in a target's failure rate, which covers about the last ten.
 const OUTCOME_WEIGHT: f64 = 0.1;
 
-/// Failure share from which a target rests: several times the share of failures that plain services
-/// show on a good day (0.14).
+/// Failure rate from which a target gets a cooldown: several times the rate of targets without a
+/// model on a day without faults (0.14).
 const FAILING: f64 = 0.4;
 
-/// Outcomes seen before a failure share means something.
+/// Number of outcomes from which the failure rate is used.
 const MIN_OUTCOMES: u32 = 8;
 
-/// How long a failing target rests before it is tried again.
+/// Cooldown of a failing target.
 const FAILING_REST: Duration = Duration::from_secs(3);
 
-/// Until when a target is passed over while others are there, for each reason: what ends one is no end of another.
+/// End of the cooldown for each reason; ending one does not end the others.
 #[derive(Debug, Clone, Copy, Default)]
 struct Rests {
     unreachable: Option<Instant>,
@@ -58,10 +60,10 @@
     }
 }
 
-/// What is known of one target.
+/// Load and health of one target.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Load {
-    /// Requests under way from this box.
+    /// Number of requests in flight from this box.
     pub in_flight: u32,
     /// Work of these requests, for engines.
     pub work: Work,
@@ -69,17 +71,17 @@
     refusals: u32,
     failing: f64,
     outcomes: u32,
-    /// The target's life that all but the requests under way are about.
+    /// The instance of the target to which all fields but the requests in flight apply.
     life: Option<Life>,
 }
 
 impl Load {
-    /// Whether the target is passed over.
+    /// Returns whether the target is in cooldown.
     pub fn rests(&self, now: Instant) -> bool {
         self.rests.until().is_some_and(|until| now < until)
     }
 
-    /// Share of the last requests that failed.
+    /// Returns the share of recent requests that failed.
     pub fn failing(&self) -> f64 {
         self.failing
     }
@@ -95,43 +97,43 @@
     }
 }
 
-/// How a sending ended, as far as it concerns the target's health.
+/// Outcome of an attempt, as far as it concerns the target's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It answered as it should.
+    /// The target responded correctly.
     Served,
-    /// It could not be reached.
+    /// The target could not be reached.
     Unreachable,
-    /// It can be reached again.
+    /// The target can be reached again.
     Reachable,
-    /// It did not run the request, and said so.
+    /// The target responded that it did not run the request.
     Refused,
-    /// It broke off, stayed silent, answered wrongly or failed.
+    /// The response was interrupted, late, malformed or an error.
     Failed,
-    /// It loads weights and takes no requests meanwhile.
+    /// The target is loading weights and takes no requests meanwhile.
     Loading,
-    /// It has loaded them.
+    /// The target has finished loading weights.
     Loaded,
 }
 
-/// Targets of a zone out of reach one after the other, with none in reach between, that make the whole zone
-/// look cut off.
+/// A zone looks partitioned after this many failures to reach a target in it without a success
+/// between.
 const SUSPICIOUS: u32 = 2;
 
-/// How long a zone that looks cut off is left alone before it is tried again.
+/// Time for which a zone that looks partitioned is avoided after the last failure.
 const SUSPICION_TIME: Duration = Duration::from_secs(2);
 
-/// Whether another zone can be reached, as far as this box has tried.
+/// Failures to reach targets of another zone since the last success.
 #[derive(Debug, Clone, Copy)]
 struct Reach {
     failures: u32,
     failed: Instant,
 }
 
-/// What is known of all targets, locked.
+/// Guard of the loads of all targets.
 pub type Table<'a> = MutexGuard<'a, HashMap<TargetId, Load>>;
 
-/// Loads of all targets; clones share them.
+/// Loads of all targets, shared by all clones.
 #[derive(Debug, Clone, Default)]
 pub struct Loads {
     table: Arc<Mutex<HashMap<TargetId, Load>>>,
@@ -140,12 +142,12 @@
     held: Arc<Mutex<HeldTime>>,
     standing: Arc<Mutex<StandingQueue>>,
     limits: Arc<Mutex<Limits>>,
-    /// This box has found that a target names a limit, another one, or none any more.
+    /// Notified when this box observes that a target's limit has started, changed or ended.
     pub limit_found: Arc<Notify>,
 }
 
 impl Loads {
-    /// What is known of all targets, for one decision.
+    /// Locks the loads of all targets for one decision.
     pub fn table(&self) -> Table<'_> {
         self.lock()
     }
@@ -154,7 +156,7 @@
         self.table.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Work of this box at engines, for the others.
+    /// Returns this box's work at engines, to be sent to other boxes.
     pub fn told(&self) -> Vec<EngineWork> {
         let table = self.lock();
         let working = table.iter().filter(|(_, load)| load.work.tokens >= 1.0);
@@ -163,64 +165,64 @@
             .collect()
     }
 
-    /// Takes what another box tells.
+    /// Stores the work that another box reported.
     pub fn hear(&self, from: BoxId, work: Vec<EngineWork>) {
         let mut others = self.others.lock().unwrap_or_else(|e| e.into_inner());
         others.hear(from, work, Instant::now());
     }
 
-    /// This box reports its work to its hub.
+    /// Stores the work that this box reported to its hub.
     pub fn report(&self, work: Vec<EngineWork>) {
         let mut others = self.others.lock().unwrap_or_else(|e| e.into_inner());
         others.report(work);
     }
 
-    /// Takes what the hub of a large zone tells of all boxes.
+    /// Stores the total work of all boxes from the hub of a large zone.
     pub fn hear_sums(&self, work: Vec<EngineWork>, members: &[BoxHash]) {
         let mut others = self.others.lock().unwrap_or_else(|e| e.into_inner());
         others.hear_sums(work, members, Instant::now());
     }
 
-    /// Whether a box was heard of late.
+    /// Returns whether a box, or the hub on its behalf, sent a message recently.
     pub fn hears(&self, from: &BoxId, now: Instant) -> bool {
         let others = self.others.lock().unwrap_or_else(|e| e.into_inner());
         others.hears(from, now)
     }
 
-    /// Whether the hub of a large zone is heard.
+    /// Returns whether the hub of a large zone sent a message recently.
     pub fn hears_hub(&self, now: Instant) -> bool {
         let others = self.others.lock().unwrap_or_else(|e| e.into_inner());
         others.hears_hub(now)
     }
 
-    /// Whether a box of the zone may live, as far as its hub tells.
+    /// Returns whether a box of the zone may be alive, according to the zone's hub.
     pub fn may_live(&self, id: &BoxId, now: Instant) -> bool {
         let others = self.others.lock().unwrap_or_else(|e| e.into_inner());
         others.may_live(id, now)
     }
 
-    /// Work of all other boxes at each engine.
+    /// Returns the work of all other boxes at each engine.
     pub fn others(&self, now: Instant) -> Arc<HashMap<TargetHash, Work>> {
         let others = self.others.lock().unwrap_or_else(|e| e.into_inner());
         others.sum(now)
     }
 
-    /// Limits of targets, what they say of themselves, and what was sent to them.
+    /// Locks the limits of targets, with the signals that targets sent and the requests that count.
     pub fn limits(&self) -> MutexGuard<'_, Limits> {
         self.limits.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Does something with what targets say of themselves. The lock is let go with the result.
+    /// Calls `with` on the signals that targets sent. The lock is released when it returns.
     pub fn words<T>(&self, with: impl FnOnce(&mut Words) -> T) -> T {
         with(&mut self.limits().words)
     }
 
-    /// How long a token of an engine's memory is held, in milliseconds.
+    /// Returns how long a token of an engine's memory is held on average, in milliseconds.
     pub fn held_ms(&self) -> f64 {
         self.held.lock().unwrap_or_else(|e| e.into_inner()).ms()
     }
 
-    /// An engine was chosen; what has stood at engines of late, in milliseconds.
+    /// Records the queue of a chosen engine and returns the recent average, in milliseconds.
     pub fn note_queue(&self, queue: Queue, now: Instant) -> f64 {
         let mut standing = self.standing.lock().unwrap_or_else(|e| e.into_inner());
         standing.note(queue, now)
@@ -231,7 +233,7 @@
         held.note(tokens, time, now);
     }
 
-    /// Takes note of whether a target of a zone could be reached.
+    /// Records whether a target of a zone could be reached.
     pub fn note_reach(&self, zone: &ZoneId, reached: bool) {
         let failed = Instant::now();
         let mut zones = self.zones.lock().unwrap_or_else(|e| e.into_inner());
@@ -247,19 +249,19 @@
         reach.failed = failed;
     }
 
-    /// Whether a zone looks cut off from this box.
+    /// Returns whether this box seems to be partitioned from a zone.
     pub fn looks_cut_off(&self, zone: &ZoneId, now: Instant) -> bool {
         let zones = self.zones.lock().unwrap_or_else(|e| e.into_inner());
         let reach = zones.get(zone);
         reach.is_some_and(|r| r.failures >= SUSPICIOUS && now - r.failed < SUSPICION_TIME)
     }
 
-    /// What is known of a target.
+    /// Returns the load and health of a target.
     pub fn get(&self, target: &TargetId) -> Load {
         self.lock().get(target).copied().unwrap_or_default()
     }
 
-    /// Counts a request at a target until the ticket is dropped.
+    /// Counts a request as in flight at a target until the ticket is dropped.
     pub fn start(&self, target: &TargetId, work: Work) -> Ticket {
         self.limits().note_sent(target, Instant::now());
         let mut table = self.lock();
@@ -275,12 +277,13 @@
         }
     }
 
-    /// Takes note of how a sending ended.
+    /// Records the outcome of an attempt.
     pub fn note(&self, target: &TargetId, outcome: Outcome) {
         self.note_life(target, None, outcome);
     }
 
-    /// Takes note of how a sending to one life of a target ended, unless it is in another by now.
+    /// Records the outcome of an attempt at one instance of a target; ignored if the target has
+    /// restarted since.
     pub fn note_life(&self, target: &TargetId, life: Option<Life>, outcome: Outcome) {
         let now = Instant::now();
         let mut table = self.lock();
@@ -316,8 +319,8 @@
         }
     }
 
-    /// Forgets targets that are not listed and have nothing under way, and how targets behaved in earlier lives. What was sent to an earlier
-    /// life counts until it ends.
+    /// Removes targets that are not listed and have no requests in flight, and resets the health of
+    /// targets that have restarted. Requests sent to an earlier instance count until they end.
     pub fn follow(&self, targets: &HashMap<TargetId, Arc<TargetEntry>>) {
         let now = Instant::now();
         self.limits().follow(|id| targets.contains_key(id), now);
@@ -343,20 +346,20 @@
     }
 }
 
-/// A request under way at a target.
+/// A request in flight at a target.
 #[derive(Debug)]
 pub struct Ticket {
     loads: Loads,
     target: TargetId,
     work: Work,
-    /// Time of the engine that its prompt was expected to take, in milliseconds.
+    /// Expected engine time for the prefill of its prompt, in milliseconds.
     prompt_ms: f64,
-    /// When its first event came.
+    /// When the first event of the response came.
     began: Option<Instant>,
 }
 
 impl Ticket {
-    /// The prompt has been read: its work is no longer under way.
+    /// Removes the prefill from the target's work: it is complete.
     pub fn prompt_done(&mut self) {
         let mut table = self.loads.lock();
         let done = Work {
@@ -370,7 +373,7 @@
         self.began = Some(Instant::now());
     }
 
-    /// Takes note of how long the request held its engine's memory: from when its prompt began to be read.
+    /// Records how long the request held its engine's memory, which starts with the prefill.
     fn note_held(&self) {
         let Some(began) = self.began else {
             return;
--- a/crates/sillpin-gateway/src/place/mod.rs
+++ b/crates/sillpin-gateway/src/place/mod.rs
@@ -1,19 +1,19 @@
-//! Which target takes a request.
+//! Choice of the target for each request.
 //!
-//! - [`load`]: what this box has under way at each target, and how the target has behaved,
+//! - [`load`]: requests that this box has in flight at each target, and the health of targets,
 //! - [`choose`]: the choice among the targets of a pool,
-//! - [`allowed`]: which weights a prompt may run on,
+//! - [`allowed`]: the weights versions on which a prompt may run,
 //! - [`index`]: targets by pool and zone,
 //! - [`held`]: how long requests hold an engine's memory,
-//! - [`probe`]: whether targets out of reach are back,
-//! - [`parts`]: where the parts of a prompt come from and go to,
-//! - [`limits`]: which limits hold at a target,
-//! - [`shared_limit`]: how boxes share what one target may get of all of them,
-//! - [`slow_start`]: what cold targets get,
-//! - [`standing`]: the queue that has stood at engines of late,
-//! - [`residency`]: regions that a request may reach,
-//! - [`words`]: what targets say of themselves beside their answers,
-//! - [`work`]: work at engines, own and told.
+//! - [`probe`]: probes of unreachable targets,
+//! - [`parts`]: where the parts of a prompt are fetched from and stored,
+//! - [`limits`]: the limits that apply at a target,
+//! - [`shared_limit`]: division of a target's limit among boxes,
+//! - [`slow_start`]: limits of cold targets,
+//! - [`standing`]: the recent average queue at engines,
+//! - [`residency`]: the regions that a request may reach,
+//! - [`words`]: signals that targets send in response headers,
+//! - [`work`]: work of this box and of other boxes at engines.
 
 pub mod allowed;
 pub mod choose;
--- a/crates/sillpin-gateway/src/place/parts.rs
+++ b/crates/sillpin-gateway/src/place/parts.rs
@@ -1,4 +1,4 @@
-//! Where the parts of a prompt come from and go to.
+//! Decides from where the parts of a prompt are fetched and where they are stored.
 
 use crate::config::{EngineSpec, FleetConfig, Organisation, StoreSpec};
 use crate::control::KeptKey;
@@ -15,78 +15,80 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Prompt tokens that an engine reads in a millisecond. Both sites state 56.9; it only ranks ways to
-/// serve a prompt, so another engine's rate changes little.
+/// Prompt tokens that an engine prefills in a millisecond. Both sites report 56.9; the value only
+/// ranks ways to serve a prompt, so a different rate changes little.
 const READ_TOKENS_PER_MS: f64 = 56.9;
 
 /// Transfers between zones take twice as long.
 const FOREIGN_ZONE_FACTOR: f64 = 2.0;
 
-/// What a transfer from another zone costs, in times of one within a zone: it also takes the store's link
-/// twice as long from all others, and that link is what runs out first.
+/// Cost of a transfer from another zone relative to one within a zone. It occupies the store's link
+/// twice as long, which delays all other transfers, and that link is the first resource to run out.
 const FOREIGN_ZONE_COST: f64 = 4.0;
 
-/// Share of a store's room that is filled: parts that are being written are not counted.
+/// Share of a store's capacity that is filled; the rest is for parts being written, which are not
+/// counted.
 const FILLED: f64 = 0.975;
 
-/// Why a shared part is read anew and not kept.
+/// Reason for which a shared part is recomputed and not stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum NotKept {
-    /// It was made under replaced weights.
+    /// It was computed with replaced weights.
     #[display("retired")]
     Retired,
-    /// A store holds it, but this box is out of touch.
+    /// A store holds it, but this box is not connected to the platform's store.
     #[display("out-of-touch")]
     OutOfTouch,
-    /// No store was heard of late.
+    /// No store's contents are known to be current.
     #[display("stores-unknown")]
     StoresUnknown,
-    /// No store has room.
+    /// No store has capacity left.
     #[display("no-room")]
     NoRoom,
-    /// A store holds it, but bears no more fetches.
+    /// A store holds it, but its link can't take more fetches.
     #[display("link-busy")]
     LinkBusy,
-    /// A store holds it, but until when a fetch may last cannot be said: this box has not read the engines' clock yet.
+    /// A store holds it, but no deadline can be given for the fetch: this box has not read the
+    /// engines' clock yet.
     #[display("no-clock")]
     NoClock,
-    /// It was asked to be saved a moment ago.
+    /// Another request was told to save it a moment ago.
     #[display("asked")]
     Asked,
 }
 
-/// One shared part of a prompt and where it may come from.
+/// A shared part of a prompt, with the stores that it may be fetched from or saved to.
 #[derive(Debug, Clone)]
 pub struct SharedPart {
-    /// Its name under the salt.
+    /// Key of the part.
     pub key: KeptKey,
-    /// Its length.
+    /// Length of the part.
     pub tokens: Tokens,
-    /// The stores that hold it whole.
+    /// Stores that hold the complete part.
     pub held: Vec<StoreSpec>,
-    /// If none does, the stores that may keep it, alike in speed and room.
+    /// If there are none, the stores that may hold it, which are equal in speed and capacity.
     pub homes: Vec<StoreSpec>,
-    /// Why it is read anew if it is neither fetched nor saved.
+    /// Reason for which the part is recomputed if it is neither fetched nor saved.
     pub not_kept: NotKept,
 }
 
 /// The shared parts of a prompt under one salt.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// The salt.
+    /// Salt of the part keys.
     pub salt: Salt,
-    /// Parts that other requests may have; all but the last.
+    /// Parts that other requests may share: all but the last.
     pub shared: Vec<SharedPart>,
-    /// All parts, the last included.
+    /// Number of all parts, including the last.
     part_count: usize,
-    /// Tokens that no other request has.
+    /// Tokens that no other request shares.
     pub own_tokens: Tokens,
-    /// Tokens that stores hold, whether or not they are fetched.
+    /// Tokens in stores, whether or not they are fetched.
     pub kept_tokens: Tokens,
     token_bytes: u64,
 }
 
-/// The salt of an organisation's parts under a version of weights.
+/// Returns the salt of an organisation's parts for a weights version.
 pub fn salt(prompt: &Prompt, version: WeightVersion, org: Option<&Organisation>) -> SaltParts {
     let wall = org.filter(|org| org.isolated);
     SaltParts {
@@ -96,19 +98,19 @@
     }
 }
 
-/// What a plan is made from.
+/// The state that a plan is made from.
 pub struct PlanInputs<'a> {
-    /// The configuration.
+    /// Configuration of the fleet.
     pub config: &'a FleetConfig,
-    /// The engines.
+    /// Specification of the pool's engines.
     pub engine: &'a EngineSpec,
-    /// What the stores hold.
+    /// Contents of the stores.
     pub kept: &'a Kept,
-    /// Where what is kept of the prompt may be.
+    /// Regions in which the prompt's parts may be stored.
     pub residency: Residency<'a>,
-    /// Whether this box is in touch, so that it may fetch.
+    /// Whether this box is connected to the platform's store, which it must be to fetch parts.
     pub in_touch: bool,
-    /// Now.
+    /// Current time.
     pub now: Instant,
 }
 
@@ -142,7 +144,7 @@
     }
 }
 
-/// Where a part is, or is to be kept.
+/// Looks up where a part is stored or may be stored.
 fn look_up(
     key: KeptKey,
     tokens: Tokens,
@@ -197,26 +199,28 @@
     }
 }
 
-/// The store that an engine in `zone` uses: the first of its zone, or else the first. Two engines that save the same
-/// part at the same time may so use two stores; either copy serves.
+/// Returns the store that an engine in `zone` uses: the first one in the zone, or else the first
+/// one. Two engines that save the same part at the same time may thus use two stores; either copy
+/// will do.
 fn nearest<'a>(stores: &'a [StoreSpec], zone: &ZoneId) -> Option<&'a StoreSpec> {
     let near = stores.iter().find(|store| store.zone == *zone);
     near.or(stores.first())
 }
 
 impl Plan {
-    /// The last shared part: requests that have it have all before it.
+    /// Returns the key of the last shared part: requests that share it also share all parts before
+    /// it.
     pub fn affinity(&self) -> Option<&KeptKey> {
         self.shared.last().map(|part| &part.key)
     }
 
-    /// Time to read tokens anew.
+    /// Returns the time to prefill tokens, in milliseconds.
     pub fn read_ms(tokens: Tokens) -> f64 {
         tokens.0 as f64 / READ_TOKENS_PER_MS
     }
 
-    /// Time to have a shared part at an engine in `zone` that does not hold it, where a transfer from
-    /// another zone counts `foreign` times.
+    /// Returns the time to fetch or recompute a shared part at an engine in `zone`, in
+    /// milliseconds; the time of a transfer from another zone is multiplied by `foreign`.
     fn part_ms(&self, part: &SharedPart, zone: &ZoneId, foreign: f64) -> f64 {
         match nearest(&part.held, zone) {
             Some(store) => self.fetch_ms(store, part.tokens, zone, foreign),
@@ -224,7 +228,8 @@
         }
     }
 
-    /// Time of a transfer from a store to an engine in `zone`, without waits.
+    /// Returns the time of a transfer from a store to an engine in `zone` without queueing, in
+    /// milliseconds.
     fn fetch_ms(&self, store: &StoreSpec, tokens: Tokens, zone: &ZoneId, foreign: f64) -> f64 {
         let bytes = (tokens.0 * self.token_bytes) as f64;
         let near = bytes / store.link_bytes_per_ms.max(1.0);
@@ -232,7 +237,8 @@
         store.first.as_secs_f64() * 1000.0 + near * times
     }
 
-    /// Time to have all shared parts at an engine in `zone`.
+    /// Returns the time to fetch or recompute all shared parts at an engine in `zone`, in
+    /// milliseconds.
     pub fn shared_ms(&self, zone: &ZoneId) -> f64 {
         let parts = self.shared.iter();
         parts
@@ -240,7 +246,7 @@
             .sum()
     }
 
-    /// The same as a cost for comparing engines.
+    /// Returns the same time with the cost of transfers from other zones, for comparing engines.
     pub fn shared_cost(&self, zone: &ZoneId) -> f64 {
         let parts = self.shared.iter();
         parts
@@ -248,14 +254,14 @@
             .sum()
     }
 
-    /// The zone of the store that holds the longest part.
+    /// Returns the zone of the store that holds the longest stored part.
     pub fn main_zone(&self) -> Option<&ZoneId> {
         let held = self.shared.iter().filter(|part| !part.held.is_empty());
         let longest = held.max_by_key(|part| part.tokens)?;
         longest.held.first().map(|store| &store.zone)
     }
 
-    /// Where most fetched tokens come from.
+    /// Returns the store from which the longest fetched part comes.
     pub fn main_source(&self, fetch: &[Option<SocketAddr>]) -> Option<SocketAddr> {
         let parts = self.shared.iter().zip(fetch);
         let fetched = parts.filter_map(|(part, from)| from.map(|from| (part.tokens, from)));
@@ -264,7 +270,7 @@
             .map(|(_, from)| from)
     }
 
-    /// The shared parts and what an engine is to do with each, for logs.
+    /// Formats the shared parts and what the engine does with each, for logs.
     pub fn describe(&self, sending: &EngineSending) -> String {
         let what = |index: usize| match (&sending.fetch[index], &sending.save[index]) {
             (Some(_), _) => "fetch".to_owned(),
@@ -283,7 +289,7 @@
         parts.join(",")
     }
 
-    /// Gives up fetching from stores that `bears` refuses: their parts are read anew.
+    /// Drops the stores for which `bears` returns false: parts that only they hold are recomputed.
     pub fn spare_links(&mut self, bears: impl Fn(SocketAddr) -> bool) {
         let whole = self.shared.iter().filter(|part| !part.held.is_empty());
         self.kept_tokens = whole.map(|part| part.tokens).sum();
@@ -296,7 +302,8 @@
         }
     }
 
-    /// What an engine in `zone` is told: where to fetch parts that are whole, where to keep those that are not.
+    /// Returns the instructions for an engine in `zone`: where to fetch stored parts and where to
+    /// save others.
     pub fn sending(
         &self,
         version: WeightVersion,
@@ -310,7 +317,8 @@
         let (mut fetch, mut save) = (none(), none());
         for (index, part) in self.shared.iter().enumerate() {
             if let Some(store) = nearest(&part.held, zone) {
-                // A part behind one that nobody holds cannot be used; asking for it costs a millisecond.
+                // A part behind one that no store holds can't be used; requesting it costs a
+                // millisecond.
                 fetch[index] = until.map(|_| store.addr);
                 continue;
             }
--- a/crates/sillpin-gateway/src/place/probe.rs
+++ b/crates/sillpin-gateway/src/place/probe.rs
@@ -1,7 +1,7 @@
-//! Looks in the background whether targets that could not be reached are back.
+//! Probes unreachable targets in the background.
 //!
-//! A try at a machine without power costs a request a third of a second, so no request is used for it:
-//! a target stays passed over until a connection to it has been opened.
+//! A connection attempt to a machine that is down takes a third of a second, so no request is used
+//! for it: a target stays in cooldown until a probe has opened a connection.
 
 use super::load::{Loads, Outcome};
 use crate::beliefs::FleetHandle;
@@ -13,17 +13,17 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Time between two tries, beside the time that a try takes.
+/// Pause between two connection attempts.
 const TRY_EVERY: Duration = Duration::from_millis(400);
 
-/// Probes targets; clones share what is being probed.
+/// Probes unreachable targets; clones share the set of probed targets.
 #[derive(Clone)]
 pub struct Prober {
     /// Loads of targets.
     pub loads: Loads,
-    /// Connections to targets.
+    /// Pool of connections to targets.
     pub pool: Pool,
-    /// What is known of the fleet.
+    /// This box's view of the fleet.
     pub fleet: FleetHandle,
     /// Log.
     pub log: Logger,
@@ -32,7 +32,7 @@
 }
 
 impl Prober {
-    /// Passes a target over until it can be reached.
+    /// Puts a target into cooldown and probes it until it can be reached.
     pub fn start(&self, target: &TargetId, why: &str) {
         let mut probed = self.probed.lock().unwrap_or_else(|e| e.into_inner());
         if !probed.insert(target.clone()) {
--- a/crates/sillpin-gateway/src/place/residency.rs
+++ b/crates/sillpin-gateway/src/place/residency.rs
@@ -1,20 +1,20 @@
-//! Regions that a request may reach: where its prompt and what is kept of it must stay.
+//! Regions in which a request's prompt may be processed and its KV cache stored.
 
 use derive_more::{Display, Error};
 use sillpin_core::{RegionId, ZoneId};
 use std::collections::HashMap;
 use std::str::FromStr;
 
-/// A zone and the region that it lies in, as `ZONE/REGION` in the settings.
+/// A zone and its region, written as `ZONE/REGION` in the settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneRegion {
-    /// The zone.
+    /// Name of the zone.
     pub zone: ZoneId,
-    /// Its region.
+    /// Region that the zone is in.
     pub region: RegionId,
 }
 
-/// A text that does not name a zone and a region.
+/// Error for a text that is not of the form `ZONE/REGION`.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("expected ZONE/REGION, got {text:?}")]
 pub struct NoZoneRegion {
@@ -34,22 +34,24 @@
     }
 }
 
-/// Which region each zone lies in.
+/// Region of each zone.
 pub type ZoneRegions = HashMap<ZoneId, RegionId>;
 
-/// Where a request may go. What its route and its organisation say both binds; an empty list allows all regions.
+/// Regions that a request may reach. The lists of its route and its organisation both apply; an
+/// empty list allows all regions.
 #[derive(Debug, Clone, Copy)]
 pub struct Residency<'a> {
-    /// Regions of the route.
+    /// Regions that the route allows.
     pub route: &'a [RegionId],
-    /// Regions of the organisation.
+    /// Regions that the organisation allows.
     pub organisation: &'a [RegionId],
-    /// Which region each zone lies in.
+    /// Region of each zone.
     pub regions: &'a ZoneRegions,
 }
 
 impl Residency<'_> {
-    /// Whether a zone lies where the request may go. A zone whose region is not known does not, if any region is named.
+    /// Returns whether the request may reach a zone. A zone without a known region is allowed only
+    /// if neither list names a region.
     pub fn allows(&self, zone: &ZoneId) -> bool {
         if self.route.is_empty() && self.organisation.is_empty() {
             return true;
--- a/crates/sillpin-gateway/src/place/shared_limit.rs
+++ b/crates/sillpin-gateway/src/place/shared_limit.rs
@@ -1,14 +1,19 @@
 //! Limits on what all boxes together send to one target.
 //!
-//! A limit of the fleet that each box, or each try, keeps by itself is exceeded as soon as there are several of them. So it is divided among the boxes of the
-//! target's zone, without a word between them: each takes its part by its rank among those that it knows to live. Boxes that still count some that
-//! have ended give themselves less, never more, so views that lag behind ends add up to no more than the limit; for boxes that some do not know yet
-//! there is a reserve ([`RESERVE`]), and a box that cannot know who lives takes no part ([`UNSURE_EVERY`]).
+//! A fleet-wide limit that each box, or each attempt, applied on its own would be exceeded as soon
+//! as there are several. So the limit is divided among the boxes of the target's zone without
+//! communication: each takes its share by its rank among the boxes that it knows to be alive. Boxes
+//! that still count others that have stopped take less, never more, so the shares add up to no more
+//! than the limit while such views lag. For boxes that some do not know yet there is a reserve
+//! ([`RESERVE`]), and a box that can't know which boxes are alive takes no share
+//! ([`UNSURE_EVERY`]).
 //!
-//! Boxes of other zones send nothing there: what they know of the zone's boxes is older, and while a zone is cut off each side would take the whole
-//! limit for its own. Limits that are not strict are shared with the boxes of zones that have no such target, whose callers nobody else serves.
+//! Boxes of other zones send nothing there: their knowledge of the zone's boxes is older, and if a
+//! zone is partitioned each side would take the whole limit. Limits that are not strict are also
+//! shared with the boxes of zones that have no target of the pool, whose clients nobody else
+//! serves.
 //!
-//! Whatever is sent counts: first and second sendings, and streams that are resumed.
+//! All attempts count: first ones, retries, and resumed streams.
 
 use crate::beliefs::BoxEntry;
 use crate::control::TargetEntry;
@@ -20,65 +25,73 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What is borne beyond a limit is divided as if it were smaller by this factor. Boxes that start in the same moment may know each other up to one
-/// after the other, and a connection that is slow to open brings a request into the next period.
+/// The load that a target can handle is divided by this factor before it caps a limit. Boxes that
+/// start at the same moment may know about each other only one way, and a connection that opens
+/// slowly moves a request into the next period.
 const RESERVE: f64 = 2.0;
 
-/// Added to the time in which sendings are counted, for connections that open at different speeds.
+/// Added to the time in which requests are counted, for differences in the time to open
+/// connections.
 const OPENING: Duration = Duration::from_millis(50);
 
-/// A box that cannot know who else lives sends to one limited target of its zone this seldom, and only if no other one can take the request: 100 boxes of a
-/// zone that all started anew send it five requests a second, beside the parts of those that did not.
+/// Time between requests to one limited target in its zone from a box that can't know which boxes
+/// are alive, if no other target can take the request: if 100 boxes of a zone all restart, they
+/// send it five requests a second, besides the shares of boxes that did not restart.
 const UNSURE_EVERY: Duration = Duration::from_secs(20);
 
-/// And as much less often as it knows of more boxes in its zone.
+/// Added to that for each other box that is known in the zone, if the total is larger.
 const UNSURE_EVERY_BOX: Duration = Duration::from_millis(200);
 
-/// After its start a box takes no part for so long: by then the others have read that it is registered, or heard it. They read who is registered
-/// 0.7 s after their own start, and tell each other of newcomers at once.
+/// Time after its start in which a box takes no share: by then other boxes have read that it is
+/// registered or received a message from it. They read the registrations 0.7 s after their own
+/// start, and announce new boxes to each other at once.
 pub const KNOWS_AFTER: Duration = Duration::from_secs(3);
 
-/// What a box knows of those that share a limit with it.
+/// What a box knows about the boxes that share a limit with it.
 #[derive(Debug, Clone, Copy)]
 pub struct Sharers<'a> {
-    /// This box.
+    /// Id of this box.
     pub me: &'a BoxId,
-    /// Its zone.
+    /// Zone of this box.
     pub zone: &'a ZoneId,
-    /// All others that live, as far as is known.
+    /// All other boxes that are known to be alive.
     pub others: &'a Arc<Vec<BoxEntry>>,
-    /// Whether this box has run long enough to know the others and to be known by them, and has read who is registered.
+    /// Whether this box has run long enough for it and the others to know each other, and has read
+    /// the registrations.
     pub is_settled: bool,
-    /// Whether this box is about to end: the others take over its part as soon as they hear of it, while callers go on for seconds on what they have open
-    /// here.
+    /// Whether this box is about to stop: the others take over its share as soon as they know,
+    /// while clients continue for seconds on connections that are open here.
     pub is_stopping: bool,
-    /// Whether it is in touch with the platform's store, so that it hears who starts and ends.
+    /// Whether this box is connected to the platform's store, from which it learns about starts and
+    /// stops.
     pub is_in_touch: bool,
     /// Zones that have targets of the pool.
     pub pool_zones: &'a [ZoneId],
 }
 
 impl Sharers<'_> {
-    /// Whether this box takes its part of every limit.
+    /// Returns whether this box takes its share of every limit.
     pub fn is_sure(&self) -> bool {
         self.is_settled && self.is_in_touch && !self.is_stopping
     }
 }
 
-/// What all boxes together may send to one target.
+/// Limit on what all boxes together may send to one target.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SharedLimit {
-    /// Requests in each period.
+    /// Number of requests in each period.
     pub whole: u32,
-    /// The period.
+    /// Length of the period.
     pub period: Duration,
-    /// Whether only boxes of the target's zone take part, and only while they hear who starts and ends. Otherwise a box that is out of touch goes on
-    /// with the others that it knew, and boxes of zones without a target of the pool take part as well.
+    /// Whether only boxes of the target's zone take a share, and only while they are connected to
+    /// the platform's store. Otherwise a disconnected box goes on with the boxes that it knew, and
+    /// boxes of zones without a target of the pool take a share as well.
     pub strict: bool,
 }
 
 impl SharedLimit {
-    /// Of `wanted` requests in a period of which a target bears `borne`, as many as boxes may divide among each other.
+    /// Returns how many of `wanted` requests in a period boxes may divide among each other, if the
+    /// target can handle `borne`.
     pub fn whole_of(wanted: f64, borne: f64) -> u32 {
         wanted.min(borne / RESERVE) as u32
     }
@@ -87,13 +100,13 @@
 /// How a choice treats limited targets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// They get this box's part.
+    /// They get this box's share.
     Part,
-    /// No other target can take the request, and this box does not know its part.
+    /// No other target can take the request, and this box does not know its share.
     Unsure,
 }
 
-/// This box's place among those that share the limits of a target.
+/// This box's rank among the boxes that share a limit of a target.
 #[derive(Debug, Clone, Copy)]
 struct Place {
     ahead: u32,
@@ -101,34 +114,35 @@
 }
 
 impl Place {
-    /// The part of `whole` requests: boxes take one by one in the order of their ranks, until all are taken.
+    /// Returns this box's share of `whole` requests, which are dealt out one by one by rank.
     fn part(self, whole: u32) -> u32 {
         whole.saturating_sub(self.ahead).div_ceil(self.boxes.max(1))
     }
 }
 
-/// What this box sends to a limited target without knowing its part.
+/// Pacing of requests to a limited target at which this box does not know its share.
 #[derive(Debug, Clone, Copy)]
 struct Seldom {
     every: Duration,
-    /// When it may send the next request.
+    /// When the next request may be sent.
     from: Instant,
 }
 
-/// What this box has sent to targets of late, and its part of what they may get.
+/// Recent requests of this box to each target, and its rank for the limits of the target.
 #[derive(Debug, Default)]
 pub struct SharedLimits {
     sent: HashMap<TargetId, VecDeque<Instant>>,
-    /// This box's place at targets, for strict limits and others, among `others` and while the pools have targets in the zones that stand beside it.
+    /// Rank of this box at targets, for strict limits and others. Valid for `others`, and while the
+    /// pool has targets in the zones that are stored with the rank.
     places: HashMap<(TargetId, bool), (Place, Vec<ZoneId>)>,
     others: Arc<Vec<BoxEntry>>,
     seldom: HashMap<TargetId, Seldom>,
-    /// The longest time in which sendings are counted.
+    /// Longest time for which requests are counted.
     longest: Duration,
 }
 
 impl SharedLimits {
-    /// Sendings are remembered for `longest`, the longest period of any limit.
+    /// Creates the state for limits whose longest period is `longest`.
     pub fn new(longest: Duration) -> Self {
         Self {
             longest: longest + OPENING,
@@ -136,7 +150,7 @@
         }
     }
 
-    /// Forgets targets that are not listed, and sendings that do not count any more.
+    /// Removes targets that are not listed, and requests that no longer count.
     pub fn follow(&mut self, is_listed: impl Fn(&TargetId) -> bool, now: Instant) {
         self.places.retain(|(id, _), _| is_listed(id));
         self.seldom.retain(|id, _| is_listed(id));
@@ -145,7 +159,7 @@
             .retain(|_, sent| sent.back().is_some_and(|at| now - *at < longest));
     }
 
-    /// Takes note that a request goes to a target.
+    /// Records that a request is sent to a target.
     pub fn note_sent(&mut self, target: &TargetId, now: Instant) {
         let sent = self.sent.entry(target.clone()).or_default();
         while sent.front().is_some_and(|at| now - *at >= self.longest) {
@@ -157,7 +171,7 @@
         }
     }
 
-    /// Whether this box may send one more request to a target with a limit now.
+    /// Returns whether this box may send one more request to a limited target now.
     pub fn admits(
         &mut self,
         sharers: &Sharers<'_>,
@@ -167,7 +181,8 @@
         now: Instant,
     ) -> bool {
         let Some(part) = self.part(sharers, target, limit) else {
-            // Callers of a box that stops find another one; those of one that cannot know may not.
+            // Clients of a box that stops can use another one; clients of a disconnected box may
+            // not be able to.
             let may = how == Admission::Unsure && !sharers.is_stopping;
             let is_near = *sharers.zone == target.zone;
             return may && is_near && now >= self.seldom_from(sharers, &target.id, now);
@@ -175,7 +190,8 @@
         self.sent_within(&target.id, limit.period + OPENING, now) < part
     }
 
-    /// When this box may send one more request to a target with a limit, unless others send it all that it may get.
+    /// Returns when this box may send one more request to a limited target; `None` if it has no
+    /// share.
     pub fn free_at(
         &mut self,
         sharers: &Sharers<'_>,
@@ -185,12 +201,13 @@
     ) -> Option<Instant> {
         let part = self.part(sharers, target, limit).filter(|part| *part > 0)?;
         let sent = self.sent.get(&target.id).into_iter().flatten();
-        // Once the last but `part` is forgotten, there is room.
+        // There is room once all but the last `part - 1` requests have expired.
         let blocking = sent.rev().nth(part as usize - 1);
         Some(blocking.map_or(now, |at| *at + limit.period + OPENING))
     }
 
-    /// This box's part of a limit in each period; `None`: it cannot know, or takes none any more.
+    /// Returns this box's share of a limit in each period; `None` if it can't know it or is
+    /// stopping.
     fn part(
         &mut self,
         sharers: &Sharers<'_>,
@@ -208,8 +225,8 @@
         newest.count() as u32
     }
 
-    /// When this box may send to a limited target without knowing its part. The first time is drawn, since all that start at once would else send at
-    /// once.
+    /// Returns when this box may send to a limited target without knowing its share. The first time
+    /// is random, since boxes that start together would otherwise send together.
     fn seldom_from(&mut self, sharers: &Sharers<'_>, target: &TargetId, now: Instant) -> Instant {
         let first = || {
             let others = sharers.others.iter();
@@ -221,7 +238,7 @@
         self.seldom.entry(target.clone()).or_insert_with(first).from
     }
 
-    /// This box's place among those that share a limit of a target.
+    /// Returns this box's rank among those that share a limit of a target, cached.
     fn place(&mut self, sharers: &Sharers<'_>, target: &TargetEntry, strict: bool) -> Place {
         if !Arc::ptr_eq(&self.others, sharers.others) {
             self.others = sharers.others.clone();
@@ -239,13 +256,14 @@
     }
 }
 
-/// The place of a box that takes no part.
+/// The rank of a box that gets no share.
 const NO_PLACE: Place = Place {
     ahead: u32::MAX,
     boxes: 1,
 };
 
-/// A box's place among those that share a limit of a target, by rank. If the target's zone has no box, those of all zones share.
+/// Computes a box's rank among those that share a limit of a target. If the target's zone has no
+/// box, the boxes of all zones share it.
 fn place(sharers: &Sharers<'_>, target: &TargetEntry, strict: bool) -> Place {
     let is_left_alone = |zone: &ZoneId| !strict && !sharers.pool_zones.contains(zone);
     let shares = |zone: &ZoneId| *zone == target.zone || is_left_alone(zone);
--- a/crates/sillpin-gateway/src/place/slow_start.rs
+++ b/crates/sillpin-gateway/src/place/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start of cold targets: a target that has just started bears a few requests a second, falls over well above that, and looks free to every box
-//! just then.
+//! Slow start of cold targets: a target that has just started handles only a few requests a second
+//! and fails well above that, but looks idle to every box.
 
 use super::shared_limit::SharedLimit;
 use crate::config::WarmUp;
@@ -9,32 +9,34 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The time in which requests at a cold target are counted.
+/// Period over which requests to a cold target are counted.
 pub const PERIOD: Duration = Duration::from_secs(1);
 
-/// Targets that could not be reached, and since when they can be again: they may have started anew, which their entries tell later.
+/// Targets that could be reached again after a failure, with the time. They may have restarted,
+/// which their entries show only later.
 #[derive(Debug, Default)]
 pub struct SlowStart {
     returned: HashMap<TargetId, Instant>,
 }
 
 impl SlowStart {
-    /// A target can be reached again.
+    /// Records that a target can be reached again.
     pub fn returned(&mut self, target: &TargetId, now: Instant) {
         self.returned.insert(target.clone(), now);
     }
 
-    /// Whether any target was out of reach and came back.
+    /// Returns whether any target became reachable again.
     pub fn has_any(&self) -> bool {
         !self.returned.is_empty()
     }
 
-    /// Forgets targets that are not listed.
+    /// Removes targets that are not listed.
     pub fn follow(&mut self, is_listed: impl Fn(&TargetId) -> bool) {
         self.returned.retain(|id, _| is_listed(id));
     }
 
-    /// Whether a target is cold, or may be; `told` is until when it is, as it says or operators let expect.
+    /// Returns whether a target is cold or may be. `told` is the end of its cold phase, as reported
+    /// by the target or set by operators.
     pub fn is_cold(
         &self,
         target: &TargetId,
@@ -47,7 +49,7 @@
     }
 }
 
-/// What all boxes together may send to a cold target.
+/// Returns the limit on what all boxes together may send to a cold target.
 pub fn limit(warm_up: WarmUp, rules: WarmUpRules) -> SharedLimit {
     let borne = warm_up.per_s * rules.overage + rules.slack;
     SharedLimit {
--- a/crates/sillpin-gateway/src/place/standing.rs
+++ b/crates/sillpin-gateway/src/place/standing.rs
@@ -1,35 +1,38 @@
-//! The queue that has stood at engines of late.
+//! The standing queue: the recent average of the work ahead of prompts at the chosen engines.
 //!
-//! A queue that one prompt meets says little: a few that come together make one, and it is gone in a moment. One that stands says that engines are
-//! asked for more than they can take.
+//! A queue that one prompt meets is no sign of overload: a few prompts that arrive together cause
+//! one, and it drains in a moment. A queue that persists shows that the load exceeds the engines'
+//! capacity.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Samples count half after this long: a burst shows within a second, and a moment in which several prompts come does not.
+/// Half-life of samples: bursts show within a second, while a few prompts at one moment do not.
 const HALF_LIFE: Duration = Duration::from_millis(500);
 
-/// What is taken for granted, as so many samples: no queue.
+/// Weight of the initial estimate (no queue), in samples.
 const PRIOR_SAMPLES: f64 = 1.0;
 
-/// In a large fleet a box hears of others' work that late, in milliseconds: by the time that a prompt comes to an engine, so much of what was ahead is
-/// done, and looked at without that most engines would seem busy at loads that they serve well.
+/// Delay with which a box learns of others' work in a large fleet, in milliseconds: when a prompt
+/// reaches an engine, that much of the work ahead has been done. Without this correction most
+/// engines would seem busy at loads that they serve well.
 const HEARD_LATE_MS: f64 = 250.0;
 
-/// What is left to be met at least where something was heard of: what came since is not known.
+/// Least queue that a prompt is expected to meet if any work was reported: work that was added
+/// since is unknown.
 const LEAST_MET_MS: f64 = 20.0;
 
 /// Work ahead of a prompt at an engine, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Queue {
-    /// What is surely left of what was heard of.
+    /// Part of the reported work that is certainly left.
     pub left_ms: f64,
-    /// What the prompt is expected to meet.
+    /// Work that the prompt is expected to meet.
     pub met_ms: f64,
 }
 
 impl Queue {
-    /// A queue that was heard of, late or not.
+    /// Estimates the queue from the reported work; `late` if the reports are delayed.
     pub fn heard(heard_ms: f64, late: bool) -> Self {
         if !late {
             return Self {
@@ -45,7 +48,7 @@
     }
 }
 
-/// A mean over the engines that were chosen for prompts of late.
+/// Average queue at the engines that were chosen for prompts recently.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StandingQueue {
     samples: f64,
@@ -54,7 +57,7 @@
 }
 
 impl StandingQueue {
-    /// An engine was chosen; the mean with it, in milliseconds.
+    /// Records the queue of a chosen engine and returns the average including it, in milliseconds.
     pub fn note(&mut self, queue: Queue, now: Instant) -> f64 {
         let age = self.at.map_or(Duration::ZERO, |at| now - at);
         let left = 0.5_f64.powf(age.as_secs_f64() / HALF_LIFE.as_secs_f64());
--- a/crates/sillpin-gateway/src/place/words/backoff.rs
+++ b/crates/sillpin-gateway/src/place/words/backoff.rs
@@ -1,6 +1,8 @@
-//! Times in which targets want no requests from this box, as they said when they turned one away.
+//! Times for which targets asked this box to send no requests, with a retry-after header on a
+//! refusal.
 //!
-//! Each such time counts from its own refusal, so of several the one that ends last holds. It is this box's alone: a target tells each box by itself.
+//! Each time starts at its own refusal, so if there are several, the one that ends last applies. It
+//! applies to this box only: a target sends one to each box.
 
 use crate::dialect::RetryAfter;
 use crate::place::work::LifeHash;
@@ -8,23 +10,26 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Taken for a time that cannot be read: the target wants to be spared, and its next answer tells for how long.
+/// Used if the header can't be parsed: the target is overloaded, and its next response says for how
+/// long.
 const UNREADABLE: Duration = Duration::from_secs(1);
 
-/// Longer times are taken for this: no process runs so long, and clocks cannot count to any time.
+/// Upper bound: no process runs for longer, and clock arithmetic would overflow.
 const MAX: Duration = Duration::from_secs(30 * 24 * 3_600);
 
-/// Lives that are remembered, more than a fleet has targets. Beyond that those go whose time ends first.
+/// Maximum number of entries, more than a fleet has targets. Beyond it the ones that end first are
+/// removed.
 const MAX_LIVES: usize = 2_048;
 
-/// Until when targets want no requests from this box.
+/// End of the backoff of each target.
 #[derive(Debug, Default)]
 pub struct Backoffs {
     until: BTreeMap<LifeHash, Instant>,
 }
 
 impl Backoffs {
-    /// A target turned a request away and said for how long it wants no other; that time, unless an earlier word of it reaches as far.
+    /// Records the backoff of a refusal. Returns its length, or `None` if an earlier one lasts as
+    /// long.
     pub fn hear(&mut self, target: LifeHash, word: RetryAfter, now: Instant) -> Option<Duration> {
         let wait = match word {
             RetryAfter::Wait(wait) => wait.min(MAX),
@@ -39,27 +44,27 @@
         Some(wait)
     }
 
-    /// How much longer a target wants no requests from this box.
+    /// Returns the remaining backoff of a target.
     pub fn left(&self, target: LifeHash, now: Instant) -> Option<Duration> {
         let until = self.until.get(&target)?;
         let left = until.saturating_duration_since(now);
         Some(left).filter(|left| !left.is_zero())
     }
 
-    /// All that want no requests from this box now.
+    /// Returns all targets with a backoff.
     pub fn all(&self, now: Instant) -> impl Iterator<Item = LifeHash> + '_ {
         let running = self.until.iter().filter(move |(_, until)| now < **until);
         running.map(|(target, _)| *target)
     }
 
-    /// The box was suspended for so long: that much of each time is over.
+    /// Shortens all backoffs by the time for which the box was suspended.
     pub fn age(&mut self, time: Duration) {
         for until in self.until.values_mut() {
             *until = until.checked_sub(time).unwrap_or(*until);
         }
     }
 
-    /// Forgets times that are over.
+    /// Removes backoffs that have ended.
     pub fn follow(&mut self, now: Instant) {
         self.until.retain(|_, until| now < *until);
         while self.until.len() > MAX_LIVES {
--- a/crates/sillpin-gateway/src/place/words/leaving.rs
+++ b/crates/sillpin-gateway/src/place/words/leaving.rs
@@ -1,48 +1,51 @@
-//! Targets that said in an answer that they leave.
+//! Targets that announced in a response that they are shutting down.
 //!
-//! A life that leaves does not come back. What its entry says is no better word: while the platform's store is away it goes on saying that the target takes
-//! requests, and what was written before may be read after.
+//! An instance that is shutting down does not come back. Its entry doesn't override that: while the
+//! platform's store is unreachable the entry still lists the target as ready, and entries may be
+//! read long after they were written.
 
 use crate::place::work::LifeHash;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A life that is not listed any more is forgotten after this. Entries lapse while the store is away, and are back seconds after its return.
+/// Time after which an unlisted instance is removed. Entries lapse while the store is unreachable,
+/// and are back seconds after its return.
 const UNLISTED_MEMORY: Duration = Duration::from_secs(60);
 
-/// Lives that are remembered, more than a fleet has targets. Beyond that those go that were listed the longest time ago.
+/// Maximum number of instances, more than a fleet has targets. Beyond it the ones listed least
+/// recently are removed.
 const MAX_LIVES: usize = 2_048;
 
-/// Lives of targets that leave.
+/// Instances of targets that are shutting down.
 #[derive(Debug, Default)]
 pub struct Leaving {
-    /// When each was last listed, or said so.
+    /// When each instance was last listed, or announced its shutdown.
     known: BTreeMap<LifeHash, Instant>,
 }
 
 impl Leaving {
-    /// A target says that it leaves; whether that is news.
+    /// Records that a target is shutting down; returns whether that was unknown.
     pub fn hear(&mut self, target: LifeHash, now: Instant) -> bool {
         self.known.insert(target, now).is_none()
     }
 
-    /// Whether a target leaves.
+    /// Returns whether a target is shutting down.
     pub fn has(&self, target: LifeHash) -> bool {
         self.known.contains_key(&target)
     }
 
-    /// All that leave.
+    /// Returns all instances that are shutting down.
     pub fn all(&self) -> impl Iterator<Item = LifeHash> + '_ {
         self.known.keys().copied()
     }
 
-    /// How many leave.
+    /// Returns the number of instances that are shutting down.
     pub fn count(&self) -> usize {
         self.known.len()
     }
 
-    /// Forgets lives that are gone.
+    /// Removes instances that have been unlisted for a while.
     pub fn follow(&mut self, is_listed: impl Fn(LifeHash) -> bool, now: Instant) {
         self.known.retain(|target, seen| {
             if is_listed(*target) {
--- a/crates/sillpin-gateway/src/place/words/limit.rs
+++ b/crates/sillpin-gateway/src/place/words/limit.rs
@@ -1,8 +1,11 @@
-//! Limits that targets name: the requests a second that one takes of all boxes together, for as long as its answers say so.
+//! Limits that targets announce in responses: the rate of requests that a target accepts from all
+//! boxes.
 //!
-//! What a box hears of a target is one word: a rate, or that there is none any more, and when that was so. Of two words the later one holds, so it does
-//! not matter by which way or in which order they come. A limit ends only by a success without one whose request was sent after the target last named
-//! it: answers overtake each other, and failures and refusals may be made by something before the target.
+//! An observation of a target is a rate, or that there is no limit any more, with the time at which
+//! it was true. Of two observations the later one wins, so the path and order in which they arrive
+//! do not matter. A limit ends only with a successful response without a limit, to a request that
+//! was sent after the target last announced one: responses overtake each other, and errors and
+//! refusals may come from a proxy in front of the target.
 
 use crate::dialect::LimitWord;
 use crate::place::shared_limit::SharedLimit;
@@ -16,91 +19,99 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The time in which requests at a target are counted against the limit that it names.
+/// Period over which requests to a target are counted against its limit.
 const PERIOD: Duration = Duration::from_secs(4);
 
-/// What a target bears beyond what it names: so many times that, and so many requests, in each period.
+/// Load that a target can handle beyond its limit: this many times the limit, plus this many
+/// requests, in each period.
 const OVERAGE: f64 = 1.5;
 const SLACK: f64 = 5.0;
 
-/// A target that names a lower limit, or takes nothing, gets one request in this time all the same: only answers tell that a limit has ended.
+/// A target that announces a lower limit, or zero, still gets one request in this time: only
+/// responses show that a limit has ended.
 pub const MAX_PERIOD: Duration = Duration::from_secs(5);
 
-/// A limit that ended is lifted step by step: it doubles at once and after each of these steps. All boxes would else come back to a target, which was in need
-/// just now, in one moment.
+/// A limit that has ended is lifted in steps: it doubles at once and after each step. Otherwise all
+/// boxes would return at the same moment to a target that has just recovered.
 const LIFT_STEP: Duration = Duration::from_secs(2);
 const LIFT_STEPS: i32 = 3;
 
-/// Taken for a limit that cannot be read, if none is known: the target needs to be spared, and one request a second tells when that is over.
+/// Used if a limit can't be parsed and none is known: the target is overloaded, and one request a
+/// second shows when that is over.
 const UNREADABLE_PER_S: f64 = 1.0;
 
-/// Part of a rate by which another one differs if the change is worth a line in the log and a word at once.
+/// Relative difference between two rates from which a change is logged and sent to other boxes at
+/// once.
 const CHANGE: f64 = 0.1;
 
-/// A limit is told by every word for so long after it changed: several rounds of news.
+/// Time after a change for which a limit is in every message: several rounds of gossip.
 const FRESH: Duration = Duration::from_secs(2);
 
-/// Limits in one word: those that changed, and the others in turn. 13 bytes each, so that a word takes a kilobyte of a datagram.
+/// Numbers of recently changed limits, and of others in rotation, per message. Each takes 13 bytes,
+/// so a message has a kilobyte of them.
 const FRESH_IN_WORD: usize = 56;
 const OTHERS_IN_WORD: usize = 16;
 
-/// A limit of a target that is not listed is forgotten after this: its entry may come later than the word of it.
+/// Time after which the limit of an unlisted target is removed; its entry may arrive later than the
+/// announcement of its limit.
 const UNLISTED_MEMORY: Duration = Duration::from_secs(10);
 
-/// An ended limit is remembered for so long, for boxes that hear late of it.
+/// Time for which an ended limit is stored, for boxes that receive updates late.
 const ENDED_MEMORY: Duration = Duration::from_secs(60);
 
-/// Limits that are remembered, more than a fleet has targets. Beyond that those go that were heard of the longest time ago.
+/// Maximum number of limits, more than a fleet has targets. Beyond it the oldest observations are
+/// removed.
 const MAX_LIMITS: usize = 2_048;
 
-/// What a box tells of one target's limit.
+/// A target's limit in a message between boxes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitNews {
-    /// The life of the target.
+    /// Instance of the target.
     pub target: LifeHash,
-    /// Its limit; `None`: it names none any more.
+    /// Limit of the target; `None` if it no longer has one.
     pub rate: Option<RequestRate>,
-    /// How long ago that was so, in milliseconds.
+    /// Age of the observation in milliseconds.
     pub age_ms: u32,
 }
 
-/// A limit that began, changed or ended, for the log.
+/// A limit that started, changed or ended, for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitChange {
-    /// The life of the target.
+    /// Instance of the target.
     pub target: LifeHash,
-    /// Its limit now.
+    /// Current limit.
     pub rate: Option<RequestRate>,
-    /// Its limit before.
+    /// Previous limit.
     pub before: Option<RequestRate>,
-    /// Whether the target has begun to name one that cannot be read.
+    /// Whether the target has started to announce a limit that can't be parsed.
     pub unreadable: bool,
 }
 
-/// An answer of a target, as far as limits are concerned.
+/// The properties of a target's response that concern its limit.
 #[derive(Debug, Clone, Copy)]
 pub struct Heard {
-    /// When its request was sent.
+    /// When the request was sent.
     pub sent: Instant,
-    /// What it says.
+    /// Limit announced in the response.
     pub word: Option<LimitWord>,
-    /// Whether it is a success that the target vouches for.
+    /// Whether the response is a success from the target itself.
     pub success: bool,
 }
 
-/// What is known of one target's limit.
+/// The latest observation of one target's limit.
 #[derive(Debug, Clone, Copy)]
 struct Known {
     rate: Option<RequestRate>,
-    /// The limit that it named last.
+    /// The last limit that was announced.
     last: Option<RequestRate>,
     at: Instant,
-    /// When this box learned that it was so at `at`; not aged, to be compared with when its requests were sent.
+    /// When this box learned of the observation made at `at`; not adjusted for suspensions, because
+    /// it is compared with the times at which requests were sent.
     learned: Instant,
     changed: Instant,
-    /// Whether the target's last answer to this box named a limit that could not be read.
+    /// Whether the target's last response to this box had a limit that could not be parsed.
     unreadable: bool,
-    /// When this box last found a change itself.
+    /// When this box itself last observed a change.
     found: Option<Instant>,
 }
 
@@ -115,16 +126,16 @@
     }
 }
 
-/// Limits of all targets that name one, or did of late.
+/// Limits of all targets that have one, or recently had.
 #[derive(Debug, Default)]
 pub struct NamedLimits {
     known: BTreeMap<LifeHash, Known>,
-    /// The last one told in turn.
+    /// The last one sent in rotation.
     told: Option<LifeHash>,
 }
 
 impl NamedLimits {
-    /// Takes what an answer to this box says; a change, if it is one.
+    /// Records the limit in a response to this box; returns the change, if there is one.
     pub fn answered(
         &mut self,
         target: LifeHash,
@@ -166,12 +177,12 @@
         })
     }
 
-    /// Takes what another box tells; what changed by it.
+    /// Applies updates from another box; returns the changes.
     pub fn hear(&mut self, news: &[LimitNews], now: Instant) -> Vec<LimitChange> {
         let mut changes = Vec::new();
         for one in news {
             let age = Duration::from_millis(u64::from(one.age_ms));
-            // What is older than this machine's clock is of no use.
+            // An observation from before the start of this machine's clock is of no use.
             let Some(at) = now.checked_sub(age) else {
                 continue;
             };
@@ -217,17 +228,17 @@
         })
     }
 
-    /// The limit that a target names, if it does.
+    /// Returns the current limit of a target.
     pub fn rate(&self, target: LifeHash) -> Option<RequestRate> {
         self.known.get(&target)?.rate
     }
 
-    /// Whether no limit is remembered.
+    /// Returns whether no limit is stored.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// What all boxes together may send to a target.
+    /// Returns the limit on what all boxes together may send to a target.
     pub fn limit(&self, target: LifeHash, now: Instant) -> Option<SharedLimit> {
         let known = self.known.get(&target)?;
         if let Some(rate) = known.rate {
@@ -239,20 +250,21 @@
         (steps < LIFT_STEPS).then(|| limit(before * 2f64.powi(steps + 1)))
     }
 
-    /// How many targets name a limit.
+    /// Returns the number of targets with a current limit.
     pub fn count(&self) -> usize {
         let named = self.known.values().filter(|known| known.rate.is_some());
         named.count()
     }
 
-    /// Makes what is known older by the time that the box was suspended: what others tell is newer.
+    /// Ages all observations by the time for which the box was suspended, since those of others are
+    /// newer.
     pub fn age(&mut self, time: Duration) {
         for known in self.known.values_mut() {
             known.at = known.at.checked_sub(time).unwrap_or(known.at);
         }
     }
 
-    /// Forgets limits of targets that are gone, and those that ended long ago.
+    /// Removes limits of unlisted targets and limits that ended long ago.
     pub fn follow(&mut self, is_listed: impl Fn(LifeHash) -> bool, now: Instant) {
         self.known.retain(|target, known| {
             let age = now.saturating_duration_since(known.at);
@@ -272,7 +284,7 @@
         }
     }
 
-    /// What this box found itself of late, for those that tell it on.
+    /// Returns the changes that this box itself observed recently, to be forwarded by its hub.
     pub fn found(&self, now: Instant) -> Vec<LimitNews> {
         let is_fresh = |known: &&Known| {
             known
@@ -286,7 +298,8 @@
             .collect()
     }
 
-    /// What this box tells others: what changed of late, and of the rest some in turn.
+    /// Returns the limits to send to other boxes: recent changes, and some of the others in
+    /// rotation.
     pub fn told(&mut self, now: Instant) -> Vec<LimitNews> {
         let is_fresh = |known: &Known| now.saturating_duration_since(known.changed) < FRESH;
         let fresh = self.known.iter().filter(|(_, known)| is_fresh(known));
@@ -311,7 +324,7 @@
     }
 }
 
-/// What all boxes together may send to a target that names `per_s` requests a second.
+/// Returns the shared limit for a target that announces `per_s` requests a second.
 fn limit(per_s: f64) -> SharedLimit {
     let per_s = per_s.max(1.0 / MAX_PERIOD.as_secs_f64());
     let wanted = per_s * PERIOD.as_secs_f64();
@@ -329,7 +342,7 @@
     }
 }
 
-/// Whether two limits differ so far that it matters.
+/// Returns whether the difference between two limits is significant.
 fn differ(a: Option<RequestRate>, b: Option<RequestRate>) -> bool {
     let (Some(a), Some(b)) = (a, b) else {
         return a != b;
@@ -338,7 +351,7 @@
     (a - b).abs() > a.max(b) * CHANGE
 }
 
-/// Logs a limit of `target` that began, changed or ended; `source` tells how this box knows.
+/// Logs a change of the limit of `target`; `source` is how this box learned of it.
 pub fn log_limit(log: &Logger, target: &str, change: LimitChange, source: &'static str) {
     let text = |rate: Option<RequestRate>| rate.map_or(String::new(), |rate| rate.to_string());
     if change.unreadable {
--- a/crates/sillpin-gateway/src/place/words/mod.rs
+++ b/crates/sillpin-gateway/src/place/words/mod.rs
@@ -1,11 +1,12 @@
-//! What targets say of themselves beside their answers.
+//! Signals that targets send in response headers, about themselves rather than the request.
 //!
-//! The adapter reads it into [`TargetWords`]; everything that targets say is taken here, and what it means for decisions is asked here.
+//! The adapter parses them into [`TargetWords`]; this module stores them and derives what they mean
+//! for decisions.
 //!
-//! - [`limit`]: limits that targets name,
-//! - [`leaving`]: targets that leave,
-//! - [`backoff`]: times in which targets want no requests from this box,
-//! - [`replaced`]: targets whose address belongs to another by now.
+//! - [`limit`]: rate limits that targets announce,
+//! - [`leaving`]: targets that are shutting down,
+//! - [`backoff`]: times for which targets asked this box to send no requests,
+//! - [`replaced`]: targets whose address is now used by another target.
 
 pub mod backoff;
 pub mod leaving;
@@ -24,52 +25,52 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// An answer of a target, as far as what it says beside it is concerned.
+/// The signals of one response, with the properties of the response that qualify them.
 #[derive(Debug, Clone, Copy)]
 pub struct Said {
-    /// When its request was sent.
+    /// When the request was sent.
     pub sent: Instant,
-    /// What it says.
+    /// Signals in the response.
     pub words: TargetWords,
-    /// Whether it is a success that the target vouches for.
+    /// Whether the response is a success from the target itself.
     pub success: bool,
-    /// Whether it turns the request away for now.
+    /// Whether the target refused the request for now.
     pub turned_away: bool,
 }
 
-/// News of a target by its own word, for the log.
+/// A change of what is known from signals, for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// A limit began, changed or ended.
+    /// A limit started, changed or ended.
     Limit(LimitChange),
-    /// It leaves.
+    /// The target is shutting down.
     Leaves,
-    /// It wants no requests from this box for a while.
+    /// The target asked this box to send no requests for a while.
     BacksOff {
-        /// For so long.
+        /// Length of the backoff.
         wait: Duration,
-        /// Whether it says for how long in a way that can be read.
+        /// Whether the header could be parsed.
         is_readable: bool,
     },
 }
 
-/// What is known of targets by their own words.
+/// All that is known from the signals of targets.
 #[derive(Debug, Default)]
 pub struct Words {
-    /// Limits that they name.
+    /// Rate limits.
     pub limits: NamedLimits,
-    /// Those that leave.
+    /// Targets that are shutting down.
     pub leaving: Leaving,
-    /// Those that want no requests from this box for a while.
+    /// Targets that asked this box to send no requests for a while.
     pub backoffs: Backoffs,
-    /// Those whose address belongs to another by now.
+    /// Targets whose address is now used by another target.
     pub replaced: Replaced,
-    /// Time asleep that what is known has been aged by.
+    /// Total time of suspensions that has been accounted for.
     slept: Duration,
 }
 
 impl Words {
-    /// Takes what an answer to this box says; what is new of it.
+    /// Records the signals of a response to this box; returns the changes.
     pub fn take(&mut self, target: LifeHash, said: Said, now: Instant) -> Vec<Change> {
         let heard = Heard {
             sent: said.sent,
@@ -89,7 +90,7 @@
         changes
     }
 
-    /// Targets that get no requests from this box.
+    /// Returns the targets to which this box sends no requests.
     pub fn closed(&self, now: Instant) -> HashSet<LifeHash> {
         let mut closed = self.replaced.known(now);
         closed.extend(self.leaving.all());
@@ -97,7 +98,8 @@
         closed
     }
 
-    /// How long all of these targets want no requests from this box, those that are gone left out; `None` if one of them takes requests, or none is there.
+    /// Returns the shortest remaining backoff of these targets, ignoring those that are gone;
+    /// `None` if one of them accepts requests or none is left.
     pub fn backed_off(
         &self,
         targets: impl Iterator<Item = LifeHash>,
@@ -112,7 +114,8 @@
         waits?.into_iter().min()
     }
 
-    /// Makes what is known older by the time that the box was suspended, `slept` in all since its start.
+    /// Ages what is known by the time for which the box was suspended; `slept` is the total since
+    /// its start.
     pub fn wake(&mut self, slept: Duration) {
         let time = slept.saturating_sub(self.slept);
         self.slept = slept;
@@ -120,7 +123,7 @@
         self.backoffs.age(time);
     }
 
-    /// Forgets what is over, and lives that are gone.
+    /// Removes what has expired, and instances that are gone.
     pub fn follow(&mut self, is_listed: impl Fn(LifeHash) -> bool, now: Instant) {
         self.limits.follow(&is_listed, now);
         self.leaving.follow(is_listed, now);
@@ -128,7 +131,7 @@
     }
 }
 
-/// Logs what a target said in an answer to this box.
+/// Logs a change that a response to this box caused.
 pub fn log_change(log: &Logger, target: &str, change: Change) {
     match change {
         Change::Limit(change) => log_limit(log, target, change, "answer"),
--- a/crates/sillpin-gateway/src/place/words/replaced.rs
+++ b/crates/sillpin-gateway/src/place/words/replaced.rs
@@ -1,19 +1,20 @@
-//! Targets whose address belongs to another by now.
+//! Targets whose address is now used by another target.
 //!
-//! A target that ends leaves its address to another, and its entry stays listed for a few heartbeats.
-//! Whoever answers at the address says that it is not the target that was meant, and until the target starts again, which its entry then tells, that
-//! is final. Each box that finds it out by itself spends a second sending on it, so boxes tell each other.
+//! When a target stops, another may get its address, while its entry stays listed for a few
+//! heartbeats. Whoever has the address responds that it is not the requested target. That is final
+//! until the target starts again, which its entry then shows. Each box that had to find out by
+//! itself would waste an attempt, so boxes inform each other.
 
 use crate::place::work::LifeHash;
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a replaced target is remembered: its entry goes three heartbeats after its last write, and boxes read the
-/// entries every one to two seconds.
+/// Time for which a replaced target is stored: its entry lapses three heartbeats after its last
+/// write, and boxes read the entries every one to two seconds.
 const MEMORY: Duration = Duration::from_secs(6);
 
-/// How long this box tells others of one that it found: several rounds of news.
+/// Time for which this box sends its own observations to others: several rounds of gossip.
 const TELL: Duration = Duration::from_secs(2);
 
 /// Targets that are known to be replaced.
@@ -24,13 +25,13 @@
 }
 
 impl Replaced {
-    /// This box was told so by whoever has the address now.
+    /// Records that the current user of the address reported the replacement to this box.
     pub fn find(&mut self, target: LifeHash, now: Instant) {
         self.found.insert(target, now);
         self.hear(&[target], now);
     }
 
-    /// Another box was told so.
+    /// Records replacements that other boxes observed.
     pub fn hear(&mut self, targets: &[LifeHash], now: Instant) {
         self.until.retain(|_, until| now < *until);
         for target in targets {
@@ -38,13 +39,13 @@
         }
     }
 
-    /// What this box found of late, for the others.
+    /// Returns the recent observations of this box, to be sent to others.
     pub fn told(&mut self, now: Instant) -> Vec<LifeHash> {
         self.found.retain(|_, at| now - *at < TELL);
         self.found.keys().copied().collect()
     }
 
-    /// All that are known to be replaced.
+    /// Returns all targets that are known to be replaced.
     pub fn known(&self, now: Instant) -> HashSet<LifeHash> {
         let known = self.until.iter().filter(|(_, until)| now < **until);
         known.map(|(target, _)| *target).collect()
--- a/crates/sillpin-gateway/src/place/work.rs
+++ b/crates/sillpin-gateway/src/place/work.rs
@@ -1,4 +1,4 @@
-//! Work at engines, this box's and what other boxes tell.
+//! Work of this box and of other boxes at engines.
 
 use crate::control::TargetEntry;
 use crate::kept::homes::hash_pair;
@@ -10,19 +10,19 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What requests take of an engine.
+/// The load that requests put on an engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Work {
-    /// Prompts that it has not read yet, in milliseconds of its time.
+    /// Prefill work that is not done yet, in milliseconds of engine time.
     pub prompt_ms: f64,
-    /// Tokens of its memory.
+    /// Memory in tokens.
     pub tokens: f64,
-    /// Requests.
+    /// Number of requests.
     pub requests: f64,
 }
 
 impl Work {
-    /// The work of one request.
+    /// Returns the work of one request.
     pub fn one(prompt_ms: f64, tokens: Tokens) -> Self {
         Self {
             prompt_ms,
@@ -38,45 +38,45 @@
         self.requests += other.requests;
     }
 
-    /// Takes work away that is done.
+    /// Subtracts work that is done.
     pub fn take(&mut self, other: Self) {
         self.prompt_ms = (self.prompt_ms - other.prompt_ms).max(0.0);
         self.tokens = (self.tokens - other.tokens).max(0.0);
         self.requests = (self.requests - other.requests).max(0.0);
     }
 
-    /// This work and `other` together.
+    /// Returns the sum of this work and `other`.
     pub fn plus(mut self, other: Self) -> Self {
         self.add(other);
         self
     }
 }
 
-/// How long another box's word about its prompt work counts: three rounds of news.
+/// Time for which another box's report of its work is used: three rounds of gossip.
 const WORD_TIME: Duration = Duration::from_millis(1_300);
 
-/// A hub tells something each 0.15 s; one that is silent for this long may be gone.
+/// A hub sends a message every 0.15 s; after this time without one it may be gone.
 const HUB_FRESH: Duration = Duration::from_millis(600);
 
-/// Short name of a target in news between boxes.
+/// Hash of a target's id, used in messages between boxes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TargetHash(u32);
 
 impl TargetHash {
-    /// The short name of a target.
+    /// Returns the hash of a target's id.
     pub fn of(target: &TargetId) -> Self {
         Self(hash_pair(target.as_str(), "load") as u32)
     }
 }
 
-/// Short name of one life of a target at one address.
+/// Hash of one instance of a target at one address, used in messages between boxes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct LifeHash(u32);
 
 impl LifeHash {
-    /// The short name of the life that an entry tells of.
+    /// Returns the hash of the instance that an entry describes.
     pub fn of(target: &TargetEntry) -> Self {
         let life = target.life.map_or(0, |life| life.0);
         let place = format!("{} {life}", target.addr);
@@ -84,24 +84,24 @@
     }
 }
 
-/// Work of one box at an engine: prompts not read yet in whole milliseconds, tokens, requests. A tuple, since it is
-/// told several times a second.
+/// Work of one box at an engine: prefill work in whole milliseconds, memory in tokens, and
+/// requests. A tuple, since it is sent several times a second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineWork(pub TargetHash, pub u32, pub u32, pub u32);
 
 impl EngineWork {
-    /// The work `work` at `target`.
+    /// Creates a report of `work` at `target`.
     pub fn of(target: &TargetId, work: Work) -> Self {
         Self::at(TargetHash::of(target), work)
     }
 
-    /// The work `work` at the target with a short name.
+    /// Creates a report of `work` at the target with this hash.
     pub fn at(target: TargetHash, work: Work) -> Self {
         let (ms, tokens) = (work.prompt_ms as u32, work.tokens as u32);
         Self(target, ms, tokens, work.requests as u32)
     }
 
-    /// What it stands for.
+    /// Returns the reported work.
     pub fn work(self) -> Work {
         Work {
             prompt_ms: f64::from(self.1),
@@ -117,7 +117,7 @@
     work: Vec<EngineWork>,
 }
 
-/// What the hub of a large zone tells of all boxes together.
+/// Total work of all boxes, as the hub of a large zone sent it.
 #[derive(Debug)]
 struct Told {
     at: Instant,
@@ -125,7 +125,7 @@
     members: HashSet<BoxHash>,
 }
 
-/// What other boxes have under way.
+/// Work that other boxes have in flight.
 #[derive(Debug, Default)]
 pub struct Others {
     words: HashMap<BoxId, Word>,
@@ -135,18 +135,19 @@
 }
 
 impl Others {
-    /// Takes what a box tells.
+    /// Stores the work that a box reported.
     pub fn hear(&mut self, from: BoxId, work: Vec<EngineWork>, now: Instant) {
         self.words.retain(|_, word| now - word.at < WORD_TIME);
         self.words.insert(from, Word { at: now, work });
     }
 
-    /// This box reports so much to its hub, which adds it to what it tells.
+    /// Stores what this box reported to its hub, which the hub includes in its totals.
     pub fn report(&mut self, work: Vec<EngineWork>) {
         self.reported = work;
     }
 
-    /// Takes what a hub tells of the work of all boxes, this one's included, and which boxes of the zone it hears.
+    /// Stores a hub's totals of the work of all boxes, including this one, and the boxes of the
+    /// zone from which the hub receives messages.
     pub fn hear_sums(&mut self, work: Vec<EngineWork>, members: &[BoxHash], now: Instant) {
         let mut sums: HashMap<TargetHash, Work> = work.iter().map(|w| (w.0, w.work())).collect();
         for own in &self.reported {
@@ -166,7 +167,7 @@
         told.filter(|told| now - told.at < WORD_TIME)
     }
 
-    /// Whether a box was heard of late, or is heard by the hub.
+    /// Returns whether a recent message came from a box, directly or through the hub.
     pub fn hears(&self, from: &BoxId, now: Instant) -> bool {
         let word = self.words.get(from);
         let direct = word.is_some_and(|word| now - word.at < WORD_TIME);
@@ -174,19 +175,22 @@
         direct || told.is_some_and(|told| told.members.contains(&BoxHash::anywhere(from)))
     }
 
-    /// Whether a hub was heard so lately that what it has to tell would have come.
+    /// Returns whether the last message from a hub is recent enough for the hub to be considered
+    /// alive.
     pub fn hears_hub(&self, now: Instant) -> bool {
         let told = self.told.as_ref();
         told.is_some_and(|told| now - told.at < HUB_FRESH)
     }
 
-    /// Whether a box of the zone may live: the hub hears it, or no hub is heard.
+    /// Returns whether a box of the zone may be alive: the hub receives its messages, or there is
+    /// no hub.
     pub fn may_live(&self, id: &BoxId, now: Instant) -> bool {
         let told = self.told(now);
         told.is_none_or(|told| told.members.contains(&BoxHash::anywhere(id)))
     }
 
-    /// Work of all other boxes at each engine: as the hub tells it, else as the boxes themselves do.
+    /// Returns the work of all other boxes at each engine, from the hub or else from the boxes
+    /// themselves.
     pub fn sum(&self, now: Instant) -> Arc<HashMap<TargetHash, Work>> {
         if let Some(told) = self.told(now) {
             return told.sums.clone();
--- a/crates/sillpin-policy/src/admission.rs
+++ b/crates/sillpin-policy/src/admission.rs
@@ -1,14 +1,15 @@
-//! Whose request goes next when the engines are full, and which request is refused at once.
+//! Orders waiting requests while all engines are full.
 //!
-//! Requests wait in the entry box, not at the engines: by class first, and within a class by
-//! weighted fair queueing over organisations (start-time fair queueing: each organisation's
-//! requests are spaced by their cost over its weight, and the earliest goes first). So a noisy
-//! organisation waits behind its own requests and not before others'.
+//! Requests wait in the entry box, not at the engines. They are ordered by priority class, and
+//! within a class by weighted fair queueing over organisations (start-time fair queueing:
+//! consecutive requests of an organisation are spaced by their cost divided by its weight, and the
+//! request with the smallest start time is next). An organisation that sends too much therefore
+//! delays only itself.
 
 use sillpin_core::{OrgId, PriorityClass};
 use std::collections::{BTreeMap, HashMap};
 
-/// A request's place in the queue.
+/// Position of a request in the queue; sorts by class, start time and order of arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ticket {
     class: PriorityClass,
@@ -16,7 +17,7 @@
     number: u64,
 }
 
-/// What a waiting request costs, in microseconds of engine time.
+/// Cost of a waiting request in microseconds of engine time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Cost(pub u64);
 
@@ -27,10 +28,10 @@
     item: T,
 }
 
-/// Weight against which costs are scaled.
+/// Weight at which a request is spaced by exactly its cost.
 const UNIT_WEIGHT: u64 = 100;
 
-/// Requests that wait, in the order in which they go.
+/// Queue of waiting requests in the order in which they are served.
 pub struct FairQueue<T> {
     waiting: BTreeMap<Ticket, Waiting<T>>,
     finish: HashMap<(PriorityClass, OrgId), u64>,
@@ -86,23 +87,23 @@
         ticket
     }
 
-    /// Takes out the request that goes next.
+    /// Removes and returns the request that is served next.
     pub fn pop(&mut self) -> Option<T> {
         let ticket = *self.waiting.first_key_value()?.0;
         self.take(ticket)
     }
 
-    /// Waiting requests in the order in which they go.
+    /// Returns the waiting requests in the order in which they are served.
     pub fn tickets(&self) -> impl Iterator<Item = Ticket> {
         self.waiting.keys().copied()
     }
 
-    /// A waiting request.
+    /// Returns a waiting request.
     pub fn get(&self, ticket: Ticket) -> Option<&T> {
         self.waiting.get(&ticket).map(|w| &w.item)
     }
 
-    /// Takes out a request that goes now, also before others that cannot go yet.
+    /// Removes a request that is served now, possibly ahead of requests that cannot be served yet.
     pub fn take(&mut self, ticket: Ticket) -> Option<T> {
         let waiting = self.waiting.remove(&ticket)?;
         let rank = usize::from(ticket.class.rank());
@@ -116,8 +117,9 @@
         Some(waiting.item)
     }
 
-    /// Start of the request of a class that goes next. Virtual time never passes it: a request that
-    /// goes ahead of others must not put later ones behind its own organisation's queue.
+    /// Returns the start time of the first waiting request of a class. Virtual time never passes
+    /// it: a request that is served ahead of others must not delay later requests of other
+    /// organisations behind its own organisation's queue.
     fn first_start(&self, class: PriorityClass) -> Option<u64> {
         let from = Ticket {
             class,
@@ -128,7 +130,7 @@
         (first.class == class).then_some(first.start)
     }
 
-    /// Takes a request out before its turn.
+    /// Removes a request that will not be served, and refunds its cost to its organisation.
     pub fn remove(&mut self, ticket: Ticket) -> Option<T> {
         let waiting = self.waiting.remove(&ticket)?;
         let rank = usize::from(ticket.class.rank());
@@ -140,17 +142,18 @@
         Some(waiting.item)
     }
 
-    /// Requests waiting.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether none waits.
+    /// Returns whether no request is waiting.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Engine time of all waiting requests that go before a new one of `class` and `org`.
+    /// Returns the engine time of all waiting requests that would be served before a new request of
+    /// `class` and `org`.
     pub fn cost_before(&self, class: PriorityClass, org: &OrgId) -> Cost {
         let rank = usize::from(class.rank());
         let start = self.finish.get(&(class, org.clone())).copied().unwrap_or(0);
--- a/crates/sillpin-policy/src/arms.rs
+++ b/crates/sillpin-policy/src/arms.rs
@@ -1,30 +1,31 @@
-//! Which arm of a rollout a prompt belongs to.
+//! Assigns prompts to the arms of a rollout.
 //!
-//! As in the paper's migration ("Saving another 100 TB of RAM with math and Rust"), the share of
-//! traffic that uses an arm and the places where it may are set apart, and the choice is stable for
-//! each prompt, so that a prompt that returns meets the policy that kept its blocks.
+//! As in the migration described in "Saving another 100 TB of RAM with math and Rust", an arm's
+//! share of the traffic and the zones where it runs are configured separately. The assignment is
+//! stable for each prompt, so that a prompt that returns meets the policy that stored its blocks.
 
 use crate::rendezvous::key_of;
 use sillpin_core::{ArmName, Share, ZoneId};
 
-/// Separates the choice of an arm from the choice of a home.
+/// Makes the choice of an arm independent of the choice of a home.
 const ARM_SALT: u64 = 0x5349_4c4c_4152_4d53;
 
-/// What of an arm decides who belongs to it.
+/// The properties of an arm that decide which prompts it gets.
 #[derive(Debug, Clone, Copy)]
 pub struct ArmShare<'a> {
-    /// The arm.
+    /// Name of the arm.
     pub name: &'a ArmName,
-    /// Its share of the prompts where it runs.
+    /// Share of the prompts that the arm gets in its zones.
     pub share: Share,
-    /// Where it runs.
+    /// Zones in which the arm runs.
     pub zones: &'a [ZoneId],
 }
 
-/// The arm of a prompt in a zone; `None` is the control arm. `stopped` arms get no traffic.
+/// Returns the arm of a prompt in a zone, or `None` for the control arm. Arms for which `stopped`
+/// returns true get no traffic.
 ///
-/// A prompt's point on the line of all prompts does not depend on which arms are stopped, so
-/// stopping one arm moves no prompt between the others.
+/// Each prompt hashes to a point in the range of all shares. The point does not depend on which
+/// arms are stopped, so stopping one arm moves no prompt between the others.
 pub fn arm_for<'a>(
     arms: impl IntoIterator<Item = ArmShare<'a>>,
     zone: &ZoneId,
--- a/crates/sillpin-policy/src/guard.rs
+++ b/crates/sillpin-policy/src/guard.rs
@@ -1,21 +1,21 @@
-//! When an arm's traffic goes back to the control arm.
+//! Decides when an arm's traffic goes back to the control arm.
 
 use serde::{Deserialize, Serialize};
 use sillpin_core::Share;
 use std::time::Duration;
 
-/// Limits of an arm's damage.
+/// Limits on how much worse than the control arm an arm may be.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Guard {
-    /// Answers needed in each arm before it is judged.
+    /// Requests that each of the two arms must have completed or failed before they are compared.
     pub min_samples: u32,
-    /// Most that the arm's 95th percentile of the time to first token may be, in percent of the
+    /// Upper bound for the arm's 95th percentile of the time to first token, in percent of the
     /// control arm's.
     pub first_token_percent: u32,
-    /// Differences below this are never held against the arm, in milliseconds.
+    /// Differences in the time to first token up to this one never stop the arm, in milliseconds.
     pub first_token_slack_ms: u64,
-    /// Most by which the arm's share of failed requests may exceed the control arm's.
+    /// Largest allowed difference between the arm's share of failed requests and the control arm's.
     pub extra_failures: Share,
 }
 
@@ -30,25 +30,25 @@
     }
 }
 
-/// What was measured of an arm in a zone.
+/// Measurements of one arm in one zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct ArmSample {
-    /// Requests that got their whole answer.
+    /// Requests that got a complete response.
     pub answered: u32,
-    /// Requests that did not.
+    /// Requests that did not get a complete response.
     pub failed: u32,
     /// 95th percentile of the time to first token.
     pub first_token_p95: Duration,
 }
 
-/// Why an arm was stopped.
+/// Reason for which an arm was stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Breach {
-    /// Its first tokens come too late.
+    /// The time to first token is too long.
     #[display("first-token")]
     FirstToken,
-    /// Too many of its requests fail.
+    /// Too many requests fail.
     #[display("failures")]
     Failures,
 }
@@ -64,7 +64,8 @@
 }
 
 impl Guard {
-    /// Whether the arm has to stop.
+    /// Returns the limit that the arm exceeds, or `None` if it may go on or there are too few
+    /// samples.
     pub fn breach(&self, arm: &ArmSample, control: &ArmSample) -> Option<Breach> {
         if arm.total().min(control.total()) < self.min_samples {
             return None;
--- a/crates/sillpin-policy/src/keeping.rs
+++ b/crates/sillpin-policy/src/keeping.rs
@@ -1,22 +1,23 @@
-//! Which blocks are worth holding in a store.
+//! Decides which blocks are worth storing.
 //!
-//! What a block is worth is the chance that its prompt returns, times the time to compute it, per
-//! byte. The chance is learnt: [`ReturnGaps`] counts, in buckets of doubling length, how often
-//! prompts that had been away that long came back, and how often they were seen to stay away.
+//! The value of a block is the probability that its prompt returns, times the time to compute the
+//! block, per byte. The probability is estimated from traffic: [`ReturnGaps`] is a histogram, with
+//! buckets of doubling length, of the idle times after which prompts returned, and also counts the
+//! prompts that were seen once.
 
 use crate::set::{KeepingKind, KeepingPolicy};
 use std::time::Duration;
 
-/// Buckets of gaps: the first holds gaps up to a second, each next one twice as long.
+/// Buckets of the histogram: the first holds gaps below one second, each next one is twice as long.
 const GAP_BUCKETS: usize = 24;
 
-/// Returns and absences counted before the learnt chance is trusted.
+/// Number of observed prompts from which the estimate is used instead of [`PRIOR_CHANCE`].
 const MIN_COUNT: u32 = 20;
 
-/// Chance of a return while too little is known.
+/// Probability of a return while there are too few observations.
 const PRIOR_CHANCE: f64 = 0.5;
 
-/// What is learnt of the gaps after which prompts return.
+/// Histogram of the idle times after which prompts returned.
 #[derive(Debug, Clone, Default)]
 pub struct ReturnGaps {
     returned: [u32; GAP_BUCKETS],
@@ -30,19 +31,19 @@
 }
 
 impl ReturnGaps {
-    /// A prompt was seen for the first time.
+    /// Records the first use of a prompt.
     pub fn saw_first(&mut self) {
         self.first_seen += 1;
         self.age();
     }
 
-    /// A prompt came back after `gap`.
+    /// Records that a prompt returned after `gap`.
     pub fn saw_return(&mut self, gap: Duration) {
         self.returned[bucket(gap)] += 1;
         self.age();
     }
 
-    /// Halves old counts, so that what is learnt follows the traffic.
+    /// Halves all counts when one gets large, so that the estimate follows changes of the traffic.
     fn age(&mut self) {
         const MOST: u32 = 1 << 16;
         if self.first_seen < MOST && self.returned.iter().all(|n| *n < MOST) {
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Chance that a prompt that has been away for `gap` still returns.
+    /// Returns the probability that a prompt that has been idle for `gap` still returns.
     pub fn chance_of_return(&self, gap: Duration) -> f64 {
         let returned: u32 = self.returned.iter().sum();
         let seen = returned + self.first_seen;
@@ -67,16 +68,16 @@
     }
 }
 
-/// A prompt that could be kept.
+/// A prompt whose blocks could be stored.
 #[derive(Debug, Clone, Copy)]
 pub struct KeepCandidate {
-    /// Whole blocks of the prompt.
+    /// Number of complete blocks of the prompt.
     pub blocks: u32,
-    /// Time since it was last used.
+    /// Time since the prompt was last used.
     pub away: Duration,
 }
 
-/// Whether a prompt's blocks are written to a store.
+/// Returns whether a prompt's blocks are to be written to a store.
 pub fn should_keep(policy: &KeepingPolicy, gaps: &ReturnGaps, prompt: KeepCandidate) -> bool {
     match policy.kind {
         KeepingKind::Nothing => false,
@@ -88,8 +89,9 @@
     }
 }
 
-/// What holding a prompt's block is worth; the lowest is freed first. Blocks are of one size, and a
-/// block costs the same to compute wherever it stands, so the chance of a return decides.
+/// Returns the value of storing a block of a prompt that has been idle for `away`; the block with
+/// the lowest value is evicted first. All blocks have the same size and the same cost of
+/// computation, so only the probability of a return matters; ties go to the prompt used last.
 pub fn worth(gaps: &ReturnGaps, away: Duration) -> f64 {
     let recency = 1.0 / (1.0 + away.as_secs_f64());
     gaps.chance_of_return(away) + recency * f64::EPSILON.sqrt()
--- a/crates/sillpin-policy/src/lib.rs
+++ b/crates/sillpin-policy/src/lib.rs
@@ -1,15 +1,15 @@
-//! The decisions of sillpin, as pure functions: no I/O, no clock, no async.
+//! The decisions of sillpin as pure functions: no I/O, no clock, no async.
 //!
-//! - [`rendezvous`]: which of many is the home or owner of a key,
-//! - [`placement`]: which engine takes a request,
-//! - [`keeping`]: which blocks are worth holding in a store,
-//! - [`admission`]: whose request goes next, and which is refused at once,
-//! - [`overload`]: which request no target can begin in time,
-//! - [`arms`]: which arm of a rollout a prompt belongs to,
-//! - [`guard`]: when an arm's traffic goes back to the control arm,
-//! - [`set`]: the parameters of all of them, as a bundle carries them.
+//! - [`rendezvous`]: chooses the home or owner of a key,
+//! - [`placement`]: chooses the engine for a request,
+//! - [`keeping`]: chooses the blocks that are stored,
+//! - [`admission`]: orders waiting requests,
+//! - [`overload`]: chooses the requests that are refused because they cannot start in time,
+//! - [`arms`]: assigns prompts to the arms of a rollout,
+//! - [`guard`]: decides when an arm's traffic goes back to the control arm,
+//! - [`set`]: holds the parameters of all of them, as bundles contain them.
 //!
-//! Callers pass the time and the random numbers in, so a decision can be replayed and explained.
+//! Callers pass in the time and the random numbers, so a decision can be replayed and explained.
 
 pub mod admission;
 pub mod arms;
--- a/crates/sillpin-policy/src/overload.rs
+++ b/crates/sillpin-policy/src/overload.rs
@@ -1,52 +1,61 @@
-//! Which requests are refused at once since no target can begin them in time.
+//! Decides which requests are refused at once because no target can start them in time.
 //!
-//! A target that takes all that comes serves less the more is asked: each request waits behind those before it until its caller leaves, urgent ones
-//! push others out of memory, and what was read for them is read again or for nobody. So a request that cannot be in time any more behind what waits
-//! already is refused at once: its caller may be in time later or elsewhere, and those that are taken are served in time.
+//! A target that accepts everything serves less as the load grows: each request waits behind
+//! earlier ones until its client disconnects, urgent requests evict others from memory, and evicted
+//! prompts are prefilled again, or for clients that have left. A request that cannot start in time
+//! behind the current queue is therefore refused at once: its client may be in time later or
+//! elsewhere, and the accepted requests are served in time.
 //!
-//! What a caller has waited before counts, also what it waited after an earlier refusal. So callers that come back late go behind those that can still be
-//! in time, and are served whenever nothing waits.
+//! The time that a client has already waited counts, including the time before an earlier refusal.
+//! So requests that are retried late yield to those that can still be in time, and are served
+//! whenever there is no queue.
 
 use std::time::Duration;
 
-/// A prompt takes so many times as long as its tokens explain: a target makes other requests' tokens between pieces of it.
+/// Ratio of the time that a prompt's prefill takes to the time that its tokens alone would take: a
+/// target generates tokens for other requests between the chunks of a prefill.
 pub const READING_FACTOR: f64 = 1.2;
 
-/// A request with less work of its own is refused only for the queue that it meets, however long its caller has waited: refusing it frees next to nothing,
-/// and targets begin it between pieces of longer ones.
+/// A request with less work of its own than this is judged by the current queue alone, however long
+/// its client has waited: refusing it frees almost no capacity, and targets start it between the
+/// chunks of longer prefills.
 const SHORT: Duration = Duration::from_millis(20);
 
-/// While a shorter queue stands at targets they are not asked for more than they can take, whatever a single request meets; and one that meets a shorter
-/// queue is in nobody's way. Both are served rather than refused, also if they are late.
+/// While the average queue at targets is shorter than this, they are not overloaded, whatever queue
+/// a single request meets; and a request that meets a shorter queue delays no other. Both are
+/// served rather than refused, even if they are late.
 const LEAST_QUEUE: Duration = Duration::from_millis(20);
 
-/// Beyond the queue that a box knows of, a request waits so many times as long as the one that has stood of late: for memory, for what is fetched
-/// besides, and behind what others sent in the last tenth of a second. So what stands stays below a third of an aim, and requests with shorter aims are
-/// in time behind it too.
+/// Besides the queue that a box knows of, a request waits this many times the recent average queue:
+/// for memory, for parts that are fetched, and behind what other boxes sent in the last 0.1 s. This
+/// keeps the average queue below a third of a latency goal, so that requests with shorter goals are
+/// in time too.
 const STANDING_FACTOR: f64 = 2.0;
 
-/// A request is refused if it would begin later than in so many aims, drawn evenly from these: boxes that see the same queue refuse a part of what
-/// comes, not all or nothing by turns.
+/// A request is refused if it would start later than its latency goal times a factor that is drawn
+/// evenly between these two. Drawing makes boxes that see the same queue refuse a part of the
+/// requests, rather than all and none in turns.
 const LEAST_AIMS: f64 = 0.7;
 const MOST_AIMS: f64 = 1.0;
 
-/// What is known of a request, and of the target that would begin it soonest.
+/// Estimates for one request at the target that could start it soonest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Expected {
-    /// How long its caller has waited.
+    /// Time for which the client has waited.
     pub waited: Duration,
-    /// The time within which it is wanted to begin.
+    /// Time within which the request should start, counted from the client's first attempt.
     pub aim: Duration,
-    /// Work that is known to be ahead of it at the target.
+    /// Known work ahead of the request at the target.
     pub queue: Duration,
-    /// What was ahead of requests at the targets that were chosen of late, on average.
+    /// Recent average of the queue at the chosen targets.
     pub standing: Duration,
-    /// Work of its own until it begins.
+    /// Work of the request itself until it starts.
     pub own: Duration,
 }
 
 impl Expected {
-    /// By how much the request would be late, if it is to be refused for that; `draw` is a number from 0 to 1 drawn for it.
+    /// Returns by how much the request would be late if it is to be refused, or `None` if it is to
+    /// be served. `draw` is a random number from 0 to 1.
     pub fn refused_for(&self, draw: f64) -> Option<Duration> {
         if self.standing < LEAST_QUEUE || self.queue < LEAST_QUEUE {
             return None;
--- a/crates/sillpin-policy/src/placement.rs
+++ b/crates/sillpin-policy/src/placement.rs
@@ -1,9 +1,10 @@
-//! Which engine takes a request.
+//! Chooses the engine for a request.
 //!
-//! The cost of an engine is the time a request would wait there, the time to compute the blocks
-//! that it does not hold, and the time to fetch kept ones, each with the bundle's weight. Loads are
-//! stale, so the caller adds what it sent itself since the report; and only homes, holders and a
-//! few sampled engines are candidates, or all boxes would send to the same idle one.
+//! The cost of an engine is the time that a request would wait there, the time to compute the
+//! blocks that the engine does not hold, and the time to fetch stored blocks, each with its weight
+//! in the bundle. Reported loads are stale, so the caller adds what it has sent since the report.
+//! Only homes, holders and a few sampled engines are candidates: otherwise all boxes would choose
+//! the same idle engine.
 
 use crate::rendezvous::{self, CandidateHash};
 use crate::set::{PlacementKind, PlacementPolicy};
@@ -12,90 +13,91 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What is known of an engine that could take the request.
+/// An engine that could take the request.
 #[derive(Debug, Clone)]
 pub struct Candidate {
-    /// Hash of its name.
+    /// Hash of the engine's name.
     pub hash: CandidateHash,
-    /// Time that a request sent now would wait, own sends since the report included.
+    /// Time that a request sent now would wait, including what this box sent since the last report.
     pub wait: Duration,
-    /// Time to compute a block.
+    /// Time to compute one block.
     pub block_time: Duration,
-    /// Added for being in another zone.
+    /// Extra time if the engine is in another zone.
     pub distance: Duration,
 }
 
-/// What a hint says of an engine and the request's blocks.
+/// The request's blocks that an engine holds, according to a hint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Holding {
-    /// Leading blocks that it holds.
+    /// Number of leading blocks that the engine holds.
     pub blocks: u32,
 }
 
-/// What stores hold of the request's blocks.
+/// The request's blocks that are in stores.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Kept {
-    /// Leading blocks that stores hold.
+    /// Number of leading blocks in stores.
     pub blocks: u32,
-    /// Time to fetch one of them.
+    /// Time to fetch one of these blocks.
     pub fetch_time: Duration,
 }
 
-/// A request to place.
+/// A request for which an engine is to be chosen.
 #[derive(Debug, Clone, Copy)]
 pub struct Request<'a> {
-    /// Where its prompt hashes to.
+    /// Hash of the prompt, which determines its homes.
     pub home: u64,
-    /// Blocks of its prompt, the broken one at the end included.
+    /// Number of blocks of the prompt, including an incomplete last one.
     pub blocks: u32,
     /// Engines that hold leading blocks, by index into the candidates.
     pub holders: &'a [(usize, Holding)],
-    /// What stores hold.
+    /// Blocks in stores.
     pub kept: Kept,
-    /// Counts requests, for [`PlacementKind::RoundRobin`].
+    /// Number of the request, for [`PlacementKind::RoundRobin`].
     pub turn: usize,
 }
 
-/// Why an engine was a candidate.
+/// Reason for which an engine was a candidate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display, Serialize, Deserialize)]
 pub enum Reason {
     /// It is a home of the prompt.
     #[display("home")]
     Home,
-    /// A hint says that it holds blocks.
+    /// It holds blocks of the prompt, according to a hint.
     #[display("holder")]
     Holder,
-    /// It was sampled, or the policy looks at all.
+    /// It was sampled, or the policy considers all engines.
     #[display("sample")]
     Sample,
 }
 
-/// The cost of one candidate.
+/// Estimated times and cost of one candidate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Scored {
     /// Index into the candidates.
     pub index: usize,
-    /// Why it was a candidate.
+    /// Reason for which it was a candidate.
     pub reason: Reason,
-    /// Wait before the engine begins.
+    /// Time until the engine starts the request.
     pub wait: Duration,
-    /// Time to compute what it neither holds nor fetches.
+    /// Time to compute the blocks that are neither held nor fetched.
     pub compute: Duration,
-    /// Time to fetch.
+    /// Time to fetch blocks from stores.
     pub fetch: Duration,
-    /// Leading blocks that it holds already.
+    /// Number of leading blocks that the engine holds.
     pub held: u32,
-    /// Blocks to fetch from stores after those.
+    /// Number of blocks after those that are fetched from stores.
     pub fetched: u32,
     /// Weighted cost; the lowest wins.
     pub cost: f64,
 }
 
-/// Cost of a candidate that is not a home, in percent of the prompt's whole compute time: a prompt
-/// that nobody holds goes home, where it is found again even when hints are lost.
+/// Added to the cost of a candidate that is not a home, in percent of the time to compute the whole
+/// prompt: a prompt that no engine holds is sent to its home, where it is found again even if hints
+/// are lost.
 const STRAY_PERCENT: f64 = 10.0;
 
-/// Scores the candidates of a request, the best first. Empty if there is none.
+/// Returns the candidates of a request by increasing cost; empty if there are none.
 pub fn rank<R: Rng>(
     policy: &PlacementPolicy,
     candidates: &[Candidate],
@@ -209,7 +211,7 @@
     }
 }
 
-/// Kept blocks behind the held ones, if fetching one is quicker than computing it.
+/// Returns how many stored blocks after the held ones to fetch: none if computing one is as fast.
 fn blocks_to_fetch(candidate: &Candidate, req: &Request<'_>, held: u32) -> u32 {
     if req.kept.fetch_time >= candidate.block_time {
         return 0;
--- a/crates/sillpin-policy/src/rendezvous.rs
+++ b/crates/sillpin-policy/src/rendezvous.rs
@@ -1,34 +1,34 @@
-//! Weighted rendezvous hashing: every box ranks the candidates of a key alike, with no state to
-//! exchange.
+//! Weighted rendezvous hashing: all boxes rank the candidates of a key alike without exchanging
+//! state.
 //!
-//! The paper "Saving another 100 TB of RAM with math and Rust" gives the spread of a hash ring with
-//! k points for each of N servers as CV = sqrt((N - 1) / (kN + 1)), and shows what the points cost
-//! in memory. Rendezvous hashing keeps no points at all: its spread over servers is that of
-//! drawing keys at random, and its price is one hash for each candidate and look-up. The comparison
-//! measured here is in `docs/MEASUREMENTS.md`.
+//! The paper "Saving another 100 TB of RAM with math and Rust" gives the load spread of a hash ring
+//! with k points for each of N servers as CV = sqrt((N - 1) / (kN + 1)), and shows the memory that
+//! the points take. Rendezvous hashing stores no points: keys are spread as if each were assigned
+//! at random, at the price of one hash per candidate and lookup. `docs/MEASUREMENTS.md` has a
+//! measured comparison.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Hash of a candidate's name, computed once and kept beside it.
+/// Hash of a candidate's name, computed once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct CandidateHash(u64);
 
 impl CandidateHash {
-    /// The hash of `name`.
+    /// Hashes `name`.
     pub fn of(name: &str) -> Self {
         Self(xxh3_64_with_seed(name.as_bytes(), 0))
     }
 }
 
-/// How well a candidate of `weight` suits `key`; the highest wins. A candidate's chance to win is
-/// proportional to its weight.
+/// Returns the score of a candidate of `weight` for `key`; the candidate with the highest score
+/// wins. Its probability of winning is proportional to its weight.
 pub fn score(key: u64, candidate: CandidateHash, weight: f64) -> f64 {
     let mixed = mix(key ^ candidate.0.rotate_left(32));
     let uniform = (mixed >> 11) as f64 / (1u64 << 53) as f64;
     -weight / uniform.max(f64::MIN_POSITIVE).ln()
 }
 
-/// Final mixing of MurmurHash3 (public domain constants).
+/// Finalizer of MurmurHash3 (public domain constants).
 fn mix(mut h: u64) -> u64 {
     h ^= h >> 33;
     h = h.wrapping_mul(0xff51_afd7_ed55_8ccd);
@@ -37,7 +37,7 @@
     h ^ (h >> 33)
 }
 
-/// Indices of the `count` best candidates of `key`, the best first.
+/// Returns the indices of the `count` candidates with the highest scores for `key`, best first.
 pub fn top(
     key: u64,
     candidates: impl IntoIterator<Item = (usize, CandidateHash, f64)>,
@@ -55,7 +55,7 @@
     best.into_iter().map(|(_, index)| index).collect()
 }
 
-/// A key for [`score`] out of a name.
+/// Hashes a name to a key for [`score`].
 pub fn key_of(name: &str) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), 1)
 }
--- a/crates/sillpin-policy/src/set.rs
+++ b/crates/sillpin-policy/src/set.rs
@@ -1,57 +1,57 @@
-//! The parameters of a policy, as a bundle carries them.
+//! The parameters of a policy, as bundles contain them.
 
 use serde::{Deserialize, Serialize};
 use sillpin_core::{Bytes, OrgId, PriorityClass, Share};
 use std::collections::BTreeMap;
 
-/// One whole policy.
+/// The parameters of all decisions.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PolicySet {
-    /// Which engine takes a request.
+    /// How the engine for a request is chosen.
     pub placement: PlacementPolicy,
-    /// Which blocks are kept in stores.
+    /// Which blocks are written to stores.
     pub keeping: KeepingPolicy,
-    /// How urgent each class is.
+    /// Priorities and deadlines of the classes.
     pub priorities: PriorityPolicy,
-    /// Limits on waiting, retries and organisations.
+    /// Limits on queues, attempts and organisations.
     pub limits: LimitPolicy,
 }
 
-/// How candidates are chosen.
+/// How the engine for a request is chosen.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PlacementKind {
-    /// By score among homes, holders and samples.
+    /// The lowest cost among homes, holders and sampled engines.
     #[default]
     Scored,
-    /// The home alone, whatever its load.
+    /// The first home, whatever its load.
     Rendezvous,
-    /// The least loaded of all.
+    /// The engine with the shortest wait of all.
     LeastLoaded,
-    /// One after the other.
+    /// Each engine in turn.
     RoundRobin,
 }
 
-/// Which engine takes a request.
+/// Parameters of the choice of an engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlacementPolicy {
-    /// How candidates are chosen.
+    /// How the engine is chosen.
     pub kind: PlacementKind,
-    /// Leading blocks of a prompt that decide its homes.
+    /// Number of leading blocks of a prompt that determine its homes.
     pub home_blocks: u8,
-    /// Homes that are candidates.
+    /// Number of homes that are candidates.
     pub homes: u8,
-    /// Other engines sampled as candidates.
+    /// Number of other engines sampled as candidates.
     pub samples: u8,
     /// Weight of the time to first token.
     pub first_token_weight: u16,
-    /// Weight of recomputed prompt work.
+    /// Weight of the time to compute blocks.
     pub recompute_weight: u16,
-    /// Weight of time on the links of stores.
+    /// Weight of the time to fetch blocks over the links of stores.
     pub link_weight: u16,
-    /// A home whose queue is longer than this many percent of the pool's mean spills over.
+    /// A home whose queue is longer than this many percent of the pool's mean is not used.
     pub spill_percent: u16,
 }
 
@@ -70,32 +70,32 @@
     }
 }
 
-/// When blocks are written to a store.
+/// Which prompts are written to a store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum KeepingKind {
-    /// By the learnt chance of a return.
+    /// Prompts whose estimated probability of a return is high enough.
     #[default]
     Learnt,
-    /// Every block.
+    /// All prompts.
     Everything,
-    /// None.
+    /// No prompts.
     Nothing,
 }
 
-/// Which blocks are kept in stores.
+/// Parameters of storing blocks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct KeepingPolicy {
-    /// When blocks are written to a store.
+    /// Which prompts are written to a store.
     pub kind: KeepingKind,
-    /// Prompts with fewer whole blocks are not kept.
+    /// Prompts with fewer complete blocks are not stored.
     pub min_blocks: u16,
-    /// Chance of a return below which a prompt is not kept.
+    /// Prompts with a lower probability of a return are not stored.
     pub min_return_chance: Share,
-    /// Bytes a second that exports may use of each store's link.
+    /// Bandwidth that exports may use of each store's link, in bytes a second.
     pub export_rate: Bytes,
-    /// Part of a store's capacity above which blocks are freed.
+    /// Share of a store's capacity above which blocks are evicted.
     pub high_water: Share,
 }
 
@@ -111,14 +111,13 @@
     }
 }
 
-/// How urgent each class is.
+/// Priorities and deadlines of the classes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PriorityPolicy {
     /// Priority at the engines; 0 is the most urgent.
     pub engine_priority: BTreeMap<PriorityClass, u8>,
-    /// Longest wait before the first token, in milliseconds; beyond it a request is refused at
-    /// once.
+    /// Longest expected time to first token with which a request is accepted, in milliseconds.
     pub first_token_deadline_ms: BTreeMap<PriorityClass, u64>,
 }
 
@@ -138,31 +137,32 @@
 }
 
 impl PriorityPolicy {
-    /// Priority of a class at the engines.
+    /// Returns the priority of a class at the engines.
     pub fn engine_priority(&self, class: PriorityClass) -> u8 {
         let given = self.engine_priority.get(&class);
         given.copied().unwrap_or(class.rank())
     }
 
-    /// Longest wait before the first token, in milliseconds.
+    /// Returns the longest expected time to first token with which a request is accepted, in
+    /// milliseconds.
     pub fn first_token_deadline_ms(&self, class: PriorityClass) -> u64 {
         let given = self.first_token_deadline_ms.get(&class);
         given.copied().unwrap_or(u64::MAX)
     }
 }
 
-/// Limits on waiting, retries and organisations.
+/// Limits on queues, attempts and organisations.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LimitPolicy {
-    /// Longest wait at an engine before further requests are held back at the entry, in
-    /// milliseconds.
+    /// Longest expected wait at an engine, in milliseconds; beyond it requests wait at the entry
+    /// box.
     pub engine_queue_ms: u64,
-    /// Attempts at one request, the first included.
+    /// Attempts at one request, including the first.
     pub max_attempts: u8,
     /// Retries allowed for each hundred requests.
     pub retry_percent: u16,
-    /// Weight of an organisation among those that wait; 100 if not named.
+    /// Weights of organisations for fair queueing; 100 if not listed.
     pub organisation_weights: BTreeMap<OrgId, u32>,
 }
 
@@ -178,10 +178,10 @@
 }
 
 impl LimitPolicy {
-    /// Weight of an organisation that is not named.
+    /// Weight of an organisation that is not listed.
     pub const DEFAULT_WEIGHT: u32 = 100;
 
-    /// Weight of `org` among those that wait.
+    /// Returns the weight of `org` for fair queueing.
     pub fn weight(&self, org: &OrgId) -> u32 {
         let given = self.organisation_weights.get(org);
         given.copied().unwrap_or(Self::DEFAULT_WEIGHT).max(1)
