--- a/crates/sillpin-gateway/src/place/allowed.rs
+++ b/crates/sillpin-gateway/src/place/allowed.rs
@@ -12,7 +12,7 @@
 const QUEUE_MARGIN: Duration = Duration::from_millis(2_500);
 
 /// The margin if no newer weights are served. A withdrawn prompt is lost, while a refused one is
-/// sent again by its client: of 390 that were withdrawn, 84 had been sent until then because there
+/// sent again by its caller: of 390 that were withdrawn, 84 had been sent until then because there
 /// was no newer engine, and 4 were served elsewhere.
 const LAST_MARGIN: Duration = Duration::from_millis(1_000);
 
@@ -48,7 +48,7 @@
     pub serving: &'a BTreeMap<WeightVersion, usize>,
     /// Requests do not start on weights that were replaced longer ago than this.
     pub limit: Duration,
-    /// Since when this box has been connected to the platform's store; `None` if it is not.
+    /// Since when this box has been in contact with the platform store; `None` if it is not.
     pub in_touch: Option<Instant>,
     /// Current time.
     pub now: Instant,
--- a/crates/sillpin-gateway/src/place/choose.rs
+++ b/crates/sillpin-gateway/src/place/choose.rs
@@ -30,11 +30,12 @@
 /// the tokens that they generate.
 const MEMORY_SHARE: f64 = 0.9;
 
-/// Longest expected wait for memory, as a part of the latency goal, at which an engine still counts
-/// as one with free memory: the prompt's parts are fetched meanwhile. Engines with free memory are
-/// preferred. Measured against fixed parts of the memory, in scores of days with faults: with goals
-/// of 0.3 to 0.5 s 0.644, where 0.9 of the memory gave 0.635 and 1.25 gave 0.649; with goals of 1.2
-/// s, on hard days, 0.657, where 0.9 gave 0.652. Differences below 0.02 are noise.
+/// Longest expected wait for memory, as a part of the latency objective, at which an engine still
+/// counts as one with free memory: the prompt's parts are fetched meanwhile. Engines with free
+/// memory are preferred. Measured against fixed parts of the memory, in scores of days with faults:
+/// with objectives of 0.3 to 0.5 s 0.644, where 0.9 of the memory gave 0.635 and 1.25 gave 0.649;
+/// with objectives of 1.2 s, on hard days, 0.657, where 0.9 gave 0.652. Differences below 0.02 are
+/// noise.
 const ROOM_WAIT_AIM_PART: f64 = 0.15;
 
 /// What each request in flight at a target without a model adds, in milliseconds: its work takes 30
@@ -165,10 +166,10 @@
 /// Number of engines of the own zone, and of all other zones, that are considered next.
 const SECOND_LOOK: usize = 4;
 
-/// More engines are considered if the prompt would wait for longer than its latency goal times this
-/// factor: it is late then anyway. With half the goal fewer prompts start in time (0.86 instead of
-/// 0.91 at 94 % of the prefill capacity, same test), because an engine that looks idle looks so to
-/// all boxes.
+/// More engines are considered if the prompt would wait for longer than its latency objective times
+/// this factor: it is late then anyway. With half the objective fewer prompts start in time (0.86
+/// instead of 0.91 at 94 % of the prefill capacity, same test), because an engine that looks idle
+/// looks so to all boxes.
 const FURTHER_AIMS: f64 = 1.0;
 
 /// Returns the target with the lowest cost, or `None` if no target can take the request.
@@ -252,7 +253,7 @@
     }
 
     /// Considers two engines of the own zone and two of the zone that holds the prompt's parts,
-    /// then a few more of all zones, then all if each of those is in cooldown.
+    /// then a few more of all zones, then all if the best of those is in cooldown.
     fn look_wider(&self, pool: &PoolTargets) -> Option<Chosen> {
         let own = self.ranked(pool.of_zone(self.choice.zone).iter());
         let near_parts = self
--- a/crates/sillpin-gateway/src/place/index.rs
+++ b/crates/sillpin-gateway/src/place/index.rs
@@ -16,7 +16,7 @@
     pub entry: Arc<TargetEntry>,
     /// Hash of the target's id.
     pub hash: TargetHash,
-    /// Hash of the target's current instance.
+    /// Hash of the target's current incarnation.
     pub life: LifeHash,
     /// Hash of the target's id for ranking homes.
     seed: u64,
--- a/crates/sillpin-gateway/src/place/load.rs
+++ b/crates/sillpin-gateway/src/place/load.rs
@@ -71,7 +71,7 @@
     refusals: u32,
     failing: f64,
     outcomes: u32,
-    /// The instance of the target to which all fields but the requests in flight apply.
+    /// The incarnation of the target to which all fields but the requests in flight apply.
     life: Option<Life>,
 }
 
@@ -282,7 +282,7 @@
         self.note_life(target, None, outcome);
     }
 
-    /// Records the outcome of an attempt at one instance of a target; ignored if the target has
+    /// Records the outcome of an attempt at one incarnation of a target; ignored if the target has
     /// restarted since.
     pub fn note_life(&self, target: &TargetId, life: Option<Life>, outcome: Outcome) {
         let now = Instant::now();
@@ -320,7 +320,7 @@
     }
 
     /// Removes targets that are not listed and have no requests in flight, and resets the health of
-    /// targets that have restarted. Requests sent to an earlier instance count until they end.
+    /// targets that have restarted. Requests sent to an earlier incarnation count until they end.
     pub fn follow(&self, targets: &HashMap<TargetId, Arc<TargetEntry>>) {
         let now = Instant::now();
         self.limits().follow(|id| targets.contains_key(id), now);
--- a/crates/sillpin-gateway/src/place/parts.rs
+++ b/crates/sillpin-gateway/src/place/parts.rs
@@ -36,7 +36,7 @@
     /// It was computed with replaced weights.
     #[display("retired")]
     Retired,
-    /// A store holds it, but this box is not connected to the platform's store.
+    /// A store holds it, but this box is not in contact with the platform store.
     #[display("out-of-touch")]
     OutOfTouch,
     /// No store's contents are known to be current.
@@ -108,7 +108,7 @@
     pub kept: &'a Kept,
     /// Regions in which the prompt's parts may be stored.
     pub residency: Residency<'a>,
-    /// Whether this box is connected to the platform's store, which it must be to fetch parts.
+    /// Whether this box is in contact with the platform store, which it must be to fetch parts.
     pub in_touch: bool,
     /// Current time.
     pub now: Instant,
--- a/crates/sillpin-gateway/src/place/shared_limit.rs
+++ b/crates/sillpin-gateway/src/place/shared_limit.rs
@@ -10,7 +10,7 @@
 //!
 //! Boxes of other zones send nothing there: their knowledge of the zone's boxes is older, and if a
 //! zone is partitioned each side would take the whole limit. Limits that are not strict are also
-//! shared with the boxes of zones that have no target of the pool, whose clients nobody else
+//! shared with the boxes of zones that have no target of the pool, whose callers nobody else
 //! serves.
 //!
 //! All attempts count: first ones, retries, and resumed streams.
@@ -39,7 +39,7 @@
 /// send it five requests a second, besides the shares of boxes that did not restart.
 const UNSURE_EVERY: Duration = Duration::from_secs(20);
 
-/// Added to that for each other box that is known in the zone, if the total is larger.
+/// This time per other known box of the zone is used instead if it is longer.
 const UNSURE_EVERY_BOX: Duration = Duration::from_millis(200);
 
 /// Time after its start in which a box takes no share: by then other boxes have read that it is
@@ -60,10 +60,10 @@
     /// the registrations.
     pub is_settled: bool,
     /// Whether this box is about to stop: the others take over its share as soon as they know,
-    /// while clients continue for seconds on connections that are open here.
+    /// while callers continue for seconds on connections that are open here.
     pub is_stopping: bool,
-    /// Whether this box is connected to the platform's store, from which it learns about starts and
-    /// stops.
+    /// Whether this box is in contact with the platform store, from which it learns about starts
+    /// and stops.
     pub is_in_touch: bool,
     /// Zones that have targets of the pool.
     pub pool_zones: &'a [ZoneId],
@@ -83,9 +83,9 @@
     pub whole: u32,
     /// Length of the period.
     pub period: Duration,
-    /// Whether only boxes of the target's zone take a share, and only while they are connected to
-    /// the platform's store. Otherwise a disconnected box goes on with the boxes that it knew, and
-    /// boxes of zones without a target of the pool take a share as well.
+    /// Whether only boxes of the target's zone take a share, and only while they are in contact
+    /// with the platform store. Otherwise a box out of contact goes on with the boxes that it knew,
+    /// and boxes of zones without a target of the pool take a share as well.
     pub strict: bool,
 }
 
@@ -181,7 +181,7 @@
         now: Instant,
     ) -> bool {
         let Some(part) = self.part(sharers, target, limit) else {
-            // Clients of a box that stops can use another one; clients of a disconnected box may
+            // Callers of a box that stops can use another one; callers of a box out of contact may
             // not be able to.
             let may = how == Admission::Unsure && !sharers.is_stopping;
             let is_near = *sharers.zone == target.zone;
--- a/crates/sillpin-gateway/src/place/words/leaving.rs
+++ b/crates/sillpin-gateway/src/place/words/leaving.rs
@@ -1,7 +1,7 @@
 //! Targets that announced in a response that they are shutting down.
 //!
-//! An instance that is shutting down does not come back. Its entry doesn't override that: while the
-//! platform's store is unreachable the entry still lists the target as ready, and entries may be
+//! An incarnation that is shutting down does not come back. Its entry doesn't override that: while
+//! the platform store is unreachable the entry still lists the target as ready, and entries may be
 //! read long after they were written.
 
 use crate::place::work::LifeHash;
@@ -9,18 +9,18 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time after which an unlisted instance is removed. Entries lapse while the store is unreachable,
-/// and are back seconds after its return.
+/// Time after which an unlisted incarnation is removed. Entries lapse while the store is
+/// unreachable, and are back seconds after its return.
 const UNLISTED_MEMORY: Duration = Duration::from_secs(60);
 
-/// Maximum number of instances, more than a fleet has targets. Beyond it the ones listed least
+/// Maximum number of incarnations, more than a fleet has targets. Beyond it the ones listed least
 /// recently are removed.
 const MAX_LIVES: usize = 2_048;
 
-/// Instances of targets that are shutting down.
+/// Incarnations of targets that are shutting down.
 #[derive(Debug, Default)]
 pub struct Leaving {
-    /// When each instance was last listed, or announced its shutdown.
+    /// When each incarnation was last listed, or announced its shutdown.
     known: BTreeMap<LifeHash, Instant>,
 }
 
@@ -35,17 +35,17 @@
         self.known.contains_key(&target)
     }
 
-    /// Returns all instances that are shutting down.
+    /// Returns all incarnations that are shutting down.
     pub fn all(&self) -> impl Iterator<Item = LifeHash> + '_ {
         self.known.keys().copied()
     }
 
-    /// Returns the number of instances that are shutting down.
+    /// Returns the number of incarnations that are shutting down.
     pub fn count(&self) -> usize {
         self.known.len()
     }
 
-    /// Removes instances that have been unlisted for a while.
+    /// Removes incarnations that have been unlisted for a while.
     pub fn follow(&mut self, is_listed: impl Fn(LifeHash) -> bool, now: Instant) {
         self.known.retain(|target, seen| {
             if is_listed(*target) {
--- a/crates/sillpin-gateway/src/place/words/limit.rs
+++ b/crates/sillpin-gateway/src/place/words/limit.rs
@@ -66,7 +66,7 @@
 /// A target's limit in a message between boxes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitNews {
-    /// Instance of the target.
+    /// Incarnation of the target.
     pub target: LifeHash,
     /// Limit of the target; `None` if it no longer has one.
     pub rate: Option<RequestRate>,
@@ -77,7 +77,7 @@
 /// A limit that started, changed or ended, for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitChange {
-    /// Instance of the target.
+    /// Incarnation of the target.
     pub target: LifeHash,
     /// Current limit.
     pub rate: Option<RequestRate>,
--- a/crates/sillpin-gateway/src/place/words/mod.rs
+++ b/crates/sillpin-gateway/src/place/words/mod.rs
@@ -123,7 +123,7 @@
         self.backoffs.age(time);
     }
 
-    /// Removes what has expired, and instances that are gone.
+    /// Removes what has expired, and incarnations that are gone.
     pub fn follow(&mut self, is_listed: impl Fn(LifeHash) -> bool, now: Instant) {
         self.limits.follow(&is_listed, now);
         self.leaving.follow(is_listed, now);
--- a/crates/sillpin-gateway/src/place/work.rs
+++ b/crates/sillpin-gateway/src/place/work.rs
@@ -70,13 +70,13 @@
     }
 }
 
-/// Hash of one instance of a target at one address, used in messages between boxes.
+/// Hash of one incarnation of a target at one address, used in messages between boxes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct LifeHash(u32);
 
 impl LifeHash {
-    /// Returns the hash of the instance that an entry describes.
+    /// Returns the hash of the incarnation that an entry describes.
     pub fn of(target: &TargetEntry) -> Self {
         let life = target.life.map_or(0, |life| life.0);
         let place = format!("{} {life}", target.addr);
--- a/crates/sillpin-policy/src/overload.rs
+++ b/crates/sillpin-policy/src/overload.rs
@@ -1,12 +1,12 @@
 //! Decides which requests are refused at once because no target can start them in time.
 //!
 //! A target that accepts everything serves less as the load grows: each request waits behind
-//! earlier ones until its client disconnects, urgent requests evict others from memory, and evicted
-//! prompts are prefilled again, or for clients that have left. A request that cannot start in time
-//! behind the current queue is therefore refused at once: its client may be in time later or
+//! earlier ones until its caller gives up, urgent requests evict others from memory, and evicted
+//! prompts are prefilled again, or for callers that have left. A request that cannot start in time
+//! behind the current queue is therefore refused at once: its caller may be in time later or
 //! elsewhere, and the accepted requests are served in time.
 //!
-//! The time that a client has already waited counts, including the time before an earlier refusal.
+//! The time that a caller has already waited counts, including the time before an earlier refusal.
 //! So requests that are retried late yield to those that can still be in time, and are served
 //! whenever there is no queue.
 
@@ -17,7 +17,7 @@
 pub const READING_FACTOR: f64 = 1.2;
 
 /// A request with less work of its own than this is judged by the current queue alone, however long
-/// its client has waited: refusing it frees almost no capacity, and targets start it between the
+/// its caller has waited: refusing it frees almost no capacity, and targets start it between the
 /// chunks of longer prefills.
 const SHORT: Duration = Duration::from_millis(20);
 
@@ -28,12 +28,12 @@
 
 /// Besides the queue that a box knows of, a request waits this many times the recent average queue:
 /// for memory, for parts that are fetched, and behind what other boxes sent in the last 0.1 s. This
-/// keeps the average queue below a third of a latency goal, so that requests with shorter goals are
-/// in time too.
+/// keeps the average queue below a third of a latency objective, so that requests with shorter
+/// objectives are in time too.
 const STANDING_FACTOR: f64 = 2.0;
 
-/// A request is refused if it would start later than its latency goal times a factor that is drawn
-/// evenly between these two. Drawing makes boxes that see the same queue refuse a part of the
+/// A request is refused if it would start later than its latency objective times a factor that is
+/// drawn evenly between these two. Drawing makes boxes that see the same queue refuse a part of the
 /// requests, rather than all and none in turns.
 const LEAST_AIMS: f64 = 0.7;
 const MOST_AIMS: f64 = 1.0;
@@ -41,9 +41,9 @@
 /// Estimates for one request at the target that could start it soonest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Expected {
-    /// Time for which the client has waited.
+    /// Time for which the caller has waited.
     pub waited: Duration,
-    /// Time within which the request should start, counted from the client's first attempt.
+    /// Time within which the request should start, counted from the caller's first attempt.
     pub aim: Duration,
     /// Known work ahead of the request at the target.
     pub queue: Duration,
