--- a/crates/sillpin-gateway/benches/decision.rs
+++ b/crates/sillpin-gateway/benches/decision.rs
@@ -18,11 +18,11 @@
 use sillpin_gateway::control::TargetEntry;
 use sillpin_gateway::dialect::{Part, PartId, Prompt};
 use sillpin_gateway::kept::Kept;
-use sillpin_gateway::place::choose::PromptChoice;
+use sillpin_gateway::place::choose::PromptInputs;
 use sillpin_gateway::place::index::TargetIndex;
 use sillpin_gateway::place::parts::{PlanInputs, plan, salt};
 use sillpin_gateway::place::work::EngineWork;
-use sillpin_gateway::place::{Choice, Loads, choose};
+use sillpin_gateway::place::{ChoiceInputs, Loads, choose};
 use std::collections::HashMap;
 use std::hint::black_box;
 use std::sync::Arc;
@@ -60,14 +60,14 @@
 
 fn decision(c: &mut Criterion) {
     let mut group = c.benchmark_group("gateway decision");
-    for (count, heard_late) in [(256, true), (256, false), (600, true)] {
+    for (count, reported_late) in [(256, true), (256, false), (600, true)] {
         let targets = engines(count);
         let index = TargetIndex::new(&targets);
         let loads = Loads::default();
         let work = targets
             .keys()
             .map(|id| EngineWork::of(id, loads.get(id).work));
-        loads.hear_sums(work.collect(), &[]);
+        loads.apply_zone_totals(work.collect(), &[]);
         let stores = (0..STORES).map(|i| store(&format!("s-{i}"), 1_000 + i, "z0", 249_828, 1));
         let config = FleetConfig {
             stores: stores.collect(),
@@ -81,7 +81,7 @@
         };
         let (pool, zone, kept) = (name("llm"), name("z0"), Kept::default());
         let mut number = 0;
-        let looks = if heard_late { "few" } else { "all" };
+        let looks = if reported_late { "few" } else { "all" };
         group.bench_function(BenchmarkId::new(looks, count), |b| {
             b.iter(|| {
                 number += 1;
@@ -91,7 +91,7 @@
                     engine: &spec,
                     kept: &kept,
                     residency: anywhere(),
-                    in_touch: true,
+                    in_contact: true,
                     now,
                 };
                 let version = WeightVersion(1);
@@ -99,26 +99,26 @@
                     version,
                     plan(&prompt, &salt(&prompt, version, None), &inputs),
                 )];
-                let choice = Choice {
+                let choice = ChoiceInputs {
                     targets: &index,
-                    heard_late,
+                    reported_late,
                     loads: &loads,
                     pool: &pool,
                     zone: &zone,
-                    most_in_flight: 100,
+                    max_in_flight: 100,
                     tried: &[],
                     body_len: 9_200,
-                    prompt: Some(PromptChoice {
+                    prompt: Some(PromptInputs {
                         model: &prompt.model,
                         tokens: prompt.tokens,
-                        aim: Duration::from_millis(500),
+                        latency_objective: Duration::from_millis(500),
                         room: spec.room,
                         wanted: Some(version),
                         oldest: version,
                         plans: &plans,
                     }),
                     residency: anywhere(),
-                    gate: None,
+                    limit_context: None,
                     now,
                 };
                 black_box(choose(&choice).is_some())
--- a/crates/sillpin-gateway/src/beliefs/mod.rs
+++ b/crates/sillpin-gateway/src/beliefs/mod.rs
@@ -143,7 +143,7 @@
     }
 
     /// Since when this box has been in touch with the store, if it is.
-    pub fn in_touch(&self, now: Instant) -> Option<Instant> {
+    pub fn in_contact(&self, now: Instant) -> Option<Instant> {
         let confirmed = self.confirmed?;
         let is_silent = now.saturating_duration_since(confirmed) >= STORE_SILENCE;
         self.contact.filter(|_| !is_silent)
--- a/crates/sillpin-gateway/src/beliefs/reader.rs
+++ b/crates/sillpin-gateway/src/beliefs/reader.rs
@@ -189,7 +189,7 @@
         match (self.is_my_turn(), self.topic) {
             (true, _) => Turn::Reads,
             // The hub tells within milliseconds that something has changed, and each wait at the store costs a call.
-            (false, Topic::Operators) if self.loads.hears_hub(Instant::now()) => Turn::Rests,
+            (false, Topic::Operators) if self.loads.is_hub_responsive(Instant::now()) => Turn::Rests,
             (false, Topic::Operators) => Turn::Holds,
             (false, Topic::Targets) => Turn::Rests,
         }
@@ -200,7 +200,7 @@
         let view = self.fleet.view();
         let confirmed = view.known(self.topic).confirmed;
         let now = Instant::now();
-        let alive = |id: &BoxId| self.loads.may_live(id, now);
+        let alive = |id: &BoxId| self.loads.may_be_alive(id, now);
         roles::should_read(&view, &self.me, self.prefix, alive, confirmed, now)
     }
 
--- a/crates/sillpin-gateway/src/config.rs
+++ b/crates/sillpin-gateway/src/config.rs
@@ -63,7 +63,7 @@
     /// Longest time that a request may be held.
     pub timeout: Duration,
     /// Time within which an answer, or its first event, is wanted.
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// Callers of a stream give it up after this long without an event, before its first one too.
     pub patience: Duration,
     /// Urgency, unless the organisation has its own.
--- a/crates/sillpin-gateway/src/fatal/keep.rs
+++ b/crates/sillpin-gateway/src/fatal/keep.rs
@@ -6,7 +6,7 @@
 use super::record::KNOWN_AFTER;
 use super::{Fatal, FatalWord, RequestPrint};
 use crate::beliefs::{FleetHandle, View};
-use crate::place::work::LifeHash;
+use crate::place::work::IncarnationHash;
 use serde::{Deserialize, Serialize};
 use sillpin_platform::{KvEntry, KvRevision, Platform, PlatformError, PlatformFault, StoreEra};
 use sillpin_telemetry::{event, events};
@@ -42,7 +42,7 @@
 struct KeptRequest {
     print: RequestPrint,
     /// Targets that ended under it, and when, in Unix milliseconds.
-    ended: Vec<(LifeHash, u64)>,
+    ended: Vec<(IncarnationHash, u64)>,
 }
 
 /// Keeps what is known of fatal requests.
--- a/crates/sillpin-gateway/src/fatal/mod.rs
+++ b/crates/sillpin-gateway/src/fatal/mod.rs
@@ -18,7 +18,7 @@
 pub use record::{FatalWord, Record};
 pub use witness::Witness;
 
-use crate::place::work::LifeHash;
+use crate::place::work::IncarnationHash;
 use sillpin_telemetry::{event, events};
 use slog::Logger;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -52,7 +52,7 @@
     /// A target ended at `at`, under requests of this box.
     pub fn ended(
         &self,
-        life: LifeHash,
+        life: IncarnationHash,
         under: impl IntoIterator<Item = RequestPrint>,
         at: Instant,
     ) {
@@ -76,7 +76,7 @@
     }
 
     /// Counts a request that is about to be sent to a target as left there, unless it is told otherwise.
-    pub fn sent(&self, print: RequestPrint, life: LifeHash) -> Sent<'_> {
+    pub fn sent(&self, print: RequestPrint, life: IncarnationHash) -> Sent<'_> {
         Sent {
             fatal: self,
             print,
@@ -96,7 +96,7 @@
 pub struct Sent<'a> {
     fatal: &'a Fatal,
     print: RequestPrint,
-    life: LifeHash,
+    life: IncarnationHash,
     left: bool,
 }
 
--- a/crates/sillpin-gateway/src/fatal/record.rs
+++ b/crates/sillpin-gateway/src/fatal/record.rs
@@ -8,7 +8,7 @@
 //! request was served, so it does not matter in which order, how often or by which way they hear it.
 
 use super::RequestPrint;
-use crate::place::work::LifeHash;
+use crate::place::work::IncarnationHash;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Bound;
@@ -59,7 +59,7 @@
     /// The request.
     pub print: RequestPrint,
     /// Targets that ended under it, and how long ago.
-    pub ended: Vec<(LifeHash, u32)>,
+    pub ended: Vec<(IncarnationHash, u32)>,
     /// How long ago it was served.
     pub served: Option<u32>,
 }
@@ -69,7 +69,7 @@
 struct Suspect {
     /// Targets that ended under it, and when. Those that it is cleared of stay while there is room: another box may have noted the same end a little
     /// later than it was served.
-    ended: BTreeMap<LifeHash, Instant>,
+    ended: BTreeMap<IncarnationHash, Instant>,
     served: Option<Instant>,
     changed: Instant,
     /// When this box last noted something itself.
@@ -92,7 +92,7 @@
     }
 
     /// Targets that ended under it since it was last served.
-    fn lives(&self) -> impl Iterator<Item = &LifeHash> {
+    fn lives(&self) -> impl Iterator<Item = &IncarnationHash> {
         let ended = self.ended.iter();
         ended
             .filter(|(_, at)| !self.is_cleared(**at))
@@ -117,7 +117,7 @@
     }
 
     /// Notes an ended target; whether that is news. Of two times the earlier is nearer to the truth.
-    fn add(&mut self, life: LifeHash, at: Instant) -> bool {
+    fn add(&mut self, life: IncarnationHash, at: Instant) -> bool {
         if let Some(known) = self.ended.get_mut(&life) {
             *known = at.min(*known);
             return false;
@@ -160,7 +160,7 @@
 #[derive(Debug)]
 struct Left {
     print: RequestPrint,
-    life: LifeHash,
+    life: IncarnationHash,
     at: Instant,
 }
 
@@ -178,7 +178,7 @@
     /// A target ended at `at`, under requests of this box. Those that are known by it now are returned.
     pub fn ended(
         &mut self,
-        life: LifeHash,
+        life: IncarnationHash,
         under: impl IntoIterator<Item = RequestPrint>,
         at: Instant,
         now: Instant,
@@ -194,7 +194,7 @@
     }
 
     /// Requests that this box left at a target shortly before it ended.
-    fn take_left(&mut self, life: LifeHash, ended: Instant) -> Vec<RequestPrint> {
+    fn take_left(&mut self, life: IncarnationHash, ended: Instant) -> Vec<RequestPrint> {
         let is_of = |left: &Left| left.life == life;
         let is_late = |left: &&Left| ended.saturating_duration_since(left.at) < LEFT_FOR;
         let late = self.left.iter().filter(|left| is_of(left)).filter(is_late);
@@ -203,7 +203,7 @@
         prints
     }
 
-    fn note(&mut self, print: RequestPrint, life: LifeHash, at: Instant, now: Instant) -> bool {
+    fn note(&mut self, print: RequestPrint, life: IncarnationHash, at: Instant, now: Instant) -> bool {
         let suspect = self.suspects.entry(print);
         let suspect = suspect.or_insert_with(|| Suspect::new(now));
         let is_new = suspect.add(life, at);
@@ -215,7 +215,7 @@
     }
 
     /// This box left a sending before there was an answer: its target may still run it.
-    pub fn left(&mut self, print: RequestPrint, life: LifeHash, now: Instant) {
+    pub fn left(&mut self, print: RequestPrint, life: IncarnationHash, now: Instant) {
         if self.left.len() >= MAX_LEFT {
             self.left.pop_front();
         }
@@ -224,7 +224,7 @@
     }
 
     /// Whether this box left a sending to a target of late.
-    pub fn has_left(&self, life: LifeHash, now: Instant) -> bool {
+    pub fn has_left(&self, life: IncarnationHash, now: Instant) -> bool {
         let is_late = |left: &Left| now.saturating_duration_since(left.at) < LEFT_FOR;
         self.left
             .iter()
@@ -247,19 +247,19 @@
         if count < KNOWN_AFTER {
             return None;
         }
-        let is_explained = |life: &LifeHash| {
+        let is_explained = |life: &IncarnationHash| {
             let others = self.suspects.iter().filter(|(other, _)| **other != print);
             let mut there = others.filter(|(_, other)| other.ended.contains_key(life));
             there.any(|(_, other)| explains(other.count(), count))
         };
-        let is_alone = |life: &&LifeHash| !is_explained(life) && !self.is_mass_end(suspect, life);
+        let is_alone = |life: &&IncarnationHash| !is_explained(life) && !self.is_mass_end(suspect, life);
         let unexplained = suspect.lives().filter(is_alone).count();
         let until = suspect.last()? + FATAL_MEMORY;
         (unexplained >= KNOWN_AFTER && now < until).then_some(until)
     }
 
     /// Whether a target ended together with others that did not have the request.
-    fn is_mass_end(&self, suspect: &Suspect, life: &LifeHash) -> bool {
+    fn is_mass_end(&self, suspect: &Suspect, life: &IncarnationHash) -> bool {
         let Some(at) = suspect.ended.get(life) else {
             return false;
         };
@@ -268,7 +268,7 @@
                 && at.saturating_duration_since(*other) < SAME_MOMENT
         };
         let ended = self.suspects.values().flat_map(|other| &other.ended);
-        let beside: BTreeSet<&LifeHash> = ended
+        let beside: BTreeSet<&IncarnationHash> = ended
             .filter(|(other, at)| is_near(at) && !suspect.ended.contains_key(*other))
             .map(|(other, _)| other)
             .collect();
--- a/crates/sillpin-gateway/src/fatal/witness.rs
+++ b/crates/sillpin-gateway/src/fatal/witness.rs
@@ -7,7 +7,7 @@
 use super::{Fatal, RequestPrint};
 use crate::beliefs::FleetHandle;
 use crate::control::TargetEntry;
-use crate::place::work::LifeHash;
+use crate::place::work::IncarnationHash;
 use crate::pool::{Conn, Pool, SendError};
 use rand::seq::IndexedRandom;
 use sillpin_telemetry::{event, events};
@@ -52,7 +52,7 @@
     pub fatal: Fatal,
     /// Log.
     pub log: Logger,
-    waiting: Arc<Mutex<HashMap<LifeHash, Vec<Broken>>>>,
+    waiting: Arc<Mutex<HashMap<IncarnationHash, Vec<Broken>>>>,
 }
 
 impl Witness {
@@ -74,7 +74,7 @@
 
     /// A target could not be reached where this box left a request of late: finds out whether it ended.
     pub fn unreachable(&self, target: &Arc<TargetEntry>) {
-        let life = LifeHash::of(target);
+        let life = IncarnationHash::of(target);
         if self.fatal.record().has_left(life, Instant::now()) {
             self.look(target, None);
         }
@@ -82,17 +82,17 @@
 
     fn look(&self, target: &Arc<TargetEntry>, broken: Option<Broken>) {
         let mut waiting = self.waiting();
-        let known = waiting.get_mut(&LifeHash::of(target));
+        let known = waiting.get_mut(&IncarnationHash::of(target));
         if let Some(of_life) = known {
             of_life.extend(broken.filter(|_| of_life.len() < MAX_WAITING));
             return;
         }
-        waiting.insert(LifeHash::of(target), broken.into_iter().collect());
+        waiting.insert(IncarnationHash::of(target), broken.into_iter().collect());
         tokio::spawn(self.clone().look_after(target.clone()));
     }
 
     async fn look_after(self, target: Arc<TargetEntry>) {
-        let (began, life) = (Instant::now(), LifeHash::of(&target));
+        let (began, life) = (Instant::now(), IncarnationHash::of(&target));
         let ended = self.has_ended(&target).await;
         let under_way = self.waiting().remove(&life).unwrap_or_default();
         if !ended {
@@ -163,10 +163,10 @@
         let at_its_place =
             |other: &&Arc<TargetEntry>| other.id == target.id || other.addr == target.addr;
         let mut there = view.targets.values().filter(at_its_place);
-        there.any(|other| LifeHash::of(other) != LifeHash::of(target))
+        there.any(|other| IncarnationHash::of(other) != IncarnationHash::of(target))
     }
 
-    fn waiting(&self) -> MutexGuard<'_, HashMap<LifeHash, Vec<Broken>>> {
+    fn waiting(&self) -> MutexGuard<'_, HashMap<IncarnationHash, Vec<Broken>>> {
         self.waiting.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
--- a/crates/sillpin-gateway/src/front/attempt.rs
+++ b/crates/sillpin-gateway/src/front/attempt.rs
@@ -8,9 +8,9 @@
 use super::shared::Shared;
 use crate::control::TargetEntry;
 use crate::dialect::{AnswerHead, Dialect, Sending};
-use crate::place::Ticket;
-use crate::place::words::{Change, Said, log_change};
-use crate::place::work::LifeHash;
+use crate::place::InFlightGuard;
+use crate::place::words::{SignalChange, SignalObservation, log_change};
+use crate::place::work::IncarnationHash;
 use crate::pool::{Conn, SendError};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -66,7 +66,7 @@
     /// The connection, back to the pool after the stream's end.
     pub conn: Conn,
     /// Counts the request at the target.
-    pub ticket: Ticket,
+    pub ticket: InFlightGuard,
     /// The target.
     pub target: std::sync::Arc<TargetEntry>,
 }
@@ -141,7 +141,7 @@
     pub may_leave: L,
     /// Until when it may begin at the target; checked also while it waits there, since how long an engine's queue is cannot be
     /// known: margins of seconds were used up in it.
-    pub begin_by: B,
+    pub latest_start: B,
 }
 
 /// What one sending needs.
@@ -153,7 +153,7 @@
     /// What is said to the target.
     pub sending: Sending,
     /// Counts the request at the target.
-    pub ticket: Ticket,
+    pub ticket: InFlightGuard,
 }
 
 impl<D: Dialect> Shared<D> {
@@ -173,7 +173,7 @@
             Ok(conn) => conn,
             Err(e) => return Ended::Unsent(e.to_string()),
         };
-        if (leaving.begin_by)().is_some_and(|at| at <= Instant::now()) {
+        if (leaving.latest_start)().is_some_and(|at| at <= Instant::now()) {
             return Ended::NotRun {
                 why: EXPIRED.to_owned(),
                 weights: None,
@@ -214,11 +214,11 @@
         let mut answer = std::pin::pin!(conn.send(req));
         let mut silent_until = self.silence_until(run);
         loop {
-            let begin_by = (leaving.begin_by)();
-            if begin_by.is_some_and(|at| at <= Instant::now()) {
+            let latest_start = (leaving.latest_start)();
+            if latest_start.is_some_and(|at| at <= Instant::now()) {
                 return Waited::Expired;
             }
-            let look = begin_by
+            let look = latest_start
                 .unwrap_or(silent_until)
                 .min(Instant::now() + LOOK_EVERY);
             if let Ok(answered) = timeout_at(look.min(silent_until), &mut answer).await {
@@ -317,19 +317,19 @@
         if status == StatusCode::MISDIRECTED_REQUEST || is_other {
             return;
         }
-        let said = Said {
+        let said = SignalObservation {
             sent,
             words: head.words,
             success: status.is_success() && head.signed && !head.not_run,
-            turned_away: TURNED_AWAY.contains(&status),
+            is_refusal: TURNED_AWAY.contains(&status),
         };
-        let life = LifeHash::of(target);
+        let life = IncarnationHash::of(target);
         let changes = self
             .loads
             .words(|words| words.take(life, said, Instant::now()));
         for change in changes {
-            if let Change::Limit(_) = change {
-                self.loads.limit_found.notify_waiters();
+            if let SignalChange::Limit(_) = change {
+                self.loads.limit_changed.notify_waiters();
             }
             log_change(&self.log, target.id.as_str(), change);
         }
--- a/crates/sillpin-gateway/src/front/drive.rs
+++ b/crates/sillpin-gateway/src/front/drive.rs
@@ -15,7 +15,7 @@
 use crate::dialect::{Dialect, Sending};
 use crate::fatal::witness::Broken;
 use crate::place::load::Outcome as Health;
-use crate::place::work::LifeHash;
+use crate::place::work::IncarnationHash;
 use hyper::Response;
 use rand::RngExt;
 use sillpin_core::{PoolId, TargetId, WeightVersion};
@@ -175,16 +175,16 @@
         let version = placed.chosen.version;
         let leaving = Leaving {
             may_leave: || self.should_leave(run, pool, progress),
-            begin_by: || self.begin_by(run, pool, version?),
+            latest_start: || self.latest_start(run, pool, version?),
         };
-        let sent_there = self.fatal.sent(run.print, LifeHash::of(&target));
+        let sent_there = self.fatal.sent(run.print, IncarnationHash::of(&target));
         let ended = self.attempt(attempt, leaving).await;
         sent_there.end(matches!(ended, Ended::TimedOut(_) | Ended::TakenBack));
         if matches!(ended, Ended::Streaming(_)) {
             self.note_transfer(run, &placed, sent.elapsed());
         }
         let reached = !matches!(ended, Ended::Unsent(_));
-        self.loads.note_reach(&target.zone, reached);
+        self.loads.record_reachability(&target.zone, reached);
         self.note(run, &target, version, &ended, progress);
         Ok(ended)
     }
@@ -193,7 +193,7 @@
         let (chosen, weights) = (&placed.chosen, placed.weights);
         let limit = self
             .loads
-            .words(|words| words.limits.rate(LifeHash::of(&chosen.target)));
+            .words(|words| words.limits.rate(IncarnationHash::of(&chosen.target)));
         event!(self.log, events::SENDING,
             "request" => &run.demand.id, "print" => run.print.to_string(),
             "target" => chosen.target.id.as_str(),
@@ -217,16 +217,16 @@
 
     /// Takes note of how long an engine took to begin a prompt, for the link that its parts came over.
     fn note_transfer(&self, run: &Run, placed: &Placed, took: Duration) {
-        if placed.prompt_ms <= 0.0 {
+        if placed.prefill_ms <= 0.0 {
             return;
         }
-        let expected = placed.chosen.queue_ms + placed.prompt_ms;
+        let expected = placed.chosen.queue_ms + placed.prefill_ms;
         let expected = Duration::from_secs_f64(expected / 1000.0);
         let excess = took.saturating_sub(expected);
         let mut links = self.kept.links();
         match placed.source {
             Some(store) => {
-                links.note_fetch(store, placed.length, excess, run.route.aim, Instant::now());
+                links.note_fetch(store, placed.length, excess, run.route.latency_objective, Instant::now());
             }
             None => links.note_read(placed.length, excess),
         }
@@ -257,7 +257,7 @@
             Ended::TakenBack => None,
         };
         if let Some(health) = health {
-            self.loads.note_life(&target.id, target.life, health);
+            self.loads.record_for_incarnation(&target.id, target.life, health);
         }
         match ended {
             Ended::Unsent(_) => {}
@@ -279,7 +279,7 @@
                 limits
                     .words
                     .replaced
-                    .find(LifeHash::of(target), Instant::now());
+                    .find(IncarnationHash::of(target), Instant::now());
             }
         }
         if !matches!(ended, Ended::Answered(_) | Ended::Streaming(_)) {
@@ -354,19 +354,19 @@
     /// Refuses a request that no target can begin in time, unless it may have run: a refusal would say that it has not.
     fn overloaded(&self, run: &Run, placed: &Placed, progress: &Progress) -> Option<Refusal> {
         let queue = placed.queue(self.fleet.view().box_count())?;
-        let standing_ms = self.loads.note_queue(queue, Instant::now());
+        let standing_ms = self.loads.record_queue(queue, Instant::now());
         if progress.runs > 0 {
             return None;
         }
         let expected = placed.expected(run, queue, standing_ms);
-        let late = expected.refused_for(rand::rng().random())?;
+        let late = expected.lateness_if_refused(rand::rng().random())?;
         let wait = late.max(COME_BACK);
         let wait = wait.mul_f64(rand::rng().random_range(0.5..1.5));
         self.metrics.sending("overloaded");
         event!(self.log, events::OVERLOADED, "request" => &run.demand.id, "route" => &run.route.name,
             "target" => placed.chosen.target.id.as_str(),
             "organisation" => run.organisation.as_ref().map_or("", |org| org.id.as_str()),
-            "waited_ms" => expected.waited.as_millis(), "aim_ms" => expected.aim.as_millis(),
+            "waited_ms" => expected.waited.as_millis(), "aim_ms" => expected.latency_objective.as_millis(),
             "queue_ms" => expected.queue.as_millis(), "own_ms" => expected.own.as_millis(),
             "standing_ms" => expected.standing.as_millis(),
             "retry_after_ms" => wait.as_millis());
--- a/crates/sillpin-gateway/src/front/placing.rs
+++ b/crates/sillpin-gateway/src/front/placing.rs
@@ -8,18 +8,18 @@
 use crate::config::{EngineSpec, Pool, Priority};
 use crate::dialect::{Dialect, EngineSending, Prompt};
 use crate::peers::roles::SMALL_FLEET;
-use crate::place::allowed::{AllowedWeights, WeightsUse};
-use crate::place::choose::PromptChoice;
-use crate::place::limits::Gate;
+use crate::place::allowed::{AllowedWeights, WeightsInputs};
+use crate::place::choose::PromptInputs;
+use crate::place::limits::LimitContext;
 use crate::place::parts::{Plan, PlanInputs, plan, salt};
 use crate::place::residency::Residency;
-use crate::place::shared_limit::{KNOWS_AFTER, Sharers};
+use crate::place::shared_limit::{MEMBERSHIP_DELAY, ShareGroup};
 use crate::place::standing::Queue;
 use crate::place::work::Work;
-use crate::place::{Choice, Chosen, choose};
+use crate::place::{ChoiceInputs, ChosenTarget, choose};
 use rand::RngExt;
 use sillpin_core::{ModelId, PoolId, Tokens, WeightVersion};
-use sillpin_policy::overload::{Expected, READING_FACTOR};
+use sillpin_policy::overload::{StartEstimate, PREFILL_FACTOR};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -51,11 +51,11 @@
 /// What a target is to be told, and why it was chosen.
 pub struct Placed {
     /// The target and why.
-    pub chosen: Chosen,
+    pub chosen: ChosenTarget,
     /// What an engine is told.
     pub engine: Option<EngineSending>,
     /// Expected prompt work in milliseconds of the engine.
-    pub prompt_ms: f64,
+    pub prefill_ms: f64,
     /// Length of the prompt.
     pub length: Tokens,
     /// The prompt's shared parts and what is done with each, for logs.
@@ -77,33 +77,33 @@
 /// The target chosen for a request, and for an engine where the prompt's parts are.
 pub struct Selected {
     /// The target and why.
-    pub chosen: Chosen,
+    pub chosen: ChosenTarget,
     plan: Option<Plan>,
     weights: Option<AllowedWeights>,
 }
 
 impl Selected {
     /// Prompt work of the request at the chosen target, in milliseconds.
-    fn prompt_ms(&self) -> f64 {
+    fn prefill_ms(&self) -> f64 {
         let work =
-            |plan: &Plan| Plan::read_ms(plan.own_tokens) + plan.shared_ms(&self.chosen.target.zone);
+            |plan: &Plan| Plan::prefill_time_ms(plan.own_tokens) + plan.shared_time_ms(&self.chosen.target.zone);
         self.plan.as_ref().map_or(0.0, work)
     }
 
     /// Prompt work until the first event, with that ahead of it, in milliseconds.
     pub fn expected_ms(&self) -> f64 {
-        self.chosen.queue_ms + self.prompt_ms()
+        self.chosen.queue_ms + self.prefill_ms()
     }
 }
 
 impl Placed {
     /// A target that takes no prompt.
-    fn plain(chosen: Chosen) -> Self {
+    fn plain(chosen: ChosenTarget) -> Self {
         Self {
             chosen,
             weights: None,
             engine: None,
-            prompt_ms: 0.0,
+            prefill_ms: 0.0,
             length: Tokens(0),
             parts: String::new(),
             source: None,
@@ -118,7 +118,7 @@
     pub fn work(&self) -> Work {
         let counted = if self.in_time { 1.0 } else { LATE_WORK };
         Work::one(
-            self.prompt_ms * counted,
+            self.prefill_ms * counted,
             Tokens((self.length.0 as f64 * counted) as u64),
         )
     }
@@ -130,14 +130,14 @@
     }
 
     /// What is expected of a prompt behind a queue, where so much has stood at targets of late, in milliseconds.
-    pub fn expected(&self, run: &Run, queue: Queue, standing_ms: f64) -> Expected {
+    pub fn expected(&self, run: &Run, queue: Queue, standing_ms: f64) -> StartEstimate {
         let millis = |ms: f64| Duration::from_secs_f64(ms.max(0.0) / 1000.0);
-        Expected {
+        StartEstimate {
             waited: run.waited(),
-            aim: run.route.aim,
+            latency_objective: run.route.latency_objective,
             queue: millis(queue.met_ms),
             standing: millis(standing_ms),
-            own: millis(self.prompt_ms),
+            own: millis(self.prefill_ms),
         }
     }
 
@@ -152,8 +152,8 @@
 
 /// Whether a request's first event can still come within its aim, with so much prompt work ahead of it and of its own.
 fn is_in_time(run: &Run, work_ms: f64) -> bool {
-    let work = Duration::from_secs_f64(work_ms * READING_FACTOR / 1000.0);
-    run.arrival.elapsed() + work < run.route.aim
+    let work = Duration::from_secs_f64(work_ms * PREFILL_FACTOR / 1000.0);
+    run.arrival.elapsed() + work < run.route.latency_objective
 }
 
 impl<D: Dialect> Shared<D> {
@@ -197,20 +197,20 @@
         let spec = run.config.pool(pool);
         let engine = spec.and_then(|spec| spec.engine.as_ref());
         let connections = spec.map_or(0, |spec| spec.max_connections);
-        let most_in_flight = connection_share(connections, view.box_count());
+        let max_in_flight = connection_share(connections, view.box_count());
         let now = Instant::now();
-        let base = Choice {
+        let base = ChoiceInputs {
             targets: &view.index,
-            heard_late: view.box_count() > SMALL_FLEET,
+            reported_late: view.box_count() > SMALL_FLEET,
             loads: &self.loads,
             pool,
             zone: &self.cfg.zone,
-            most_in_flight,
+            max_in_flight,
             tried: &progress.offered,
             body_len: run.body.bytes.len(),
             prompt: None,
             residency: self.residency(run),
-            gate: spec.map(|spec| self.gate(spec, view, now)),
+            limit_context: spec.map(|spec| self.limit_context(spec, view, now)),
             now,
         };
         match (engine, &run.demand.prompt) {
@@ -240,7 +240,7 @@
         let lives = allowed.map(|target| target.life);
         let wait = self
             .loads
-            .words(|words| words.backed_off(lives, Instant::now()))?;
+            .words(|words| words.shortest_backoff(lives, Instant::now()))?;
         Some(wait + BACKED_OFF_SPREAD.mul_f64(rand::rng().random_range(0.0..1.0)))
     }
 
@@ -248,29 +248,29 @@
     /// they don't return as one.
     pub fn limited_for(&self, run: &Run, pool: &PoolId, view: &View) -> Option<Duration> {
         let now = Instant::now();
-        let gate = self.gate(run.config.pool(pool)?, view, now);
+        let limit_context = self.limit_context(run.config.pool(pool)?, view, now);
         let mut limits = self.loads.limits();
         let targets = view.index.pool(pool)?.all.iter();
-        let waits = targets.filter_map(|target| limits.wait(&gate, &target.entry, now));
+        let waits = targets.filter_map(|target| limits.wait(&limit_context, &target.entry, now));
         let wait = waits.min()?.clamp(COME_BACK, MAX_LIMITED_WAIT);
         Some(wait.mul_f64(rand::rng().random_range(0.5..1.5)))
     }
 
     /// What limited targets of a pool get.
-    fn gate<'a>(&'a self, pool: &Pool, view: &'a View, now: Instant) -> Gate<'a> {
+    fn limit_context<'a>(&'a self, pool: &Pool, view: &'a View, now: Instant) -> LimitContext<'a> {
         let targets = view.index.pool(&pool.id);
-        let has_started = now.saturating_duration_since(self.started) >= KNOWS_AFTER;
-        Gate {
+        let has_started = now.saturating_duration_since(self.started) >= MEMBERSHIP_DELAY;
+        LimitContext {
             cold: &view.cold,
             warm_up: pool.warm_up,
             rules: self.cfg.warm_up,
-            sharers: Sharers {
+            share_group: ShareGroup {
                 me: &self.cfg.id,
                 zone: &self.cfg.zone,
                 others: &view.boxes,
-                is_settled: has_started && view.has_registered,
+                is_membership_known: has_started && view.has_registered,
                 is_stopping: self.stopping.is_cancelled(),
-                is_in_touch: view.operators.in_touch(now).is_some(),
+                is_in_contact: view.operators.in_contact(now).is_some(),
                 pool_zones: targets.map_or(&[], |targets| &targets.zone_names),
             },
         }
@@ -279,7 +279,7 @@
     fn select_engine(
         &self,
         run: &Run,
-        base: Choice<'_>,
+        base: ChoiceInputs<'_>,
         view: &View,
         engine: &EngineSpec,
         prompt: &Prompt,
@@ -292,7 +292,7 @@
             engine,
             kept: &self.kept,
             residency: base.residency,
-            in_touch: self
+            in_contact: self
                 .kept
                 .retirements()
                 .may_fetch(view, self.awake.slept(), now),
@@ -302,7 +302,7 @@
         let draw = rand::rng().random_range(0.0..1.0);
         let plan_for = |version: WeightVersion| {
             let mut plan = plan(prompt, &salt(prompt, version, org), &inputs);
-            plan.spare_links(|store| draw < self.kept.links().share(store, now));
+            plan.drop_busy_sources(|store| draw < self.kept.links().share(store, now));
             (version, plan)
         };
         let serving = served_versions(view, base.pool, &prompt.model);
@@ -310,16 +310,16 @@
             .weights_use(view, &prompt.model, serving, now)
             .allowed();
         let plans: Vec<(WeightVersion, Plan)> = serving.keys().copied().map(plan_for).collect();
-        let prompt_choice = PromptChoice {
+        let prompt_choice = PromptInputs {
             model: &prompt.model,
             tokens: prompt.tokens,
-            aim: run.route.aim,
+            latency_objective: run.route.latency_objective,
             room: engine.room,
             wanted: wanted.map(|wanted| wanted.newest().version),
             oldest: weights.oldest,
             plans: &plans,
         };
-        let chosen = choose(&Choice {
+        let chosen = choose(&ChoiceInputs {
             prompt: Some(prompt_choice),
             ..base
         })?;
@@ -333,12 +333,12 @@
     }
 
     /// Until when a prompt may begin at the target that was chosen for it, as far as is known by now.
-    pub fn begin_by(&self, run: &Run, pool: &PoolId, version: WeightVersion) -> Option<Instant> {
+    pub fn latest_start(&self, run: &Run, pool: &PoolId, version: WeightVersion) -> Option<Instant> {
         let model = &run.demand.prompt.as_ref()?.model;
         let view = self.fleet.view();
         let serving = served_versions(&view, pool, model);
         let weights = self.weights_use(&view, model, serving, Instant::now());
-        weights.begin_by(version)
+        weights.latest_start(version)
     }
 
     fn weights_use<'a>(
@@ -347,19 +347,19 @@
         model: &ModelId,
         serving: &'a BTreeMap<WeightVersion, usize>,
         now: Instant,
-    ) -> WeightsUse<'a> {
-        WeightsUse {
+    ) -> WeightsInputs<'a> {
+        WeightsInputs {
             wanted: view.wanted.get(model),
             serving,
             limit: self.cfg.weights_limit,
-            in_touch: view.operators.in_touch(now),
+            in_contact: view.operators.in_contact(now),
             now,
         }
     }
 
     /// What the chosen target is to be told. Notes which saves are asked for.
     fn prepare(&self, run: &Run, selected: Selected) -> Placed {
-        let prompt_ms = selected.prompt_ms();
+        let prefill_ms = selected.prefill_ms();
         let in_time = is_in_time(run, selected.expected_ms());
         let prompt = run.demand.prompt.as_ref();
         let length = prompt.map_or(Tokens(0), |prompt| prompt.tokens);
@@ -372,7 +372,7 @@
             return Placed::plain(chosen);
         };
         let zone = &chosen.target.zone;
-        let fetch_time = run.route.aim.mul_f64(FETCH_AIMS);
+        let fetch_time = run.route.latency_objective.mul_f64(FETCH_AIMS);
         let mut directory = self.kept.lock();
         let sending = plan.sending(version, zone, &mut directory, fetch_time, Instant::now());
         drop(directory);
@@ -389,7 +389,7 @@
             parts: plan.describe(&sending),
             source: plan.main_source(&sending.fetch),
             engine: Some(sending),
-            prompt_ms,
+            prefill_ms,
             length,
             kept: plan.kept_tokens.0,
             fetched,
--- a/crates/sillpin-gateway/src/front/relay.rs
+++ b/crates/sillpin-gateway/src/front/relay.rs
@@ -11,7 +11,7 @@
 use super::shared::Shared;
 use crate::dialect::Dialect;
 use crate::place::load::Outcome as Health;
-use crate::place::work::LifeHash;
+use crate::place::work::IncarnationHash;
 use http_body_util::BodyExt;
 use hyper::Response;
 use hyper::header::CONTENT_LENGTH;
@@ -80,7 +80,7 @@
                     return;
                 }
                 Pumped::CallerGone => {
-                    self.fatal.sent(run.print, LifeHash::of(&entry)).end(true);
+                    self.fatal.sent(run.print, IncarnationHash::of(&entry)).end(true);
                     self.metrics.request(&run.route.name, "caller-gone");
                     event!(self.log, events::CALLER_GONE, "request" => id,
                         "target" => target.as_str(),
@@ -88,12 +88,12 @@
                     return;
                 }
                 Pumped::TimeOver => {
-                    self.fatal.sent(run.print, LifeHash::of(&entry)).end(true);
+                    self.fatal.sent(run.print, IncarnationHash::of(&entry)).end(true);
                     "the request's time is over".to_owned()
                 }
                 Pumped::Broken(why) => {
                     self.broke_off(&run, &entry);
-                    self.loads.note_life(&target, life, Health::Failed);
+                    self.loads.record_for_incarnation(&target, life, Health::Failed);
                     event!(self.log, events::SENDING_FAILED, "request" => id,
                         "target" => target.as_str(), "outcome" => "broken", "why" => &why,
                         "elapsed_ms" => run.arrival.elapsed().as_millis());
@@ -200,7 +200,7 @@
                 continue;
             }
             if first {
-                ticket.prompt_done();
+                ticket.prefill_done();
                 first = false;
             }
             if tx.send(whole).await.is_err() {
--- a/crates/sillpin-gateway/src/front/silence.rs
+++ b/crates/sillpin-gateway/src/front/silence.rs
@@ -34,7 +34,7 @@
         }
         let borne = match run.route.streaming {
             true => run.route.patience.mul_f64(PATIENCE_PART),
-            false => run.route.aim.mul_f64(PLAIN_AIMS),
+            false => run.route.latency_objective.mul_f64(PLAIN_AIMS),
         };
         run.deadline.min(Instant::now() + borne.max(LEAST_SILENCE))
     }
@@ -65,7 +65,7 @@
             false => run.time_left(),
         };
         let expected = Duration::from_secs_f64(found.expected_ms() / 1000.0);
-        let is_sooner = !found.chosen.rests && expected < left.min(run.time_left());
+        let is_sooner = !found.chosen.in_cooldown && expected < left.min(run.time_left());
         // Last, since asking may use up what the box has earned.
         is_sooner && self.has_retry(pool)
     }
--- a/crates/sillpin-gateway/src/kept/reader.rs
+++ b/crates/sillpin-gateway/src/kept/reader.rs
@@ -201,7 +201,7 @@
             let lists = lists && heard.is_none();
             // In a large fleet the reader tells all others what it finds; they do not all read dozens of stores whenever one is lost.
             let heard = heard.or(large.then_some(store.since));
-            let alive = |id: &BoxId| self.loads.may_live(id, now);
+            let alive = |id: &BoxId| self.loads.may_be_alive(id, now);
             if !store.role.should_read(view, &self.me, alive, heard, now) && !lists {
                 continue;
             }
@@ -300,7 +300,7 @@
         let (view, now) = (self.fleet.view(), Instant::now());
         let heard = self.kept.lock().heard(self.addr);
         let loads = &self.loads;
-        let alive = |id: &BoxId| loads.may_live(id, now);
+        let alive = |id: &BoxId| loads.may_be_alive(id, now);
         self.role.should_read(&view, &self.me, alive, heard, now)
     }
 
--- a/crates/sillpin-gateway/src/metrics.rs
+++ b/crates/sillpin-gateway/src/metrics.rs
@@ -2,7 +2,7 @@
 
 use crate::beliefs::{FleetHandle, View};
 use crate::place::Loads;
-use crate::place::words::Words;
+use crate::place::words::TargetSignals;
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{AsyncInstrument, Counter, Histogram, Meter};
 use sillpin_platform::call::{CallCounts, Tally};
@@ -157,7 +157,7 @@
 
 /// Gauges of targets that say something which keeps requests from them.
 pub fn observe_words(meter: &Meter, loads: Loads) {
-    let observe = |of: fn(&Words) -> usize| {
+    let observe = |of: fn(&TargetSignals) -> usize| {
         let loads = loads.clone();
         move |observer: &dyn AsyncInstrument<u64>| {
             observer.observe(loads.words(|words| of(words)) as u64, &[]);
--- a/crates/sillpin-gateway/src/peers/datagram.rs
+++ b/crates/sillpin-gateway/src/peers/datagram.rs
@@ -9,8 +9,8 @@
 use crate::kept::directory::Position;
 use crate::kept::homes::hash_pair;
 use crate::kept::retire::Retired;
-use crate::place::words::limit::LimitNews;
-use crate::place::work::{EngineWork, LifeHash};
+use crate::place::words::limit::LimitUpdate;
+use crate::place::work::{EngineWork, IncarnationHash};
 use serde::{Deserialize, Serialize};
 use sillpin_core::{BoxId, ModelId, TargetId, Tokens, WeightVersion, ZoneId};
 use sillpin_platform::{KvEntry, KvRevision};
@@ -57,7 +57,7 @@
     /// Its prompt work at engines.
     pub work: Vec<EngineWork>,
     /// Targets that it found replaced of late.
-    pub replaced: Vec<LifeHash>,
+    pub replaced: Vec<IncarnationHash>,
     /// Weights that operators named, and how long ago: a box that has just started cannot read that in the store.
     pub named: Vec<NamedAge>,
     /// For how long it has been in touch with the platform's store, if it is.
@@ -67,7 +67,7 @@
     /// Requests under which targets ended.
     pub fatal: Vec<FatalWord>,
     /// Limits that targets name.
-    pub limits: Vec<LimitNews>,
+    pub limits: Vec<LimitUpdate>,
     /// Whether it is about to end.
     pub stopping: bool,
 }
@@ -114,7 +114,7 @@
     /// Its work.
     pub work: Vec<EngineWork>,
     /// Targets that it found replaced of late.
-    pub replaced: Vec<LifeHash>,
+    pub replaced: Vec<IncarnationHash>,
 }
 
 /// What becomes of an engine that gets new weights.
@@ -326,7 +326,7 @@
     /// Its work at engines.
     pub work: Vec<EngineWork>,
     /// Targets that it found replaced of late.
-    pub replaced: Vec<LifeHash>,
+    pub replaced: Vec<IncarnationHash>,
     /// How far it knows what operators publish.
     pub operators: Extent,
     /// How far it knows the targets.
@@ -336,7 +336,7 @@
     /// Requests under which it saw targets end of late.
     pub fatal: Vec<FatalWord>,
     /// Limits that it saw targets name or end of late.
-    pub limits: Vec<LimitNews>,
+    pub limits: Vec<LimitUpdate>,
     /// What it has to tell the zone.
     pub news: Vec<News>,
 }
@@ -358,7 +358,7 @@
     /// Work of all boxes of the fleet at each engine.
     pub work: Vec<EngineWork>,
     /// Targets that were found replaced of late.
-    pub replaced: Vec<LifeHash>,
+    pub replaced: Vec<IncarnationHash>,
     /// How far the hub knows what operators publish.
     pub operators: Extent,
     /// How far it knows the targets.
@@ -368,7 +368,7 @@
     /// Requests under which targets ended.
     pub fatal: Vec<FatalWord>,
     /// Limits that targets name.
-    pub limits: Vec<LimitNews>,
+    pub limits: Vec<LimitUpdate>,
 }
 
 /// What a hub tells those of other zones.
@@ -381,13 +381,13 @@
     /// Work of the zone's boxes at each engine.
     pub work: Vec<EngineWork>,
     /// Targets that they found replaced of late.
-    pub replaced: Vec<LifeHash>,
+    pub replaced: Vec<IncarnationHash>,
     /// Which parts it uses no more.
     pub retired: Vec<Retired>,
     /// Requests under which targets ended.
     pub fatal: Vec<FatalWord>,
     /// Limits that targets name.
-    pub limits: Vec<LimitNews>,
+    pub limits: Vec<LimitUpdate>,
     /// Loads of weights.
     pub loading: Vec<LoadNews>,
 }
--- a/crates/sillpin-gateway/src/peers/digest.rs
+++ b/crates/sillpin-gateway/src/peers/digest.rs
@@ -124,7 +124,7 @@
         let mut work_told = Vec::new();
         let mut spread = Spread::default();
         let urgent = self.zone_news.urgent.clone();
-        let limit_found = self.loads.limit_found.clone();
+        let limit_changed = self.loads.limit_changed.clone();
         loop {
             let roster = self.zone_news.rosters.of(&views.borrow());
             let large = roster.is_large();
@@ -148,7 +148,7 @@
                     false => self.round(socket, false).await,
                 },
                 // Until they hear of it, all boxes send the target what they like. In a large zone reports follow each other fast enough.
-                () = limit_found.notified(), if !large => self.round(socket, false).await,
+                () = limit_changed.notified(), if !large => self.round(socket, false).await,
                 _ = rounds.tick() => self.round(socket, large).await,
                 Ok(()) = views.changed() => {
                     let content = contents(&views.borrow_and_update());
@@ -292,7 +292,7 @@
             work: self.loads.told(),
             replaced: self.loads.words(|words| words.replaced.told(now)),
             named: ages(&view.wanted, now),
-            contact_ms: view.operators.in_touch(now).map(|at| millis(now - at)),
+            contact_ms: view.operators.in_contact(now).map(|at| millis(now - at)),
             retired: self.kept.retirements().told(now),
             fatal: self.fatal.record().told(now),
             limits: self.loads.words(|words| words.limits.told(now)),
--- a/crates/sillpin-gateway/src/peers/ear.rs
+++ b/crates/sillpin-gateway/src/peers/ear.rs
@@ -16,8 +16,8 @@
 use crate::kept::directory::Directory;
 use crate::metrics::BoxMetrics;
 use crate::place::Loads;
-use crate::place::words::limit::{LimitNews, log_limit};
-use crate::place::work::LifeHash;
+use crate::place::words::limit::{LimitUpdate, log_limit};
+use crate::place::work::IncarnationHash;
 use sillpin_core::ZoneId;
 use sillpin_platform::KvRevision;
 use sillpin_telemetry::{event, events};
@@ -184,7 +184,7 @@
     }
 
     /// Other boxes know what targets take.
-    fn take_limits(&self, news: &[LimitNews]) {
+    fn take_limits(&self, news: &[LimitUpdate]) {
         if news.is_empty() {
             return;
         }
@@ -197,7 +197,7 @@
         let view = self.fleet.view();
         for change in changes {
             let mut listed = view.targets.values();
-            let target = listed.find(|entry| LifeHash::of(entry) == change.target);
+            let target = listed.find(|entry| IncarnationHash::of(entry) == change.target);
             // A target that is not listed yet has no name here.
             let name = target.map_or("", |entry| entry.id.as_str());
             log_limit(&self.log, name, change, "other box");
@@ -319,7 +319,7 @@
         if self.transfers.is_under_way(topic) {
             return Next::Wait;
         }
-        if topic == Topic::Operators && self.loads.hears_hub(Instant::now()) {
+        if topic == Topic::Operators && self.loads.is_hub_responsive(Instant::now()) {
             return match behind.is_doubted {
                 false if behind.lasted < NEWS_FIRST => Next::Wait,
                 false => Next::Store,
--- a/crates/sillpin-gateway/src/peers/ear/news.rs
+++ b/crates/sillpin-gateway/src/peers/ear/news.rs
@@ -52,7 +52,7 @@
         } = bulletin;
         self.zone_news.hub().hear_bulletin(&members, now);
         if let Some(sums) = sums {
-            self.loads.hear_sums(sums.work, &members);
+            self.loads.apply_zone_totals(sums.work, &members);
             self.loads
                 .words(|words| words.replaced.hear(&sums.replaced, now));
             self.kept.retirements().learn(&sums.retired);
@@ -150,11 +150,11 @@
     pub(super) async fn take_news(&self, news: LoadNews) {
         if !news.done {
             self.loads
-                .note_life(&news.target, news.life, Outcome::Loading);
+                .record_for_incarnation(&news.target, news.life, Outcome::Loading);
             return;
         }
         self.loads
-            .note_life(&news.target, news.life, Outcome::Loaded);
+            .record_for_incarnation(&news.target, news.life, Outcome::Loaded);
         let msg = FleetMsg::Serves {
             target: news.target,
             life: news.life,
--- a/crates/sillpin-gateway/src/peers/hub.rs
+++ b/crates/sillpin-gateway/src/peers/hub.rs
@@ -11,7 +11,7 @@
 use super::datagram::{BoxHash, Bulletin, LoadNews, News, Report, Sums, ZoneWord, chunks};
 use crate::beliefs::BoxEntry;
 use crate::kept::retire::Retired;
-use crate::place::work::{EngineWork, LifeHash, TargetHash, Work};
+use crate::place::work::{EngineWork, IncarnationHash, TargetHash, Work};
 use sillpin_core::ZoneId;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -74,7 +74,7 @@
     me: BoxHash,
     reports: BTreeMap<BoxHash, Reported>,
     zones: HashMap<ZoneId, HeardZone>,
-    replaced: HashMap<LifeHash, Instant>,
+    replaced: HashMap<IncarnationHash, Instant>,
     news: Vec<News>,
     loading: Vec<LoadNews>,
     bulletin: Option<HeardBulletin>,
@@ -143,7 +143,7 @@
         self.news.push(news);
     }
 
-    fn find_replaced(&mut self, replaced: &[LifeHash], now: Instant) {
+    fn find_replaced(&mut self, replaced: &[IncarnationHash], now: Instant) {
         for target in replaced {
             self.replaced.entry(*target).or_insert(now);
         }
--- a/crates/sillpin-gateway/src/place/allowed.rs
+++ b/crates/sillpin-gateway/src/place/allowed.rs
@@ -41,7 +41,7 @@
 
 /// The state on which the choice of allowed weights depends.
 #[derive(Debug, Clone, Copy)]
-pub struct WeightsUse<'a> {
+pub struct WeightsInputs<'a> {
     /// Versions that operators want.
     pub wanted: Option<&'a Wanted>,
     /// Versions that engines serve, with the number of engines.
@@ -49,12 +49,12 @@
     /// Requests do not start on weights that were replaced longer ago than this.
     pub limit: Duration,
     /// Since when this box has been in contact with the platform store; `None` if it is not.
-    pub in_touch: Option<Instant>,
+    pub in_contact: Option<Instant>,
     /// Current time.
     pub now: Instant,
 }
 
-impl WeightsUse<'_> {
+impl WeightsInputs<'_> {
     /// Returns the weights that a prompt may be sent to. While the store is unreachable no box can
     /// make engines load new weights, so old ones remain allowed.
     pub fn allowed(&self) -> AllowedWeights {
@@ -62,7 +62,7 @@
         let Some(wanted) = self.wanted else {
             return self.since(any, "none wanted");
         };
-        let Some(in_touch) = self.in_touch else {
+        let Some(in_contact) = self.in_contact else {
             return self.since(any, "store silent");
         };
         let by = |version: &WeightVersion, margin| {
@@ -78,7 +78,7 @@
         }
         // While the store was unreachable no box could make engines load new weights.
         let newest = served().next_back();
-        match newest.filter(|_| self.now + LAST_MARGIN < in_touch + self.limit) {
+        match newest.filter(|_| self.now + LAST_MARGIN < in_contact + self.limit) {
             Some(newest) => self.since(*newest, "the store has just come back"),
             None => self.since(
                 wanted.newest().version,
@@ -90,9 +90,9 @@
     /// Returns the last moment at which a prompt may start on the weights that it was sent to;
     /// `None` if there is no known limit. Time without the store does not count, because no newer
     /// weights could be loaded.
-    pub fn begin_by(&self, version: WeightVersion) -> Option<Instant> {
+    pub fn latest_start(&self, version: WeightVersion) -> Option<Instant> {
         let replaced = self.wanted?.newer(version).map(|newer| newer.since).min()?;
-        let counted = replaced.max(self.in_touch?);
+        let counted = replaced.max(self.in_contact?);
         Some(counted + self.limit.saturating_sub(BEGIN_MARGIN))
     }
 
--- a/crates/sillpin-gateway/src/place/choose.rs
+++ b/crates/sillpin-gateway/src/place/choose.rs
@@ -7,12 +7,12 @@
 //! engines, selected by a hash of the prompt, and further ones only if all of those are busy.
 
 use super::index::{Indexed, PoolTargets, TargetIndex};
-use super::limits::Gate;
+use super::limits::LimitContext;
 use super::load::{Load, Loads, Table};
 use super::parts::Plan;
 use super::residency::Residency;
 use super::shared_limit::Admission;
-use super::work::{LifeHash, TargetHash, Work};
+use super::work::{IncarnationHash, TargetHash, Work};
 use crate::beliefs::fleet::served;
 use crate::control::TargetEntry;
 use crate::kept::homes::{hash_pair, unit};
@@ -70,12 +70,12 @@
 const RESTING_MS: f64 = 10_000.0;
 
 /// A request to place, and the state on which the choice depends.
-pub struct Choice<'a> {
+pub struct ChoiceInputs<'a> {
     /// Index of all targets.
     pub targets: &'a TargetIndex,
     /// Whether the work of other boxes is known so late that only a few engines are considered
     /// first.
-    pub heard_late: bool,
+    pub reported_late: bool,
     /// Loads of the targets.
     pub loads: &'a Loads,
     /// Pool in which a target is chosen.
@@ -83,29 +83,29 @@
     /// Zone of this box.
     pub zone: &'a ZoneId,
     /// Maximum number of requests that this box may have in flight at one target.
-    pub most_in_flight: u32,
+    pub max_in_flight: u32,
     /// Targets to which the request was sent before.
     pub tried: &'a [TargetId],
     /// Length of the request's body in bytes.
     pub body_len: usize,
     /// The request's prompt, if it is for an engine.
-    pub prompt: Option<PromptChoice<'a>>,
+    pub prompt: Option<PromptInputs<'a>>,
     /// Regions in which the request may be served.
     pub residency: Residency<'a>,
     /// State needed to apply the limits of targets; `None` applies no limits.
-    pub gate: Option<Gate<'a>>,
+    pub limit_context: Option<LimitContext<'a>>,
     /// Current time.
     pub now: Instant,
 }
 
 /// The properties of a prompt on which the choice of an engine depends.
-pub struct PromptChoice<'a> {
+pub struct PromptInputs<'a> {
     /// Model that the prompt is for.
     pub model: &'a ModelId,
     /// Length of the prompt.
     pub tokens: Tokens,
     /// Time within which the first event of the response should come.
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// Memory of one engine.
     pub room: Tokens,
     /// Weights version that operators want.
@@ -116,7 +116,7 @@
     pub plans: &'a [(WeightVersion, Plan)],
 }
 
-impl PromptChoice<'_> {
+impl PromptInputs<'_> {
     /// Returns the sources of the prompt's parts for a weights version.
     pub fn plan(&self, version: WeightVersion) -> Option<&Plan> {
         let found = self.plans.iter().find(|(of, _)| *of == version);
@@ -130,7 +130,7 @@
 
 /// The chosen target, with the estimates behind the choice.
 #[derive(Debug, Clone)]
-pub struct Chosen {
+pub struct ChosenTarget {
     /// The chosen target.
     pub target: Arc<TargetEntry>,
     /// Weights version that the target serves, if it is an engine.
@@ -142,14 +142,14 @@
     /// Number of targets that could have taken the request.
     pub candidates: usize,
     /// Whether the target is in cooldown, so that it is used only if there is no other.
-    pub rests: bool,
+    pub in_cooldown: bool,
     /// Whether the target has enough memory for the request.
     pub fits: bool,
 }
 
-impl Chosen {
+impl ChosenTarget {
     /// Orders targets: those with enough memory first, then by cost.
-    fn is_better_than(&self, other: &Chosen) -> bool {
+    fn is_better_than(&self, other: &ChosenTarget) -> bool {
         match self.fits == other.fits {
             true => self.cost_ms < other.cost_ms,
             false => self.fits,
@@ -173,27 +173,27 @@
 const FURTHER_AIMS: f64 = 1.0;
 
 /// Returns the target with the lowest cost, or `None` if no target can take the request.
-pub fn choose(choice: &Choice<'_>) -> Option<Chosen> {
+pub fn choose(choice: &ChoiceInputs<'_>) -> Option<ChosenTarget> {
     let found = choose_with(choice, Admission::Part);
-    match &choice.gate {
-        Some(gate) if !gate.sharers.is_sure() => {
+    match &choice.limit_context {
+        Some(limit_context) if !limit_context.share_group.is_sure() => {
             found.or_else(|| choose_with(choice, Admission::Unsure))
         }
         _ => found,
     }
 }
 
-fn choose_with(choice: &Choice<'_>, admission: Admission) -> Option<Chosen> {
+fn choose_with(choice: &ChoiceInputs<'_>, admission: Admission) -> Option<ChosenTarget> {
     let pool = choice.targets.pool(choice.pool)?;
     let search = Search::new(choice, admission);
-    if choice.prompt.is_none() || !choice.heard_late {
+    if choice.prompt.is_none() || !choice.reported_late {
         return search.best_of(&search.ranked(pool.all.iter()), usize::MAX);
     }
     search.look_wider(pool)
 }
 
 /// Returns the better of two choices.
-fn better(a: Option<Chosen>, b: Option<Chosen>) -> Option<Chosen> {
+fn better(a: Option<ChosenTarget>, b: Option<ChosenTarget>) -> Option<ChosenTarget> {
     match (a, b) {
         (Some(a), Some(b)) => Some(if b.is_better_than(&a) { b } else { a }),
         (a, b) => a.or(b),
@@ -202,18 +202,18 @@
 
 /// The request, with state that is computed once per choice.
 struct Search<'a> {
-    choice: &'a Choice<'a>,
+    choice: &'a ChoiceInputs<'a>,
     admission: Admission,
     others: Arc<HashMap<TargetHash, Work>>,
     /// Targets that accept nothing from this box, according to their own responses.
-    closed: HashSet<LifeHash>,
+    closed: HashSet<IncarnationHash>,
     /// Hash of the prompt's last shared part, which determines its homes.
     key: Option<u64>,
     table: Table<'a>,
 }
 
 impl<'a> Search<'a> {
-    fn new(choice: &'a Choice<'a>, admission: Admission) -> Self {
+    fn new(choice: &'a ChoiceInputs<'a>, admission: Admission) -> Self {
         let affinity = choice
             .prompt
             .as_ref()
@@ -254,7 +254,7 @@
 
     /// Considers two engines of the own zone and two of the zone that holds the prompt's parts,
     /// then a few more of all zones, then all if the best of those is in cooldown.
-    fn look_wider(&self, pool: &PoolTargets) -> Option<Chosen> {
+    fn look_wider(&self, pool: &PoolTargets) -> Option<ChosenTarget> {
         let own = self.ranked(pool.of_zone(self.choice.zone).iter());
         let near_parts = self
             .parts_zone()
@@ -269,7 +269,7 @@
         let own_few = self.best_of(&own, SECOND_LOOK);
         let others_few = self.best_of(&others, SECOND_LOOK);
         let second = better(own_few, others_few);
-        if second.as_ref().is_some_and(|found| !found.rests) {
+        if second.as_ref().is_some_and(|found| !found.in_cooldown) {
             return second;
         }
         let all: Vec<&Indexed> = own.into_iter().chain(others).collect();
@@ -279,29 +279,29 @@
     /// Returns those of the targets that are limited. Few boxes have a share of a target's limit,
     /// and two engines selected for a prompt are rarely those at which its box has one.
     fn limited<'t>(&self, targets: &[&'t Indexed]) -> Vec<&'t Indexed> {
-        let Some(gate) = &self.choice.gate else {
+        let Some(limit_context) = &self.choice.limit_context else {
             return Vec::new();
         };
         let limits = self.choice.loads.limits();
-        if !limits.has_any(gate) {
+        if !limits.has_any(limit_context) {
             return Vec::new();
         }
         let is_limited =
-            |target: &&&Indexed| limits.is_limited(gate, &target.entry, self.choice.now);
+            |target: &&&Indexed| limits.is_limited(limit_context, &target.entry, self.choice.now);
         targets.iter().filter(is_limited).copied().collect()
     }
 
     /// Returns whether a choice is good enough to consider no more engines.
-    fn is_soon(&self, found: &Chosen) -> bool {
-        let aim = self.choice.prompt.as_ref().map_or(0.0, |p| millis(p.aim));
-        !found.rests && found.queue_ms <= aim * FURTHER_AIMS
+    fn is_soon(&self, found: &ChosenTarget) -> bool {
+        let latency_objective = self.choice.prompt.as_ref().map_or(0.0, |p| millis(p.latency_objective));
+        !found.in_cooldown && found.queue_ms <= latency_objective * FURTHER_AIMS
     }
 
     /// Returns the best of the first targets that can take the request, counting at most `most`
     /// targets that are not in cooldown.
-    fn best_of(&self, targets: &[&Indexed], most: usize) -> Option<Chosen> {
+    fn best_of(&self, targets: &[&Indexed], most: usize) -> Option<ChosenTarget> {
         let (mut candidates, mut active) = (0, 0);
-        let mut best: Option<Chosen> = None;
+        let mut best: Option<ChosenTarget> = None;
         for (place, target) in targets.iter().enumerate() {
             if active == most {
                 break;
@@ -310,26 +310,26 @@
                 continue;
             };
             candidates += 1;
-            active += usize::from(!found.rests);
+            active += usize::from(!found.in_cooldown);
             if best.as_ref().is_none_or(|best| found.is_better_than(best)) {
                 best = Some(found);
             }
         }
-        best.map(|best| Chosen { candidates, ..best })
+        best.map(|best| ChosenTarget { candidates, ..best })
     }
 
     /// Returns whether a target's limits let this box send it one more request.
     fn is_admitted(&self, entry: &TargetEntry) -> bool {
-        let Some(gate) = &self.choice.gate else {
+        let Some(limit_context) = &self.choice.limit_context else {
             return true;
         };
         let mut limits = self.choice.loads.limits();
-        limits.admits(gate, entry, self.admission, self.choice.now)
+        limits.admits(limit_context, entry, self.admission, self.choice.now)
     }
 
     /// Returns a target with its cost, or `None` if it can't take the request. `place` is its
     /// position among the prompt's homes.
-    fn candidate(&self, target: &Indexed, place: usize) -> Option<Chosen> {
+    fn candidate(&self, target: &Indexed, place: usize) -> Option<ChosenTarget> {
         let (choice, entry) = (self.choice, &target.entry);
         if choice.tried.contains(&entry.id) || self.closed.contains(&target.life) {
             return None;
@@ -341,7 +341,7 @@
             return None;
         }
         let mut load = self.table.get(&entry.id).copied().unwrap_or_default();
-        if load.in_flight >= choice.most_in_flight {
+        if load.in_flight >= choice.max_in_flight {
             return None;
         }
         let theirs = self.others.get(&target.hash);
@@ -351,28 +351,28 @@
             None => None,
         };
         let away = self.key.map_or(0, |_| place);
-        let rests = load.rests(choice.now);
-        Some(Chosen {
+        let in_cooldown = load.in_cooldown(choice.now);
+        Some(ChosenTarget {
             target: entry.clone(),
             version,
-            queue_ms: load.work.prompt_ms + memory_ms(choice, &load),
+            queue_ms: load.work.prefill_ms + memory_ms(choice, &load),
             cost_ms: cost(choice, entry, &load, version, away),
             candidates: 0,
-            rests,
-            fits: !rests && fits(choice, &load),
+            in_cooldown,
+            fits: !in_cooldown && fits(choice, &load),
         })
     }
 }
 
 fn cost(
-    choice: &Choice<'_>,
+    choice: &ChoiceInputs<'_>,
     target: &TargetEntry,
     load: &Load,
     version: Option<WeightVersion>,
     away: usize,
 ) -> f64 {
     let mut ms = load.failing() * FAILING_MS;
-    if load.rests(choice.now) {
+    if load.in_cooldown(choice.now) {
         ms += RESTING_MS;
     }
     if target.zone != *choice.zone {
@@ -384,7 +384,7 @@
     let Some(prompt) = &choice.prompt else {
         return ms + f64::from(load.in_flight) * PLAIN_IN_FLIGHT_MS + spread(target);
     };
-    ms += load.work.requests * IN_FLIGHT_MS + load.work.prompt_ms + memory_ms(choice, load);
+    ms += load.work.requests * IN_FLIGHT_MS + load.work.prefill_ms + memory_ms(choice, load);
     let plan = version.and_then(|version| prompt.plan(version));
     ms += plan.map_or(0.0, |plan| plan.shared_cost(&target.zone));
     if version < prompt.wanted {
@@ -394,15 +394,15 @@
 }
 
 /// Returns whether an engine will have memory for a prompt soon enough.
-fn fits(choice: &Choice<'_>, load: &Load) -> bool {
+fn fits(choice: &ChoiceInputs<'_>, load: &Load) -> bool {
     let Some(prompt) = &choice.prompt else {
         return true;
     };
-    memory_ms(choice, load) <= millis(prompt.aim) * ROOM_WAIT_AIM_PART
+    memory_ms(choice, load) <= millis(prompt.latency_objective) * ROOM_WAIT_AIM_PART
 }
 
 /// Returns the expected wait for memory at an engine, in milliseconds.
-fn memory_ms(choice: &Choice<'_>, load: &Load) -> f64 {
+fn memory_ms(choice: &ChoiceInputs<'_>, load: &Load) -> f64 {
     let Some(prompt) = &choice.prompt else {
         return 0.0;
     };
--- a/crates/sillpin-gateway/src/place/index.rs
+++ b/crates/sillpin-gateway/src/place/index.rs
@@ -1,6 +1,6 @@
 //! Index of targets by pool and zone, built when the targets change rather than for each request.
 
-use super::work::{LifeHash, TargetHash};
+use super::work::{IncarnationHash, TargetHash};
 use crate::beliefs::Evacuations;
 use crate::beliefs::fleet::served;
 use crate::control::{Presence, TargetEntry};
@@ -17,7 +17,7 @@
     /// Hash of the target's id.
     pub hash: TargetHash,
     /// Hash of the target's current incarnation.
-    pub life: LifeHash,
+    pub life: IncarnationHash,
     /// Hash of the target's id for ranking homes.
     seed: u64,
 }
@@ -112,7 +112,7 @@
             }
             pool.all.push(Indexed {
                 hash: TargetHash::of(&entry.id),
-                life: LifeHash::of(entry),
+                life: IncarnationHash::of(entry),
                 seed: hash_pair(entry.id.as_str(), "home"),
                 entry: entry.clone(),
             });
--- a/crates/sillpin-gateway/src/place/limits.rs
+++ b/crates/sillpin-gateway/src/place/limits.rs
@@ -1,9 +1,9 @@
 //! Applies the limits of targets to requests of this box.
 
-use super::shared_limit::{Admission, SharedLimit, SharedLimits, Sharers};
+use super::shared_limit::{Admission, SharedLimit, SharedLimits, ShareGroup};
 use super::slow_start::{self, SlowStart};
-use super::words::{Words, limit};
-use super::work::LifeHash;
+use super::words::{TargetSignals, limit};
+use super::work::IncarnationHash;
 use crate::config::WarmUp;
 use crate::control::TargetEntry;
 use crate::settings::WarmUpRules;
@@ -14,7 +14,7 @@
 
 /// The state that one decision about limits depends on.
 #[derive(Debug, Clone, Copy)]
-pub struct Gate<'a> {
+pub struct LimitContext<'a> {
     /// Until when targets are cold, as reported by them or set by operators.
     pub cold: &'a HashMap<TargetId, Instant>,
     /// Load that a cold target of the pool can handle; `None` if cold targets need no limit.
@@ -22,7 +22,7 @@
     /// Overload that is tolerated beyond the limit.
     pub rules: WarmUpRules,
     /// The boxes that share the limits.
-    pub sharers: Sharers<'a>,
+    pub share_group: ShareGroup<'a>,
 }
 
 /// Limits of all targets, and the requests of this box that count against them.
@@ -31,7 +31,7 @@
     /// Targets that have restarted recently.
     pub slow_start: SlowStart,
     /// Signals that targets sent in their responses.
-    pub words: Words,
+    pub words: TargetSignals,
     shared: SharedLimits,
 }
 
@@ -39,7 +39,7 @@
     fn default() -> Self {
         Self {
             slow_start: SlowStart::default(),
-            words: Words::default(),
+            words: TargetSignals::default(),
             shared: SharedLimits::new(slow_start::PERIOD.max(limit::MAX_PERIOD)),
         }
     }
@@ -49,37 +49,37 @@
     /// Returns whether this box may send one more request to a target now.
     pub fn admits(
         &mut self,
-        gate: &Gate<'_>,
+        limit_context: &LimitContext<'_>,
         target: &TargetEntry,
         how: Admission,
         now: Instant,
     ) -> bool {
-        let mut limits = self.of(gate, target, now).into_iter().flatten();
-        limits.all(|limit| self.shared.admits(&gate.sharers, target, limit, how, now))
+        let mut limits = self.of(limit_context, target, now).into_iter().flatten();
+        limits.all(|limit| self.shared.admits(&limit_context.share_group, target, limit, how, now))
     }
 
     /// Returns whether any target may be limited.
-    pub fn has_any(&self, gate: &Gate<'_>) -> bool {
-        let cold = gate.warm_up.is_some() && (!gate.cold.is_empty() || self.slow_start.has_any());
+    pub fn has_any(&self, limit_context: &LimitContext<'_>) -> bool {
+        let cold = limit_context.warm_up.is_some() && (!limit_context.cold.is_empty() || self.slow_start.has_any());
         cold || !self.words.limits.is_empty()
     }
 
     /// Returns whether a target is limited.
-    pub fn is_limited(&self, gate: &Gate<'_>, target: &TargetEntry, now: Instant) -> bool {
-        self.of(gate, target, now).iter().any(Option::is_some)
+    pub fn is_limited(&self, limit_context: &LimitContext<'_>, target: &TargetEntry, now: Instant) -> bool {
+        self.of(limit_context, target, now).iter().any(Option::is_some)
     }
 
     /// Returns how long this box has to wait before it may send one more request to a target;
     /// `None` if no limit applies now.
     pub fn wait(
         &mut self,
-        gate: &Gate<'_>,
+        limit_context: &LimitContext<'_>,
         target: &TargetEntry,
         now: Instant,
     ) -> Option<Duration> {
-        let limits = self.of(gate, target, now).into_iter().flatten();
+        let limits = self.of(limit_context, target, now).into_iter().flatten();
         let waits = limits.filter_map(|limit| {
-            let free = self.shared.free_at(&gate.sharers, target, limit, now);
+            let free = self.shared.free_at(&limit_context.share_group, target, limit, now);
             // Other boxes send the target one request in each of so many parts of the period.
             let others = || now + limit.period / limit.whole.max(1);
             Some(free.unwrap_or_else(others)).filter(|at| *at > now)
@@ -89,26 +89,26 @@
 
     /// Returns the limits that apply at a target now: that of a cold target, and the one that the
     /// target reports.
-    fn of(&self, gate: &Gate<'_>, target: &TargetEntry, now: Instant) -> [Option<SharedLimit>; 2] {
-        let cold = self.cold_limit(gate, target, now);
+    fn of(&self, limit_context: &LimitContext<'_>, target: &TargetEntry, now: Instant) -> [Option<SharedLimit>; 2] {
+        let cold = self.cold_limit(limit_context, target, now);
         let limits = &self.words.limits;
         let named = match limits.is_empty() {
             true => None,
-            false => limits.limit(LifeHash::of(target), now),
+            false => limits.limit(IncarnationHash::of(target), now),
         };
         [cold, named]
     }
 
     fn cold_limit(
         &self,
-        gate: &Gate<'_>,
+        limit_context: &LimitContext<'_>,
         target: &TargetEntry,
         now: Instant,
     ) -> Option<SharedLimit> {
-        let warm_up = gate.warm_up?;
-        let told = gate.cold.get(&target.id).copied();
+        let warm_up = limit_context.warm_up?;
+        let told = limit_context.cold.get(&target.id).copied();
         let is_cold = self.slow_start.is_cold(&target.id, told, warm_up, now);
-        is_cold.then(|| slow_start::limit(warm_up, gate.rules))
+        is_cold.then(|| slow_start::limit(warm_up, limit_context.rules))
     }
 
     /// Records that a request is sent to a target.
--- a/crates/sillpin-gateway/src/place/load.rs
+++ b/crates/sillpin-gateway/src/place/load.rs
@@ -3,8 +3,8 @@
 use super::held::HeldTime;
 use super::limits::Limits;
 use super::standing::{Queue, StandingQueue};
-use super::words::Words;
-use super::work::{EngineWork, LifeHash, Others, TargetHash, Work};
+use super::words::TargetSignals;
+use super::work::{EngineWork, IncarnationHash, Others, TargetHash, Work};
 use crate::control::{Life, TargetEntry};
 use crate::peers::datagram::BoxHash;
 use sillpin_core::{BoxId, TargetId, ZoneId};
@@ -67,7 +67,7 @@
     pub in_flight: u32,
     /// Work of these requests, for engines.
     pub work: Work,
-    rests: Rests,
+    in_cooldown: Rests,
     refusals: u32,
     failing: f64,
     outcomes: u32,
@@ -77,8 +77,8 @@
 
 impl Load {
     /// Returns whether the target is in cooldown.
-    pub fn rests(&self, now: Instant) -> bool {
-        self.rests.until().is_some_and(|until| now < until)
+    pub fn in_cooldown(&self, now: Instant) -> bool {
+        self.in_cooldown.until().is_some_and(|until| now < until)
     }
 
     /// Returns the share of recent requests that failed.
@@ -91,7 +91,7 @@
         self.failing += OUTCOME_WEIGHT * (sample - self.failing);
         self.outcomes = self.outcomes.saturating_add(1);
         if self.failing > FAILING && self.outcomes >= MIN_OUTCOMES {
-            self.rests.failing = Some(now + FAILING_REST);
+            self.in_cooldown.failing = Some(now + FAILING_REST);
             self.failing = FAILING / 2.0;
         }
     }
@@ -143,7 +143,7 @@
     standing: Arc<Mutex<StandingQueue>>,
     limits: Arc<Mutex<Limits>>,
     /// Notified when this box observes that a target's limit has started, changed or ended.
-    pub limit_found: Arc<Notify>,
+    pub limit_changed: Arc<Notify>,
 }
 
 impl Loads {
@@ -178,27 +178,27 @@
     }
 
     /// Stores the total work of all boxes from the hub of a large zone.
-    pub fn hear_sums(&self, work: Vec<EngineWork>, members: &[BoxHash]) {
+    pub fn apply_zone_totals(&self, work: Vec<EngineWork>, members: &[BoxHash]) {
         let mut others = self.others.lock().unwrap_or_else(|e| e.into_inner());
-        others.hear_sums(work, members, Instant::now());
+        others.apply_zone_totals(work, members, Instant::now());
     }
 
     /// Returns whether a box, or the hub on its behalf, sent a message recently.
-    pub fn hears(&self, from: &BoxId, now: Instant) -> bool {
+    pub fn has_recent_report(&self, from: &BoxId, now: Instant) -> bool {
         let others = self.others.lock().unwrap_or_else(|e| e.into_inner());
-        others.hears(from, now)
+        others.has_recent_report(from, now)
     }
 
     /// Returns whether the hub of a large zone sent a message recently.
-    pub fn hears_hub(&self, now: Instant) -> bool {
+    pub fn is_hub_responsive(&self, now: Instant) -> bool {
         let others = self.others.lock().unwrap_or_else(|e| e.into_inner());
-        others.hears_hub(now)
+        others.is_hub_responsive(now)
     }
 
     /// Returns whether a box of the zone may be alive, according to the zone's hub.
-    pub fn may_live(&self, id: &BoxId, now: Instant) -> bool {
+    pub fn may_be_alive(&self, id: &BoxId, now: Instant) -> bool {
         let others = self.others.lock().unwrap_or_else(|e| e.into_inner());
-        others.may_live(id, now)
+        others.may_be_alive(id, now)
     }
 
     /// Returns the work of all other boxes at each engine.
@@ -213,7 +213,7 @@
     }
 
     /// Calls `with` on the signals that targets sent. The lock is released when it returns.
-    pub fn words<T>(&self, with: impl FnOnce(&mut Words) -> T) -> T {
+    pub fn words<T>(&self, with: impl FnOnce(&mut TargetSignals) -> T) -> T {
         with(&mut self.limits().words)
     }
 
@@ -223,7 +223,7 @@
     }
 
     /// Records the queue of a chosen engine and returns the recent average, in milliseconds.
-    pub fn note_queue(&self, queue: Queue, now: Instant) -> f64 {
+    pub fn record_queue(&self, queue: Queue, now: Instant) -> f64 {
         let mut standing = self.standing.lock().unwrap_or_else(|e| e.into_inner());
         standing.note(queue, now)
     }
@@ -234,7 +234,7 @@
     }
 
     /// Records whether a target of a zone could be reached.
-    pub fn note_reach(&self, zone: &ZoneId, reached: bool) {
+    pub fn record_reachability(&self, zone: &ZoneId, reached: bool) {
         let failed = Instant::now();
         let mut zones = self.zones.lock().unwrap_or_else(|e| e.into_inner());
         if reached {
@@ -262,29 +262,29 @@
     }
 
     /// Counts a request as in flight at a target until the ticket is dropped.
-    pub fn start(&self, target: &TargetId, work: Work) -> Ticket {
+    pub fn start(&self, target: &TargetId, work: Work) -> InFlightGuard {
         self.limits().note_sent(target, Instant::now());
         let mut table = self.lock();
         let load = table.entry(target.clone()).or_default();
         load.in_flight += 1;
         load.work.add(work);
-        Ticket {
+        InFlightGuard {
             loads: self.clone(),
             target: target.clone(),
             work,
-            prompt_ms: work.prompt_ms,
+            prefill_ms: work.prefill_ms,
             began: None,
         }
     }
 
     /// Records the outcome of an attempt.
     pub fn note(&self, target: &TargetId, outcome: Outcome) {
-        self.note_life(target, None, outcome);
+        self.record_for_incarnation(target, None, outcome);
     }
 
     /// Records the outcome of an attempt at one incarnation of a target; ignored if the target has
     /// restarted since.
-    pub fn note_life(&self, target: &TargetId, life: Option<Life>, outcome: Outcome) {
+    pub fn record_for_incarnation(&self, target: &TargetId, life: Option<Life>, outcome: Outcome) {
         let now = Instant::now();
         let mut table = self.lock();
         let load = table.entry(target.clone()).or_default();
@@ -302,17 +302,17 @@
                 let doubled = REFUSAL_REST * 2u32.pow(load.refusals.min(4));
                 load.refusals += 1;
                 let until = now + doubled.min(MAX_REFUSAL_REST);
-                load.rests.refusing = load.rests.refusing.max(Some(until));
+                load.in_cooldown.refusing = load.in_cooldown.refusing.max(Some(until));
             }
-            Outcome::Loading => load.rests.loading = Some(now + LOADING_REST),
+            Outcome::Loading => load.in_cooldown.loading = Some(now + LOADING_REST),
             Outcome::Loaded => {
                 load.refusals = 0;
-                load.rests.refusing = None;
-                load.rests.loading = None;
+                load.in_cooldown.refusing = None;
+                load.in_cooldown.loading = None;
             }
-            Outcome::Unreachable => load.rests.unreachable = Some(now + UNREACHABLE_REST),
+            Outcome::Unreachable => load.in_cooldown.unreachable = Some(now + UNREACHABLE_REST),
             Outcome::Reachable => {
-                if load.rests.unreachable.take().is_some() {
+                if load.in_cooldown.unreachable.take().is_some() {
                     self.limits().slow_start.returned(target, now);
                 }
             }
@@ -324,7 +324,7 @@
     pub fn follow(&self, targets: &HashMap<TargetId, Arc<TargetEntry>>) {
         let now = Instant::now();
         self.limits().follow(|id| targets.contains_key(id), now);
-        let lives: HashSet<LifeHash> = targets.values().map(|entry| LifeHash::of(entry)).collect();
+        let lives: HashSet<IncarnationHash> = targets.values().map(|entry| IncarnationHash::of(entry)).collect();
         let is_listed = |life| lives.contains(&life);
         self.words(|words| words.follow(is_listed, now));
         let mut table = self.lock();
@@ -337,7 +337,7 @@
             let restarted = load.life.is_some();
             load.life = life;
             if restarted {
-                load.rests = Rests::default();
+                load.in_cooldown = Rests::default();
                 load.refusals = 0;
                 load.failing = 0.0;
                 load.outcomes = 0;
@@ -348,28 +348,28 @@
 
 /// A request in flight at a target.
 #[derive(Debug)]
-pub struct Ticket {
+pub struct InFlightGuard {
     loads: Loads,
     target: TargetId,
     work: Work,
     /// Expected engine time for the prefill of its prompt, in milliseconds.
-    prompt_ms: f64,
+    prefill_ms: f64,
     /// When the first event of the response came.
     began: Option<Instant>,
 }
 
-impl Ticket {
+impl InFlightGuard {
     /// Removes the prefill from the target's work: it is complete.
-    pub fn prompt_done(&mut self) {
+    pub fn prefill_done(&mut self) {
         let mut table = self.loads.lock();
         let done = Work {
-            prompt_ms: self.work.prompt_ms,
+            prefill_ms: self.work.prefill_ms,
             ..Work::default()
         };
         if let Some(load) = table.get_mut(&self.target) {
             load.work.take(done);
         }
-        self.work.prompt_ms = 0.0;
+        self.work.prefill_ms = 0.0;
         self.began = Some(Instant::now());
     }
 
@@ -379,13 +379,13 @@
             return;
         };
         let now = Instant::now();
-        let reading = Duration::from_secs_f64(self.prompt_ms / 1000.0);
+        let reading = Duration::from_secs_f64(self.prefill_ms / 1000.0);
         self.loads
             .note_held(self.work.tokens, now - began + reading, now);
     }
 }
 
-impl Drop for Ticket {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.note_held();
         let mut table = self.loads.lock();
--- a/crates/sillpin-gateway/src/place/mod.rs
+++ b/crates/sillpin-gateway/src/place/mod.rs
@@ -30,5 +30,5 @@
 pub mod words;
 pub mod work;
 
-pub use choose::{Choice, Chosen, choose};
-pub use load::{Load, Loads, Ticket};
+pub use choose::{ChoiceInputs, ChosenTarget, choose};
+pub use load::{Load, Loads, InFlightGuard};
--- a/crates/sillpin-gateway/src/place/parts.rs
+++ b/crates/sillpin-gateway/src/place/parts.rs
@@ -109,7 +109,7 @@
     /// Regions in which the prompt's parts may be stored.
     pub residency: Residency<'a>,
     /// Whether this box is in contact with the platform store, which it must be to fetch parts.
-    pub in_touch: bool,
+    pub in_contact: bool,
     /// Current time.
     pub now: Instant,
 }
@@ -169,7 +169,7 @@
     let holds = |store: &&&StoreSpec| directory.holds(store.addr, &key, tokens, inputs.now);
     let held: Vec<StoreSpec> = homes.iter().filter(holds).copied().cloned().collect();
     if !held.is_empty() {
-        return match inputs.in_touch {
+        return match inputs.in_contact {
             true => SharedPart { held, ..nowhere },
             false => SharedPart {
                 not_kept: NotKept::OutOfTouch,
@@ -215,7 +215,7 @@
     }
 
     /// Returns the time to prefill tokens, in milliseconds.
-    pub fn read_ms(tokens: Tokens) -> f64 {
+    pub fn prefill_time_ms(tokens: Tokens) -> f64 {
         tokens.0 as f64 / READ_TOKENS_PER_MS
     }
 
@@ -224,7 +224,7 @@
     fn part_ms(&self, part: &SharedPart, zone: &ZoneId, foreign: f64) -> f64 {
         match nearest(&part.held, zone) {
             Some(store) => self.fetch_ms(store, part.tokens, zone, foreign),
-            None => Self::read_ms(part.tokens),
+            None => Self::prefill_time_ms(part.tokens),
         }
     }
 
@@ -239,7 +239,7 @@
 
     /// Returns the time to fetch or recompute all shared parts at an engine in `zone`, in
     /// milliseconds.
-    pub fn shared_ms(&self, zone: &ZoneId) -> f64 {
+    pub fn shared_time_ms(&self, zone: &ZoneId) -> f64 {
         let parts = self.shared.iter();
         parts
             .map(|part| self.part_ms(part, zone, FOREIGN_ZONE_FACTOR))
@@ -290,7 +290,7 @@
     }
 
     /// Drops the stores for which `bears` returns false: parts that only they hold are recomputed.
-    pub fn spare_links(&mut self, bears: impl Fn(SocketAddr) -> bool) {
+    pub fn drop_busy_sources(&mut self, bears: impl Fn(SocketAddr) -> bool) {
         let whole = self.shared.iter().filter(|part| !part.held.is_empty());
         self.kept_tokens = whole.map(|part| part.tokens).sum();
         let sources = self.shared.iter().flat_map(|part| &part.held);
--- a/crates/sillpin-gateway/src/place/probe.rs
+++ b/crates/sillpin-gateway/src/place/probe.rs
@@ -51,7 +51,7 @@
                 break false;
             };
             if let Ok(conn) = Conn::open(&entry).await {
-                self.loads.note_reach(&entry.zone, true);
+                self.loads.record_reachability(&entry.zone, true);
                 self.pool.put(target.clone(), conn, None).await;
                 break true;
             }
--- a/crates/sillpin-gateway/src/place/shared_limit.rs
+++ b/crates/sillpin-gateway/src/place/shared_limit.rs
@@ -45,11 +45,11 @@
 /// Time after its start in which a box takes no share: by then other boxes have read that it is
 /// registered or received a message from it. They read the registrations 0.7 s after their own
 /// start, and announce new boxes to each other at once.
-pub const KNOWS_AFTER: Duration = Duration::from_secs(3);
+pub const MEMBERSHIP_DELAY: Duration = Duration::from_secs(3);
 
 /// What a box knows about the boxes that share a limit with it.
 #[derive(Debug, Clone, Copy)]
-pub struct Sharers<'a> {
+pub struct ShareGroup<'a> {
     /// Id of this box.
     pub me: &'a BoxId,
     /// Zone of this box.
@@ -58,21 +58,21 @@
     pub others: &'a Arc<Vec<BoxEntry>>,
     /// Whether this box has run long enough for it and the others to know each other, and has read
     /// the registrations.
-    pub is_settled: bool,
+    pub is_membership_known: bool,
     /// Whether this box is about to stop: the others take over its share as soon as they know,
     /// while callers continue for seconds on connections that are open here.
     pub is_stopping: bool,
     /// Whether this box is in contact with the platform store, from which it learns about starts
     /// and stops.
-    pub is_in_touch: bool,
+    pub is_in_contact: bool,
     /// Zones that have targets of the pool.
     pub pool_zones: &'a [ZoneId],
 }
 
-impl Sharers<'_> {
+impl ShareGroup<'_> {
     /// Returns whether this box takes its share of every limit.
     pub fn is_sure(&self) -> bool {
-        self.is_settled && self.is_in_touch && !self.is_stopping
+        self.is_membership_known && self.is_in_contact && !self.is_stopping
     }
 }
 
@@ -174,18 +174,18 @@
     /// Returns whether this box may send one more request to a limited target now.
     pub fn admits(
         &mut self,
-        sharers: &Sharers<'_>,
+        share_group: &ShareGroup<'_>,
         target: &TargetEntry,
         limit: SharedLimit,
         how: Admission,
         now: Instant,
     ) -> bool {
-        let Some(part) = self.part(sharers, target, limit) else {
+        let Some(part) = self.part(share_group, target, limit) else {
             // Callers of a box that stops can use another one; callers of a box out of contact may
             // not be able to.
-            let may = how == Admission::Unsure && !sharers.is_stopping;
-            let is_near = *sharers.zone == target.zone;
-            return may && is_near && now >= self.seldom_from(sharers, &target.id, now);
+            let may = how == Admission::Unsure && !share_group.is_stopping;
+            let is_near = *share_group.zone == target.zone;
+            return may && is_near && now >= self.seldom_from(share_group, &target.id, now);
         };
         self.sent_within(&target.id, limit.period + OPENING, now) < part
     }
@@ -194,12 +194,12 @@
     /// share.
     pub fn free_at(
         &mut self,
-        sharers: &Sharers<'_>,
+        share_group: &ShareGroup<'_>,
         target: &TargetEntry,
         limit: SharedLimit,
         now: Instant,
     ) -> Option<Instant> {
-        let part = self.part(sharers, target, limit).filter(|part| *part > 0)?;
+        let part = self.part(share_group, target, limit).filter(|part| *part > 0)?;
         let sent = self.sent.get(&target.id).into_iter().flatten();
         // There is room once all but the last `part - 1` requests have expired.
         let blocking = sent.rev().nth(part as usize - 1);
@@ -210,13 +210,13 @@
     /// stopping.
     fn part(
         &mut self,
-        sharers: &Sharers<'_>,
+        share_group: &ShareGroup<'_>,
         target: &TargetEntry,
         limit: SharedLimit,
     ) -> Option<u32> {
-        let hears = sharers.is_in_touch || !limit.strict;
-        let takes_part = sharers.is_settled && !sharers.is_stopping && hears;
-        takes_part.then(|| self.place(sharers, target, limit.strict).part(limit.whole))
+        let has_recent_report = share_group.is_in_contact || !limit.strict;
+        let takes_part = share_group.is_membership_known && !share_group.is_stopping && has_recent_report;
+        takes_part.then(|| self.place(share_group, target, limit.strict).part(limit.whole))
     }
 
     fn sent_within(&self, target: &TargetId, time: Duration, now: Instant) -> u32 {
@@ -227,10 +227,10 @@
 
     /// Returns when this box may send to a limited target without knowing its share. The first time
     /// is random, since boxes that start together would otherwise send together.
-    fn seldom_from(&mut self, sharers: &Sharers<'_>, target: &TargetId, now: Instant) -> Instant {
+    fn seldom_from(&mut self, share_group: &ShareGroup<'_>, target: &TargetId, now: Instant) -> Instant {
         let first = || {
-            let others = sharers.others.iter();
-            let near = others.filter(|other| other.zone == *sharers.zone);
+            let others = share_group.others.iter();
+            let near = others.filter(|other| other.zone == *share_group.zone);
             let every = UNSURE_EVERY.max(UNSURE_EVERY_BOX * near.count() as u32);
             let from = now + every.mul_f64(rand::rng().random());
             Seldom { every, from }
@@ -239,19 +239,19 @@
     }
 
     /// Returns this box's rank among those that share a limit of a target, cached.
-    fn place(&mut self, sharers: &Sharers<'_>, target: &TargetEntry, strict: bool) -> Place {
-        if !Arc::ptr_eq(&self.others, sharers.others) {
-            self.others = sharers.others.clone();
+    fn place(&mut self, share_group: &ShareGroup<'_>, target: &TargetEntry, strict: bool) -> Place {
+        if !Arc::ptr_eq(&self.others, share_group.others) {
+            self.others = share_group.others.clone();
             self.places.clear();
         }
         let key = (target.id.clone(), strict);
         let known = self.places.get(&key);
-        if let Some((place, _)) = known.filter(|(_, zones)| zones == sharers.pool_zones) {
+        if let Some((place, _)) = known.filter(|(_, zones)| zones == share_group.pool_zones) {
             return *place;
         }
-        let place = place(sharers, target, strict);
+        let place = place(share_group, target, strict);
         self.places
-            .insert(key, (place, sharers.pool_zones.to_vec()));
+            .insert(key, (place, share_group.pool_zones.to_vec()));
         place
     }
 }
@@ -264,18 +264,18 @@
 
 /// Computes a box's rank among those that share a limit of a target. If the target's zone has no
 /// box, the boxes of all zones share it.
-fn place(sharers: &Sharers<'_>, target: &TargetEntry, strict: bool) -> Place {
-    let is_left_alone = |zone: &ZoneId| !strict && !sharers.pool_zones.contains(zone);
+fn place(share_group: &ShareGroup<'_>, target: &TargetEntry, strict: bool) -> Place {
+    let is_left_alone = |zone: &ZoneId| !strict && !share_group.pool_zones.contains(zone);
     let shares = |zone: &ZoneId| *zone == target.zone || is_left_alone(zone);
     let is_near = |zone: &ZoneId| *zone == target.zone;
-    let others = sharers.others.iter();
-    let zone_has_box = is_near(sharers.zone) || others.clone().any(|other| is_near(&other.zone));
-    if zone_has_box && !shares(sharers.zone) {
+    let others = share_group.others.iter();
+    let zone_has_box = is_near(share_group.zone) || others.clone().any(|other| is_near(&other.zone));
+    if zone_has_box && !shares(share_group.zone) {
         return NO_PLACE;
     }
     let sharing = others.filter(|other| !zone_has_box || shares(&other.zone));
     let rank = |id: &BoxId| (hash_pair(id.as_str(), target.id.as_str()), id.clone());
-    let own = rank(sharers.me);
+    let own = rank(share_group.me);
     let mut place = Place { ahead: 0, boxes: 1 };
     for other in sharing {
         place.boxes += 1;
--- a/crates/sillpin-gateway/src/place/words/backoff.rs
+++ b/crates/sillpin-gateway/src/place/words/backoff.rs
@@ -5,7 +5,7 @@
 //! applies to this box only: a target sends one to each box.
 
 use crate::dialect::RetryAfter;
-use crate::place::work::LifeHash;
+use crate::place::work::IncarnationHash;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -24,13 +24,13 @@
 /// End of the backoff of each target.
 #[derive(Debug, Default)]
 pub struct Backoffs {
-    until: BTreeMap<LifeHash, Instant>,
+    until: BTreeMap<IncarnationHash, Instant>,
 }
 
 impl Backoffs {
     /// Records the backoff of a refusal. Returns its length, or `None` if an earlier one lasts as
     /// long.
-    pub fn hear(&mut self, target: LifeHash, word: RetryAfter, now: Instant) -> Option<Duration> {
+    pub fn hear(&mut self, target: IncarnationHash, word: RetryAfter, now: Instant) -> Option<Duration> {
         let wait = match word {
             RetryAfter::Wait(wait) => wait.min(MAX),
             RetryAfter::Unreadable => UNREADABLE,
@@ -45,14 +45,14 @@
     }
 
     /// Returns the remaining backoff of a target.
-    pub fn left(&self, target: LifeHash, now: Instant) -> Option<Duration> {
+    pub fn left(&self, target: IncarnationHash, now: Instant) -> Option<Duration> {
         let until = self.until.get(&target)?;
         let left = until.saturating_duration_since(now);
         Some(left).filter(|left| !left.is_zero())
     }
 
     /// Returns all targets with a backoff.
-    pub fn all(&self, now: Instant) -> impl Iterator<Item = LifeHash> + '_ {
+    pub fn all(&self, now: Instant) -> impl Iterator<Item = IncarnationHash> + '_ {
         let running = self.until.iter().filter(move |(_, until)| now < **until);
         running.map(|(target, _)| *target)
     }
--- a/crates/sillpin-gateway/src/place/words/leaving.rs
+++ b/crates/sillpin-gateway/src/place/words/leaving.rs
@@ -4,7 +4,7 @@
 //! the platform store is unreachable the entry still lists the target as ready, and entries may be
 //! read long after they were written.
 
-use crate::place::work::LifeHash;
+use crate::place::work::IncarnationHash;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -21,22 +21,22 @@
 #[derive(Debug, Default)]
 pub struct Leaving {
     /// When each incarnation was last listed, or announced its shutdown.
-    known: BTreeMap<LifeHash, Instant>,
+    known: BTreeMap<IncarnationHash, Instant>,
 }
 
 impl Leaving {
     /// Records that a target is shutting down; returns whether that was unknown.
-    pub fn hear(&mut self, target: LifeHash, now: Instant) -> bool {
+    pub fn hear(&mut self, target: IncarnationHash, now: Instant) -> bool {
         self.known.insert(target, now).is_none()
     }
 
     /// Returns whether a target is shutting down.
-    pub fn has(&self, target: LifeHash) -> bool {
+    pub fn has(&self, target: IncarnationHash) -> bool {
         self.known.contains_key(&target)
     }
 
     /// Returns all incarnations that are shutting down.
-    pub fn all(&self) -> impl Iterator<Item = LifeHash> + '_ {
+    pub fn all(&self) -> impl Iterator<Item = IncarnationHash> + '_ {
         self.known.keys().copied()
     }
 
@@ -46,7 +46,7 @@
     }
 
     /// Removes incarnations that have been unlisted for a while.
-    pub fn follow(&mut self, is_listed: impl Fn(LifeHash) -> bool, now: Instant) {
+    pub fn follow(&mut self, is_listed: impl Fn(IncarnationHash) -> bool, now: Instant) {
         self.known.retain(|target, seen| {
             if is_listed(*target) {
                 *seen = now;
--- a/crates/sillpin-gateway/src/place/words/limit.rs
+++ b/crates/sillpin-gateway/src/place/words/limit.rs
@@ -9,7 +9,7 @@
 
 use crate::dialect::LimitWord;
 use crate::place::shared_limit::SharedLimit;
-use crate::place::work::LifeHash;
+use crate::place::work::IncarnationHash;
 use serde::{Deserialize, Serialize};
 use sillpin_core::RequestRate;
 use sillpin_telemetry::{event, events};
@@ -65,9 +65,9 @@
 
 /// A target's limit in a message between boxes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimitNews {
+pub struct LimitUpdate {
     /// Incarnation of the target.
-    pub target: LifeHash,
+    pub target: IncarnationHash,
     /// Limit of the target; `None` if it no longer has one.
     pub rate: Option<RequestRate>,
     /// Age of the observation in milliseconds.
@@ -78,7 +78,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitChange {
     /// Incarnation of the target.
-    pub target: LifeHash,
+    pub target: IncarnationHash,
     /// Current limit.
     pub rate: Option<RequestRate>,
     /// Previous limit.
@@ -116,9 +116,9 @@
 }
 
 impl Known {
-    fn news(&self, target: LifeHash, now: Instant) -> LimitNews {
+    fn news(&self, target: IncarnationHash, now: Instant) -> LimitUpdate {
         let age = now.saturating_duration_since(self.at).as_millis();
-        LimitNews {
+        LimitUpdate {
             target,
             rate: self.rate,
             age_ms: u32::try_from(age).unwrap_or(u32::MAX),
@@ -129,16 +129,16 @@
 /// Limits of all targets that have one, or recently had.
 #[derive(Debug, Default)]
 pub struct NamedLimits {
-    known: BTreeMap<LifeHash, Known>,
+    known: BTreeMap<IncarnationHash, Known>,
     /// The last one sent in rotation.
-    told: Option<LifeHash>,
+    told: Option<IncarnationHash>,
 }
 
 impl NamedLimits {
     /// Records the limit in a response to this box; returns the change, if there is one.
     pub fn answered(
         &mut self,
-        target: LifeHash,
+        target: IncarnationHash,
         heard: Heard,
         now: Instant,
     ) -> Option<LimitChange> {
@@ -178,7 +178,7 @@
     }
 
     /// Applies updates from another box; returns the changes.
-    pub fn hear(&mut self, news: &[LimitNews], now: Instant) -> Vec<LimitChange> {
+    pub fn hear(&mut self, news: &[LimitUpdate], now: Instant) -> Vec<LimitChange> {
         let mut changes = Vec::new();
         for one in news {
             let age = Duration::from_millis(u64::from(one.age_ms));
@@ -197,7 +197,7 @@
 
     fn set(
         &mut self,
-        target: LifeHash,
+        target: IncarnationHash,
         rate: Option<RequestRate>,
         at: Instant,
         now: Instant,
@@ -229,7 +229,7 @@
     }
 
     /// Returns the current limit of a target.
-    pub fn rate(&self, target: LifeHash) -> Option<RequestRate> {
+    pub fn rate(&self, target: IncarnationHash) -> Option<RequestRate> {
         self.known.get(&target)?.rate
     }
 
@@ -239,7 +239,7 @@
     }
 
     /// Returns the limit on what all boxes together may send to a target.
-    pub fn limit(&self, target: LifeHash, now: Instant) -> Option<SharedLimit> {
+    pub fn limit(&self, target: IncarnationHash, now: Instant) -> Option<SharedLimit> {
         let known = self.known.get(&target)?;
         if let Some(rate) = known.rate {
             return Some(limit(rate.per_s()));
@@ -265,7 +265,7 @@
     }
 
     /// Removes limits of unlisted targets and limits that ended long ago.
-    pub fn follow(&mut self, is_listed: impl Fn(LifeHash) -> bool, now: Instant) {
+    pub fn follow(&mut self, is_listed: impl Fn(IncarnationHash) -> bool, now: Instant) {
         self.known.retain(|target, known| {
             let age = now.saturating_duration_since(known.at);
             let memory = match (is_listed(*target), known.rate) {
@@ -285,7 +285,7 @@
     }
 
     /// Returns the changes that this box itself observed recently, to be forwarded by its hub.
-    pub fn found(&self, now: Instant) -> Vec<LimitNews> {
+    pub fn found(&self, now: Instant) -> Vec<LimitUpdate> {
         let is_fresh = |known: &&Known| {
             known
                 .found
@@ -300,17 +300,17 @@
 
     /// Returns the limits to send to other boxes: recent changes, and some of the others in
     /// rotation.
-    pub fn told(&mut self, now: Instant) -> Vec<LimitNews> {
+    pub fn told(&mut self, now: Instant) -> Vec<LimitUpdate> {
         let is_fresh = |known: &Known| now.saturating_duration_since(known.changed) < FRESH;
         let fresh = self.known.iter().filter(|(_, known)| is_fresh(known));
-        let mut news: Vec<LimitNews> = fresh
+        let mut news: Vec<LimitUpdate> = fresh
             .take(FRESH_IN_WORD)
             .map(|(target, known)| known.news(*target, now))
             .collect();
         let from = self.told.map_or(Bound::Unbounded, Bound::Excluded);
         let behind = self.known.range((from, Bound::Unbounded));
         let others = behind.take(OTHERS_IN_WORD);
-        let others: Vec<LimitNews> = others
+        let others: Vec<LimitUpdate> = others
             .map(|(target, known)| known.news(*target, now))
             .collect();
         let has_more = others.len() == OTHERS_IN_WORD;
--- a/crates/sillpin-gateway/src/place/words/mod.rs
+++ b/crates/sillpin-gateway/src/place/words/mod.rs
@@ -17,7 +17,7 @@
 use self::leaving::Leaving;
 use self::limit::{Heard, LimitChange, NamedLimits, log_limit};
 use self::replaced::Replaced;
-use super::work::LifeHash;
+use super::work::IncarnationHash;
 use crate::dialect::{RetryAfter, TargetWords};
 use sillpin_telemetry::{event, events};
 use slog::Logger;
@@ -27,7 +27,7 @@
 
 /// The signals of one response, with the properties of the response that qualify them.
 #[derive(Debug, Clone, Copy)]
-pub struct Said {
+pub struct SignalObservation {
     /// When the request was sent.
     pub sent: Instant,
     /// Signals in the response.
@@ -35,12 +35,12 @@
     /// Whether the response is a success from the target itself.
     pub success: bool,
     /// Whether the target refused the request for now.
-    pub turned_away: bool,
+    pub is_refusal: bool,
 }
 
 /// A change of what is known from signals, for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Change {
+pub enum SignalChange {
     /// A limit started, changed or ended.
     Limit(LimitChange),
     /// The target is shutting down.
@@ -56,7 +56,7 @@
 
 /// All that is known from the signals of targets.
 #[derive(Debug, Default)]
-pub struct Words {
+pub struct TargetSignals {
     /// Rate limits.
     pub limits: NamedLimits,
     /// Targets that are shutting down.
@@ -69,29 +69,29 @@
     slept: Duration,
 }
 
-impl Words {
+impl TargetSignals {
     /// Records the signals of a response to this box; returns the changes.
-    pub fn take(&mut self, target: LifeHash, said: Said, now: Instant) -> Vec<Change> {
+    pub fn take(&mut self, target: IncarnationHash, said: SignalObservation, now: Instant) -> Vec<SignalChange> {
         let heard = Heard {
             sent: said.sent,
             word: said.words.limit,
             success: said.success,
         };
         let limit = self.limits.answered(target, heard, now);
-        let mut changes: Vec<Change> = limit.into_iter().map(Change::Limit).collect();
+        let mut changes: Vec<SignalChange> = limit.into_iter().map(SignalChange::Limit).collect();
         if said.words.leaving && self.leaving.hear(target, now) {
-            changes.push(Change::Leaves);
+            changes.push(SignalChange::Leaves);
         }
-        if let Some(word) = said.words.retry_after.filter(|_| said.turned_away) {
+        if let Some(word) = said.words.retry_after.filter(|_| said.is_refusal) {
             let wait = self.backoffs.hear(target, word, now);
             let is_readable = word != RetryAfter::Unreadable;
-            changes.extend(wait.map(|wait| Change::BacksOff { wait, is_readable }));
+            changes.extend(wait.map(|wait| SignalChange::BacksOff { wait, is_readable }));
         }
         changes
     }
 
     /// Returns the targets to which this box sends no requests.
-    pub fn closed(&self, now: Instant) -> HashSet<LifeHash> {
+    pub fn closed(&self, now: Instant) -> HashSet<IncarnationHash> {
         let mut closed = self.replaced.known(now);
         closed.extend(self.leaving.all());
         closed.extend(self.backoffs.all(now));
@@ -100,13 +100,13 @@
 
     /// Returns the shortest remaining backoff of these targets, ignoring those that are gone;
     /// `None` if one of them accepts requests or none is left.
-    pub fn backed_off(
+    pub fn shortest_backoff(
         &self,
-        targets: impl Iterator<Item = LifeHash>,
+        targets: impl Iterator<Item = IncarnationHash>,
         now: Instant,
     ) -> Option<Duration> {
         let replaced = self.replaced.known(now);
-        let is_gone = |target: &LifeHash| replaced.contains(target) || self.leaving.has(*target);
+        let is_gone = |target: &IncarnationHash| replaced.contains(target) || self.leaving.has(*target);
         let there = targets.filter(|target| !is_gone(target));
         let waits: Option<Vec<Duration>> = there
             .map(|target| self.backoffs.left(target, now))
@@ -124,7 +124,7 @@
     }
 
     /// Removes what has expired, and incarnations that are gone.
-    pub fn follow(&mut self, is_listed: impl Fn(LifeHash) -> bool, now: Instant) {
+    pub fn follow(&mut self, is_listed: impl Fn(IncarnationHash) -> bool, now: Instant) {
         self.limits.follow(&is_listed, now);
         self.leaving.follow(is_listed, now);
         self.backoffs.follow(now);
@@ -132,11 +132,11 @@
 }
 
 /// Logs a change that a response to this box caused.
-pub fn log_change(log: &Logger, target: &str, change: Change) {
+pub fn log_change(log: &Logger, target: &str, change: SignalChange) {
     match change {
-        Change::Limit(change) => log_limit(log, target, change, "answer"),
-        Change::Leaves => event!(log, events::TARGET_LEAVES, "target" => target),
-        Change::BacksOff { wait, is_readable } => event!(log, events::TARGET_BACKS_OFF,
+        SignalChange::Limit(change) => log_limit(log, target, change, "answer"),
+        SignalChange::Leaves => event!(log, events::TARGET_LEAVES, "target" => target),
+        SignalChange::BacksOff { wait, is_readable } => event!(log, events::TARGET_BACKS_OFF,
             "target" => target, "wait_ms" => wait.as_millis(), "readable" => is_readable),
     }
 }
--- a/crates/sillpin-gateway/src/place/words/replaced.rs
+++ b/crates/sillpin-gateway/src/place/words/replaced.rs
@@ -5,7 +5,7 @@
 //! until the target starts again, which its entry then shows. Each box that had to find out by
 //! itself would waste an attempt, so boxes inform each other.
 
-use crate::place::work::LifeHash;
+use crate::place::work::IncarnationHash;
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -20,19 +20,19 @@
 /// Targets that are known to be replaced.
 #[derive(Debug, Default)]
 pub struct Replaced {
-    until: HashMap<LifeHash, Instant>,
-    found: HashMap<LifeHash, Instant>,
+    until: HashMap<IncarnationHash, Instant>,
+    found: HashMap<IncarnationHash, Instant>,
 }
 
 impl Replaced {
     /// Records that the current user of the address reported the replacement to this box.
-    pub fn find(&mut self, target: LifeHash, now: Instant) {
+    pub fn find(&mut self, target: IncarnationHash, now: Instant) {
         self.found.insert(target, now);
         self.hear(&[target], now);
     }
 
     /// Records replacements that other boxes observed.
-    pub fn hear(&mut self, targets: &[LifeHash], now: Instant) {
+    pub fn hear(&mut self, targets: &[IncarnationHash], now: Instant) {
         self.until.retain(|_, until| now < *until);
         for target in targets {
             self.until.entry(*target).or_insert(now + MEMORY);
@@ -40,13 +40,13 @@
     }
 
     /// Returns the recent observations of this box, to be sent to others.
-    pub fn told(&mut self, now: Instant) -> Vec<LifeHash> {
+    pub fn told(&mut self, now: Instant) -> Vec<IncarnationHash> {
         self.found.retain(|_, at| now - *at < TELL);
         self.found.keys().copied().collect()
     }
 
     /// Returns all targets that are known to be replaced.
-    pub fn known(&self, now: Instant) -> HashSet<LifeHash> {
+    pub fn known(&self, now: Instant) -> HashSet<IncarnationHash> {
         let known = self.until.iter().filter(|(_, until)| now < **until);
         known.map(|(target, _)| *target).collect()
     }
--- a/crates/sillpin-gateway/src/place/work.rs
+++ b/crates/sillpin-gateway/src/place/work.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Work {
     /// Prefill work that is not done yet, in milliseconds of engine time.
-    pub prompt_ms: f64,
+    pub prefill_ms: f64,
     /// Memory in tokens.
     pub tokens: f64,
     /// Number of requests.
@@ -23,9 +23,9 @@
 
 impl Work {
     /// Returns the work of one request.
-    pub fn one(prompt_ms: f64, tokens: Tokens) -> Self {
+    pub fn one(prefill_ms: f64, tokens: Tokens) -> Self {
         Self {
-            prompt_ms,
+            prefill_ms,
             tokens: tokens.0 as f64,
             requests: 1.0,
         }
@@ -33,14 +33,14 @@
 
     /// Adds other work.
     pub fn add(&mut self, other: Self) {
-        self.prompt_ms += other.prompt_ms;
+        self.prefill_ms += other.prefill_ms;
         self.tokens += other.tokens;
         self.requests += other.requests;
     }
 
     /// Subtracts work that is done.
     pub fn take(&mut self, other: Self) {
-        self.prompt_ms = (self.prompt_ms - other.prompt_ms).max(0.0);
+        self.prefill_ms = (self.prefill_ms - other.prefill_ms).max(0.0);
         self.tokens = (self.tokens - other.tokens).max(0.0);
         self.requests = (self.requests - other.requests).max(0.0);
     }
@@ -73,9 +73,9 @@
 /// Hash of one incarnation of a target at one address, used in messages between boxes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct LifeHash(u32);
+pub struct IncarnationHash(u32);
 
-impl LifeHash {
+impl IncarnationHash {
     /// Returns the hash of the incarnation that an entry describes.
     pub fn of(target: &TargetEntry) -> Self {
         let life = target.life.map_or(0, |life| life.0);
@@ -97,14 +97,14 @@
 
     /// Creates a report of `work` at the target with this hash.
     pub fn at(target: TargetHash, work: Work) -> Self {
-        let (ms, tokens) = (work.prompt_ms as u32, work.tokens as u32);
+        let (ms, tokens) = (work.prefill_ms as u32, work.tokens as u32);
         Self(target, ms, tokens, work.requests as u32)
     }
 
     /// Returns the reported work.
     pub fn work(self) -> Work {
         Work {
-            prompt_ms: f64::from(self.1),
+            prefill_ms: f64::from(self.1),
             tokens: f64::from(self.2),
             requests: f64::from(self.3),
         }
@@ -148,7 +148,7 @@
 
     /// Stores a hub's totals of the work of all boxes, including this one, and the boxes of the
     /// zone from which the hub receives messages.
-    pub fn hear_sums(&mut self, work: Vec<EngineWork>, members: &[BoxHash], now: Instant) {
+    pub fn apply_zone_totals(&mut self, work: Vec<EngineWork>, members: &[BoxHash], now: Instant) {
         let mut sums: HashMap<TargetHash, Work> = work.iter().map(|w| (w.0, w.work())).collect();
         for own in &self.reported {
             if let Some(sum) = sums.get_mut(&own.0) {
@@ -168,7 +168,7 @@
     }
 
     /// Returns whether a recent message came from a box, directly or through the hub.
-    pub fn hears(&self, from: &BoxId, now: Instant) -> bool {
+    pub fn has_recent_report(&self, from: &BoxId, now: Instant) -> bool {
         let word = self.words.get(from);
         let direct = word.is_some_and(|word| now - word.at < WORD_TIME);
         let told = self.told(now);
@@ -177,14 +177,14 @@
 
     /// Returns whether the last message from a hub is recent enough for the hub to be considered
     /// alive.
-    pub fn hears_hub(&self, now: Instant) -> bool {
+    pub fn is_hub_responsive(&self, now: Instant) -> bool {
         let told = self.told.as_ref();
         told.is_some_and(|told| now - told.at < HUB_FRESH)
     }
 
     /// Returns whether a box of the zone may be alive: the hub receives its messages, or there is
     /// no hub.
-    pub fn may_live(&self, id: &BoxId, now: Instant) -> bool {
+    pub fn may_be_alive(&self, id: &BoxId, now: Instant) -> bool {
         let told = self.told(now);
         told.is_none_or(|told| told.members.contains(&BoxHash::anywhere(id)))
     }
--- a/crates/sillpin-gateway/src/weights/rollout.rs
+++ b/crates/sillpin-gateway/src/weights/rollout.rs
@@ -162,8 +162,8 @@
         let large = zone.count() >= LARGE_ZONE;
         let alive = |id: &BoxId| match newcomer {
             true => true,
-            false if large => self.loads.may_live(id, now),
-            false => self.loads.hears(id, now),
+            false if large => self.loads.may_be_alive(id, now),
+            false => self.loads.has_recent_report(id, now),
         };
         roles::is_among(&view, &self.me, DUTY_ROLE, CANDIDATES, alive)
     }
@@ -239,7 +239,7 @@
             return;
         };
         let (target, life, model) = (loaded.target, loaded.life, loaded.model);
-        self.loads.note_life(&target, life, Outcome::Loaded);
+        self.loads.record_for_incarnation(&target, life, Outcome::Loaded);
         let news = LoadNews {
             target: target.clone(),
             life,
@@ -362,7 +362,7 @@
             ..
         } = outdated;
         self.loads
-            .note_life(&target.id, target.life, Outcome::Loading);
+            .record_for_incarnation(&target.id, target.life, Outcome::Loading);
         let news = LoadNews {
             target: target.id.clone(),
             life: target.life,
--- a/crates/sillpin-gateway/tests/allowed.rs
+++ b/crates/sillpin-gateway/tests/allowed.rs
@@ -2,7 +2,7 @@
 
 use sillpin_core::WeightVersion;
 use sillpin_gateway::beliefs::{Named, Wanted};
-use sillpin_gateway::place::allowed::WeightsUse;
+use sillpin_gateway::place::allowed::WeightsInputs;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::{Instant, advance};
@@ -29,17 +29,17 @@
 }
 
 /// The same for a box that has been in touch with the store since a moment, or is not.
-fn oldest_in_touch_since(in_touch: Option<Instant>, wanted: &Wanted, served: &[u64]) -> u64 {
+fn oldest_in_touch_since(in_contact: Option<Instant>, wanted: &Wanted, served: &[u64]) -> u64 {
     let now = Instant::now();
     let mut serving = BTreeMap::new();
     for number in served {
         *serving.entry(version(*number)).or_default() += 1;
     }
-    let weights = WeightsUse {
+    let weights = WeightsInputs {
         wanted: Some(wanted),
         serving: &serving,
         limit: LIMIT,
-        in_touch,
+        in_contact,
         now,
     };
     weights.allowed().oldest.0
@@ -274,18 +274,18 @@
     let back = Instant::now();
     advance(Duration::from_millis(8_900)).await;
     let serving = BTreeMap::from([(version(1), 2)]);
-    let weights = WeightsUse {
+    let weights = WeightsInputs {
         wanted: Some(&wanted),
         serving: &serving,
         limit: LIMIT,
-        in_touch: Some(back),
+        in_contact: Some(back),
         now: Instant::now(),
     };
     assert_eq!(weights.allowed().oldest, version(1), "it may be sent");
-    let begin_by = weights.begin_by(version(1));
+    let latest_start = weights.latest_start(version(1));
     assert!(
-        begin_by.is_some_and(|at| at < back + LIMIT),
-        "it may wait at its engine: {begin_by:?}"
+        latest_start.is_some_and(|at| at < back + LIMIT),
+        "it may wait at its engine: {latest_start:?}"
     );
 }
 
@@ -299,16 +299,16 @@
     wanted.note(named(2), Instant::now());
     let serving = BTreeMap::from([(version(1), 2)]);
     for _ in 0..200 {
-        let weights = WeightsUse {
+        let weights = WeightsInputs {
             wanted: Some(&wanted),
             serving: &serving,
             limit: LIMIT,
-            in_touch: Some(Instant::now() - Duration::from_secs(3_600)),
+            in_contact: Some(Instant::now() - Duration::from_secs(3_600)),
             now: Instant::now(),
         };
         if weights.allowed().oldest == version(1) {
-            let begin_by = weights.begin_by(version(1)).unwrap();
-            let left = begin_by - Instant::now();
+            let latest_start = weights.latest_start(version(1)).unwrap();
+            let left = latest_start - Instant::now();
             let age = wanted.newest().since.elapsed();
             assert!(left >= LEAST, "{left:?} after {age:?}");
         }
@@ -325,22 +325,22 @@
     wanted.note(named(2), Instant::now());
     advance(Duration::from_secs(20)).await;
     let serving = BTreeMap::from([(version(1), 1), (version(2), 1)]);
-    let away = WeightsUse {
+    let away = WeightsInputs {
         wanted: Some(&wanted),
         serving: &serving,
         limit: LIMIT,
-        in_touch: None,
+        in_contact: None,
         now: Instant::now(),
     };
     assert_eq!(away.allowed().oldest, version(0), "it may be sent");
-    assert_eq!(away.begin_by(version(1)), None);
-    let back = WeightsUse {
-        in_touch: Some(Instant::now()),
+    assert_eq!(away.latest_start(version(1)), None);
+    let back = WeightsInputs {
+        in_contact: Some(Instant::now()),
         ..away
     };
-    let begin_by = back.begin_by(version(1));
+    let latest_start = back.latest_start(version(1));
     assert!(
-        begin_by.is_none_or(|at| at > Instant::now()),
-        "it is taken back at once: {begin_by:?}"
+        latest_start.is_none_or(|at| at > Instant::now()),
+        "it is taken back at once: {latest_start:?}"
     );
 }
--- a/crates/sillpin-gateway/tests/beliefs.rs
+++ b/crates/sillpin-gateway/tests/beliefs.rs
@@ -309,20 +309,20 @@
     let start = Instant::now();
     let tell = |fleet: &mut Fleet<TestKeys>, asked| {
         fleet.handle(whole(Topic::Operators, Vec::new(), 1, asked), asked);
-        fleet.view().operators.in_touch(asked)
+        fleet.view().operators.in_contact(asked)
     };
-    assert_eq!(fleet.view().operators.in_touch(start), None);
+    assert_eq!(fleet.view().operators.in_contact(start), None);
     for seconds in [0, 2, 4] {
         let asked = start + Duration::from_secs(seconds);
         assert_eq!(tell(&mut fleet, asked), Some(start));
     }
     let silent = start + Duration::from_secs(7);
-    assert_eq!(fleet.view().operators.in_touch(silent), None);
+    assert_eq!(fleet.view().operators.in_contact(silent), None);
     let back = start + Duration::from_secs(9);
     assert_eq!(tell(&mut fleet, back), Some(back));
     let others = start + Duration::from_secs(5);
     fleet.handle(FleetMsg::Contact(others), back);
-    assert_eq!(fleet.view().operators.in_touch(back), Some(others));
+    assert_eq!(fleet.view().operators.in_contact(back), Some(others));
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/sillpin-gateway/tests/common/engines.rs
+++ b/crates/sillpin-gateway/tests/common/engines.rs
@@ -9,12 +9,12 @@
 use sillpin_gateway::dialect::{Part, PartId, Prompt};
 use sillpin_gateway::kept::Kept;
 use sillpin_gateway::peers::datagram::BoxHash;
-use sillpin_gateway::place::choose::PromptChoice;
+use sillpin_gateway::place::choose::PromptInputs;
 use sillpin_gateway::place::index::TargetIndex;
 use sillpin_gateway::place::parts::{Plan, PlanInputs, plan, salt};
 use sillpin_gateway::place::standing::Queue;
 use sillpin_gateway::place::work::{EngineWork, TargetHash, Work};
-use sillpin_gateway::place::{Choice, Chosen, Loads, Ticket, choose};
+use sillpin_gateway::place::{ChoiceInputs, ChosenTarget, Loads, InFlightGuard, choose};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
@@ -63,13 +63,13 @@
     /// When its caller gives it up.
     until: Instant,
     left_ms: f64,
-    ticket: Ticket,
+    ticket: InFlightGuard,
 }
 
 #[derive(Default)]
 struct Engine {
     queue: VecDeque<Running>,
-    generating: Vec<(Instant, Ticket)>,
+    generating: Vec<(Instant, InFlightGuard)>,
     held: usize,
 }
 
@@ -92,7 +92,7 @@
                 break;
             }
             if let Some(mut done) = self.queue.pop_front() {
-                done.ticket.prompt_done();
+                done.ticket.prefill_done();
                 began.push(now - done.sent);
                 self.generating.push((now + GENERATED, done.ticket));
             }
@@ -148,37 +148,37 @@
                 break;
             };
             let boxes = self.boxes.iter();
-            boxes.for_each(|of| of.hear_sums(work.clone(), &self.members));
+            boxes.for_each(|of| of.apply_zone_totals(work.clone(), &self.members));
         }
         waits
     }
 
     /// A box drawn by lot, and the engine that it chooses for a prompt.
-    pub fn place(&mut self) -> (usize, Chosen) {
+    pub fn place(&mut self) -> (usize, ChosenTarget) {
         let at = self.rng.random_range(0..self.boxes.len());
         let plans = [(WeightVersion(1), plan_of(self.rng.random()))];
         let (pool, zone): (PoolId, ZoneId) = (name("llm"), name("za"));
         let model = name("m");
-        let choice = Choice {
+        let choice = ChoiceInputs {
             targets: &self.index,
-            heard_late: self.lag.is_known,
+            reported_late: self.lag.is_known,
             loads: &self.boxes[at],
             pool: &pool,
             zone: &zone,
-            most_in_flight: 1_000,
+            max_in_flight: 1_000,
             tried: &[],
             body_len: 9_000,
-            prompt: Some(PromptChoice {
+            prompt: Some(PromptInputs {
                 model: &model,
                 tokens: PROMPT,
-                aim: AIM,
+                latency_objective: AIM,
                 room: ROOM,
                 wanted: None,
                 oldest: WeightVersion(0),
                 plans: &plans,
             }),
             residency: anywhere(),
-            gate: None,
+            limit_context: None,
             now: Instant::now(),
         };
         (at, choose(&choice).unwrap())
@@ -190,14 +190,14 @@
     }
 
     /// What a prompt meets at the engine that a box chose for it, and what has stood at those that it chose of late, in milliseconds.
-    pub fn meets(&self, (at, chosen): &(usize, Chosen)) -> (f64, f64) {
+    pub fn meets(&self, (at, chosen): &(usize, ChosenTarget)) -> (f64, f64) {
         let queue = Queue::heard(chosen.queue_ms, self.lag.is_known);
-        let standing_ms = self.boxes[*at].note_queue(queue, Instant::now());
+        let standing_ms = self.boxes[*at].record_queue(queue, Instant::now());
         (queue.met_ms, standing_ms)
     }
 
     /// Sends a prompt to the engine that was chosen for it; its caller gives it up after `patience`.
-    pub fn send(&mut self, (at, chosen): (usize, Chosen), patience: Duration) {
+    pub fn send(&mut self, (at, chosen): (usize, ChosenTarget), patience: Duration) {
         let now = Instant::now();
         let work = Work::one(PROMPT_MS, PROMPT);
         let running = Running {
@@ -254,7 +254,7 @@
         engine: &engine,
         kept: &Kept::default(),
         residency: anywhere(),
-        in_touch: true,
+        in_contact: true,
         now: Instant::now(),
     };
     plan(&prompt, &salt(&prompt, WeightVersion(1), None), &inputs)
--- a/crates/sillpin-gateway/tests/fatal.rs
+++ b/crates/sillpin-gateway/tests/fatal.rs
@@ -10,15 +10,15 @@
 use sillpin_gateway::control::TargetEntry;
 use sillpin_gateway::fatal::record::MAX_REQUESTS;
 use sillpin_gateway::fatal::{FatalWord, Record, RequestPrint};
-use sillpin_gateway::place::work::LifeHash;
+use sillpin_gateway::place::work::IncarnationHash;
 use std::time::Duration;
 use tokio::time::Instant;
 
 const FATAL: RequestPrint = RequestPrint(1);
 const OTHER: RequestPrint = RequestPrint(2);
 
-fn life(number: usize) -> LifeHash {
-    LifeHash::of(&TargetEntry {
+fn life(number: usize) -> IncarnationHash {
+    IncarnationHash::of(&TargetEntry {
         id: name(&format!("i-{number}")),
         ..engine("i", "za")
     })
--- a/crates/sillpin-gateway/tests/fatal_fleet.rs
+++ b/crates/sillpin-gateway/tests/fatal_fleet.rs
@@ -12,7 +12,7 @@
 use sillpin_gateway::control::TargetEntry;
 use sillpin_gateway::fatal::{FatalWord, Record, RequestPrint};
 use sillpin_gateway::peers::hub::Hub;
-use sillpin_gateway::place::work::LifeHash;
+use sillpin_gateway::place::work::IncarnationHash;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -85,8 +85,8 @@
     }
 }
 
-fn life(number: usize) -> LifeHash {
-    LifeHash::of(&TargetEntry {
+fn life(number: usize) -> IncarnationHash {
+    IncarnationHash::of(&TargetEntry {
         id: name(&format!("i-{number}")),
         ..engine("i", "za")
     })
@@ -126,9 +126,9 @@
         if one.memory.refused_until(FATAL, now).is_some() {
             continue;
         }
-        let in_touch = !one.cut && step - one.began > steps(contact);
+        let in_contact = !one.cut && step - one.began > steps(contact);
         let must_know = known.is_some_and(|known| step - known > steps(contact));
-        late += usize::from(in_touch && must_know);
+        late += usize::from(in_contact && must_know);
         one.memory.ended(life(ended), [FATAL], now, now);
         ended += 1;
         if ended == 3 {
--- a/crates/sillpin-gateway/tests/limited_fleet.rs
+++ b/crates/sillpin-gateway/tests/limited_fleet.rs
@@ -15,10 +15,10 @@
 use sillpin_gateway::dialect::LimitWord;
 use sillpin_gateway::kept::homes::hash_pair;
 use sillpin_gateway::peers::roles::SMALL_FLEET;
-use sillpin_gateway::place::limits::{Gate, Limits};
-use sillpin_gateway::place::shared_limit::{Admission, KNOWS_AFTER, Sharers};
-use sillpin_gateway::place::words::limit::{Heard, LimitNews};
-use sillpin_gateway::place::work::LifeHash;
+use sillpin_gateway::place::limits::{LimitContext, Limits};
+use sillpin_gateway::place::shared_limit::{Admission, MEMBERSHIP_DELAY, ShareGroup};
+use sillpin_gateway::place::words::limit::{Heard, LimitUpdate};
+use sillpin_gateway::place::work::IncarnationHash;
 use sillpin_gateway::settings::WarmUpRules;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -68,17 +68,17 @@
 }
 
 impl Memory for Limits {
-    type Word = LimitNews;
+    type Word = LimitUpdate;
 
-    fn found(&mut self, now: Instant) -> Vec<LimitNews> {
+    fn found(&mut self, now: Instant) -> Vec<LimitUpdate> {
         self.words.limits.found(now)
     }
 
-    fn told(&mut self, now: Instant) -> Vec<LimitNews> {
+    fn told(&mut self, now: Instant) -> Vec<LimitUpdate> {
         self.words.limits.told(now)
     }
 
-    fn hear(&mut self, words: &[LimitNews], now: Instant) {
+    fn hear(&mut self, words: &[LimitUpdate], now: Instant) {
         self.words.limits.hear(words, now);
     }
 }
@@ -235,26 +235,26 @@
         let looked = self.look(from);
         let one = &mut self.fleet.boxes[from];
         let started = STEP * (self.fleet.step - one.began) as u32;
-        let gate = Gate {
+        let limit_context = LimitContext {
             cold: &cold,
             warm_up: None,
             rules: WarmUpRules {
                 overage: 1.5,
                 slack: 5.0,
             },
-            sharers: Sharers {
+            share_group: ShareGroup {
                 me: &self.entries[from].id,
                 zone: &self.entries[from].zone,
                 others: &self.others[from],
-                is_settled: one.began == 0 || started >= KNOWS_AFTER,
+                is_membership_known: one.began == 0 || started >= MEMBERSHIP_DELAY,
                 is_stopping: false,
-                is_in_touch: !one.cut,
+                is_in_contact: !one.cut,
                 pool_zones: &self.zones,
             },
         };
         let mut admits = |target: &usize| {
             let entry = &self.targets[*target];
-            off == Off::Limits || one.memory.admits(&gate, entry, Admission::Part, now)
+            off == Off::Limits || one.memory.admits(&limit_context, entry, Admission::Part, now)
         };
         let Some(target) = looked.into_iter().find(|target| admits(target)) else {
             return false;
@@ -285,7 +285,7 @@
                 word,
                 success: true,
             };
-            let life = LifeHash::of(&self.targets[answer.target]);
+            let life = IncarnationHash::of(&self.targets[answer.target]);
             one.memory
                 .words
                 .limits
--- a/crates/sillpin-gateway/tests/lives.rs
+++ b/crates/sillpin-gateway/tests/lives.rs
@@ -15,7 +15,7 @@
 use sillpin_gateway::control::{Life, TargetEntry};
 use sillpin_gateway::place::Loads;
 use sillpin_gateway::place::load::Outcome;
-use sillpin_gateway::place::work::{LifeHash, Work};
+use sillpin_gateway::place::work::{IncarnationHash, Work};
 use sillpin_gateway::pool::{Conn, Pool};
 use sillpin_platform::{KvEntry, KvRevision, Snapshot, WatchReply};
 use std::collections::HashMap;
@@ -170,32 +170,32 @@
     let (loads, e1) = (Loads::default(), target("e1"));
     loads.follow(&living(100));
     for _ in 0..times {
-        loads.note_life(&e1, Some(Life(100)), outcome);
+        loads.record_for_incarnation(&e1, Some(Life(100)), outcome);
     }
     let ticket = loads.start(&e1, Work::one(10.0, Tokens(100)));
-    assert!(loads.get(&e1).rests(Instant::now()));
+    assert!(loads.get(&e1).in_cooldown(Instant::now()));
     loads.follow(&living(200));
-    assert!(!loads.get(&e1).rests(Instant::now()));
+    assert!(!loads.get(&e1).in_cooldown(Instant::now()));
     assert_eq!(loads.get(&e1).failing(), 0.0);
     assert_eq!(loads.get(&e1).in_flight, 1, "it has not ended yet");
     // How what had been sent to the earlier life ends.
     for _ in 0..times {
-        loads.note_life(&e1, Some(Life(100)), outcome);
+        loads.record_for_incarnation(&e1, Some(Life(100)), outcome);
     }
-    assert!(!loads.get(&e1).rests(Instant::now()));
+    assert!(!loads.get(&e1).in_cooldown(Instant::now()));
     drop(ticket);
     assert_eq!(loads.get(&e1).in_flight, 0);
 }
 
 #[test]
 fn a_target_that_was_replaced_is_used_again_once_it_has_started_anew() {
-    let of = |life| LifeHash::of(&living(life)[&target("e1")]);
+    let of = |life| IncarnationHash::of(&living(life)[&target("e1")]);
     assert_ne!(of(100), of(200));
     let moved = TargetEntry {
         addr: ([127, 0, 0, 2], 9).into(),
         ..living(100)[&target("e1")].as_ref().clone()
     };
-    assert_ne!(LifeHash::of(&moved), of(100));
+    assert_ne!(IncarnationHash::of(&moved), of(100));
 }
 
 #[tokio::test]
--- a/crates/sillpin-gateway/tests/named_limit.rs
+++ b/crates/sillpin-gateway/tests/named_limit.rs
@@ -8,12 +8,12 @@
 use sillpin_gateway::control::TargetEntry;
 use sillpin_gateway::dialect::LimitWord;
 use sillpin_gateway::place::words::limit::{Heard, NamedLimits};
-use sillpin_gateway::place::work::LifeHash;
+use sillpin_gateway::place::work::IncarnationHash;
 use std::time::Duration;
 use tokio::time::{Instant, advance};
 
-fn life(id: &str) -> LifeHash {
-    LifeHash::of(&TargetEntry {
+fn life(id: &str) -> IncarnationHash {
+    IncarnationHash::of(&TargetEntry {
         id: name(id),
         ..engine("i", "za")
     })
--- a/crates/sillpin-gateway/tests/overload.rs
+++ b/crates/sillpin-gateway/tests/overload.rs
@@ -7,7 +7,7 @@
 
 use common::engines::{AIM, LARGE, Lag, PROMPT_MS, SMALL, STEP, Zone};
 use rstest::rstest;
-use sillpin_policy::overload::Expected;
+use sillpin_policy::overload::StartEstimate;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -67,14 +67,14 @@
             let placed = zone.place();
             let millis = |ms: f64| Duration::from_secs_f64(ms.max(0.0) / 1000.0);
             let (queue_ms, standing_ms) = zone.meets(&placed);
-            let expected = Expected {
+            let expected = StartEstimate {
                 waited: now - first,
-                aim: AIM,
+                latency_objective: AIM,
                 queue: millis(queue_ms),
                 standing: millis(standing_ms),
                 own: millis(PROMPT_MS),
             };
-            match expected.refused_for(zone.draw()).filter(|_| refuses) {
+            match expected.lateness_if_refused(zone.draw()).filter(|_| refuses) {
                 None => zone.send(placed, PATIENCE),
                 Some(late) if first == now => {
                     let spread = SPREAD[outcome.asked % SPREAD.len()];
--- a/crates/sillpin-gateway/tests/place.rs
+++ b/crates/sillpin-gateway/tests/place.rs
@@ -11,15 +11,15 @@
 use sillpin_gateway::control::{Presence, TargetEntry};
 use sillpin_gateway::dialect::{LimitWord, Part, PartId, Prompt};
 use sillpin_gateway::kept::Kept;
-use sillpin_gateway::place::choose::PromptChoice;
+use sillpin_gateway::place::choose::PromptInputs;
 use sillpin_gateway::place::index::TargetIndex;
-use sillpin_gateway::place::limits::Gate;
+use sillpin_gateway::place::limits::LimitContext;
 use sillpin_gateway::place::load::Outcome;
 use sillpin_gateway::place::parts::{Plan, PlanInputs, plan, salt};
-use sillpin_gateway::place::shared_limit::Sharers;
+use sillpin_gateway::place::shared_limit::ShareGroup;
 use sillpin_gateway::place::words::limit::Heard;
-use sillpin_gateway::place::work::{EngineWork, LifeHash, TargetHash, Work};
-use sillpin_gateway::place::{Choice, Chosen, Loads, choose};
+use sillpin_gateway::place::work::{EngineWork, IncarnationHash, TargetHash, Work};
+use sillpin_gateway::place::{ChoiceInputs, ChosenTarget, Loads, choose};
 use sillpin_gateway::settings::WarmUpRules;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -45,9 +45,9 @@
     targets: Targets,
     loads: Loads,
     tried: Vec<TargetId>,
-    most_in_flight: u32,
+    max_in_flight: u32,
     body_len: usize,
-    heard_late: bool,
+    reported_late: bool,
 }
 
 impl Setting {
@@ -56,44 +56,44 @@
             targets,
             loads: Loads::default(),
             tried: Vec::new(),
-            most_in_flight: 10,
+            max_in_flight: 10,
             body_len: 0,
-            heard_late: false,
+            reported_late: false,
         }
     }
 
-    fn choose(&self, prompt: Option<PromptChoice<'_>>) -> Option<String> {
+    fn choose(&self, prompt: Option<PromptInputs<'_>>) -> Option<String> {
         let found = self.find(prompt);
         found.map(|chosen| chosen.target.id.to_string())
     }
 
-    fn find(&self, prompt: Option<PromptChoice<'_>>) -> Option<Chosen> {
+    fn find(&self, prompt: Option<PromptInputs<'_>>) -> Option<ChosenTarget> {
         let zone: ZoneId = name("za");
-        let choice = Choice {
+        let choice = ChoiceInputs {
             targets: &TargetIndex::new(&self.targets),
-            heard_late: self.heard_late,
+            reported_late: self.reported_late,
             loads: &self.loads,
             pool: &name("llm"),
             zone: &zone,
-            most_in_flight: self.most_in_flight,
+            max_in_flight: self.max_in_flight,
             tried: &self.tried,
             body_len: self.body_len,
             prompt,
             residency: anywhere(),
-            gate: Some(Gate {
+            limit_context: Some(LimitContext {
                 cold: &HashMap::new(),
                 warm_up: None,
                 rules: WarmUpRules {
                     overage: 1.5,
                     slack: 5.0,
                 },
-                sharers: Sharers {
+                share_group: ShareGroup {
                     me: &name("b"),
                     zone: &zone,
                     others: &Arc::default(),
-                    is_settled: true,
+                    is_membership_known: true,
                     is_stopping: false,
-                    is_in_touch: true,
+                    is_in_contact: true,
                     pool_zones: &[],
                 },
             }),
@@ -125,7 +125,7 @@
     let mut setting = Setting::new(targets(entries));
     setting.tried = vec![target("e1")];
     assert_eq!(setting.choose(None).as_deref(), Some("e3"));
-    setting.most_in_flight = 1;
+    setting.max_in_flight = 1;
     let _full = setting
         .loads
         .start(&target("e3"), Work::one(0.0, Tokens(0)));
@@ -179,7 +179,7 @@
     setting.loads.note(&target("e1"), Outcome::Unreachable);
     setting.loads.note(&target("e1"), Outcome::Reachable);
     let load = setting.loads.get(&target("e1"));
-    assert!(load.rests(Instant::now()));
+    assert!(load.in_cooldown(Instant::now()));
 }
 
 /// On a day with a zone cut off, requests went from one silent target of that zone to the next, a third of a
@@ -198,14 +198,14 @@
         .collect();
     let chosen = || setting.choose(None).unwrap();
     assert!(chosen().starts_with('b'), "the own target is busy");
-    setting.loads.note_reach(&name("zb"), false);
+    setting.loads.record_reachability(&name("zb"), false);
     assert!(
         chosen().starts_with('b'),
         "one target out of reach is no cut"
     );
-    setting.loads.note_reach(&name("zb"), false);
+    setting.loads.record_reachability(&name("zb"), false);
     assert_eq!(chosen(), "a1");
-    setting.loads.note_reach(&name("zb"), true);
+    setting.loads.record_reachability(&name("zb"), true);
     assert!(chosen().starts_with('b'));
 }
 
@@ -261,10 +261,10 @@
     newer.served[0].version = WeightVersion(2);
     let mut setting = Setting::new(targets(vec![engine("e1", "za"), newer]));
     let model = name("m");
-    let prompt = |oldest| PromptChoice {
+    let prompt = |oldest| PromptInputs {
         model: &model,
         tokens: Tokens(9_000),
-        aim: Duration::from_millis(500),
+        latency_objective: Duration::from_millis(500),
         room: Tokens(41_000),
         wanted: Some(WeightVersion(2)),
         oldest: WeightVersion(oldest),
@@ -287,10 +287,10 @@
 async fn other_boxes_prompt_work_counts_for_a_while() {
     let setting = Setting::new(three());
     let model = name("m");
-    let prompt = || PromptChoice {
+    let prompt = || PromptInputs {
         model: &model,
         tokens: Tokens(9_000),
-        aim: Duration::from_millis(500),
+        latency_objective: Duration::from_millis(500),
         room: Tokens(41_000),
         wanted: None,
         oldest: WeightVersion(0),
@@ -304,11 +304,11 @@
 }
 
 /// A prompt of 9,000 tokens for engines with memory for 41,000.
-fn long_prompt(model: &ModelId) -> PromptChoice<'_> {
-    PromptChoice {
+fn long_prompt(model: &ModelId) -> PromptInputs<'_> {
+    PromptInputs {
         model,
         tokens: Tokens(9_000),
-        aim: Duration::from_millis(500),
+        latency_objective: Duration::from_millis(500),
         room: Tokens(41_000),
         wanted: None,
         oldest: WeightVersion(0),
@@ -360,8 +360,8 @@
     let loads = Loads::default();
     let mut ticket = loads.start(&target("e1"), Work::one(100.0, Tokens(0)));
     assert_eq!(loads.get(&target("e1")).in_flight, 1);
-    ticket.prompt_done();
-    assert_eq!(loads.get(&target("e1")).work.prompt_ms, 0.0);
+    ticket.prefill_done();
+    assert_eq!(loads.get(&target("e1")).work.prefill_ms, 0.0);
     drop(ticket);
     assert_eq!(loads.get(&target("e1")).in_flight, 0);
 }
@@ -376,7 +376,7 @@
     assert!(fits(), "there is room for it");
     let mut long = setting.loads.start(&target("e1"), work(10_000));
     assert!(fits(), "room comes within 75 ms, the most that it may wait");
-    long.prompt_done();
+    long.prefill_done();
     tokio::time::advance(Duration::from_secs(3)).await;
     drop(long);
     let _again = setting.loads.start(&target("e1"), work(10_000));
@@ -388,7 +388,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_target_found_replaced_by_another_box_is_no_candidate_for_a_while() {
     let setting = Setting::new(three());
-    let hash = LifeHash::of(&engine("e1", "za"));
+    let hash = IncarnationHash::of(&engine("e1", "za"));
     let finder = Loads::default();
     finder.words(|words| words.replaced.find(hash, Instant::now()));
     let told = finder.words(|words| words.replaced.told(Instant::now()));
@@ -427,15 +427,15 @@
 ) {
     let engines = |zone: &'static str| (0..9).map(move |i| engine(&format!("{zone}-{i}"), zone));
     let mut setting = Setting::new(targets(engines("za").chain(engines("zb")).collect()));
-    setting.heard_late = true;
+    setting.reported_late = true;
     let work = |zone: &'static str, ms: u32| {
         engines(zone).map(move |e| EngineWork(TargetHash::of(&e.id), ms, 100, 1))
     };
     let told = work("za", here_ms).chain(work("zb", there_ms)).collect();
-    setting.loads.hear_sums(told, &[]);
+    setting.loads.apply_zone_totals(told, &[]);
     let model = name("m");
     let plans = [(WeightVersion(1), plan_kept_in("zb"))];
-    let prompt = PromptChoice {
+    let prompt = PromptInputs {
         plans: &plans,
         ..long_prompt(&model)
     };
@@ -451,24 +451,24 @@
     for limited in 0..9 {
         let engines = || (0..9).map(|i| engine(&format!("za-{i}"), "za"));
         let mut setting = Setting::new(targets(engines().collect()));
-        setting.heard_late = true;
+        setting.reported_late = true;
         let the_limited = engines().nth(limited).unwrap();
         let busy = engines().filter(|e| e.id != the_limited.id);
         let work = busy.map(|e| EngineWork(TargetHash::of(&e.id), 200, 100, 1));
-        setting.loads.hear_sums(work.collect(), &[]);
+        setting.loads.apply_zone_totals(work.collect(), &[]);
         let heard = Heard {
             sent: Instant::now(),
             word: Some(LimitWord::Rate("2".parse().unwrap())),
             success: true,
         };
-        let life = LifeHash::of(&the_limited);
+        let life = IncarnationHash::of(&the_limited);
         let now = Instant::now();
         setting
             .loads
             .words(|words| words.limits.answered(life, heard, now));
         let model = name("m");
         let plans = [(WeightVersion(1), plan_kept_in("za"))];
-        let prompt = || PromptChoice {
+        let prompt = || PromptInputs {
             plans: &plans,
             ..long_prompt(&model)
         };
@@ -526,7 +526,7 @@
         engine: &engine,
         kept: &kept,
         residency: anywhere(),
-        in_touch: true,
+        in_contact: true,
         now,
     };
     plan(&prompt, &salt, &inputs)
--- a/crates/sillpin-gateway/tests/residency.rs
+++ b/crates/sillpin-gateway/tests/residency.rs
@@ -12,7 +12,7 @@
 use sillpin_gateway::place::index::TargetIndex;
 use sillpin_gateway::place::parts::{PlanInputs, plan, salt};
 use sillpin_gateway::place::residency::{Residency, ZoneRegion, ZoneRegions};
-use sillpin_gateway::place::{Choice, Loads, choose};
+use sillpin_gateway::place::{ChoiceInputs, Loads, choose};
 use std::collections::HashMap;
 use std::sync::Arc;
 use tokio::time::Instant;
@@ -68,7 +68,7 @@
 async fn a_request_goes_to_targets_of_its_regions_only(
     #[case] route: &[&str],
     #[case] chosen: Option<&str>,
-    #[values(false, true)] heard_late: bool,
+    #[values(false, true)] reported_late: bool,
 ) {
     let entries = ["za", "zb", "zc"].map(|zone| engine(&format!("e-{zone}"), zone));
     let targets: HashMap<TargetId, Arc<TargetEntry>> = entries
@@ -80,13 +80,13 @@
         .map(|_| loads.start(&name("e-zc"), Default::default()))
         .collect();
     let (route, zones, zone): (_, _, ZoneId) = (regions(route), zones(), name("za"));
-    let choice = Choice {
+    let choice = ChoiceInputs {
         targets: &TargetIndex::new(&targets),
-        heard_late,
+        reported_late,
         loads: &loads,
         pool: &name("llm"),
         zone: &zone,
-        most_in_flight: 10,
+        max_in_flight: 10,
         tried: &[],
         body_len: 0,
         prompt: None,
@@ -95,7 +95,7 @@
             organisation: &[],
             regions: &zones,
         },
-        gate: None,
+        limit_context: None,
         now: Instant::now(),
     };
     let found = choose(&choice).map(|found| found.target.id.to_string());
@@ -156,7 +156,7 @@
                 organisation: &[],
                 regions: &zones,
             },
-            in_touch: true,
+            in_contact: true,
             now,
         };
         let part = plan(&prompt, &salt, &inputs).shared.remove(0);
--- a/crates/sillpin-gateway/tests/shared_limit.rs
+++ b/crates/sillpin-gateway/tests/shared_limit.rs
@@ -7,7 +7,7 @@
 use sillpin_core::{BoxId, ZoneId};
 use sillpin_gateway::beliefs::BoxEntry;
 use sillpin_gateway::control::TargetEntry;
-use sillpin_gateway::place::shared_limit::{Admission, SharedLimit, SharedLimits, Sharers};
+use sillpin_gateway::place::shared_limit::{Admission, SharedLimit, SharedLimits, ShareGroup};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -43,24 +43,24 @@
     pool_zones: &[ZoneId],
     target: &TargetEntry,
     limit: SharedLimit,
-    in_touch: bool,
+    in_contact: bool,
 ) -> Vec<usize> {
     let now = Instant::now();
     let send = |me: &BoxEntry| {
         let others = all.iter().filter(|other| *other != me).cloned();
         let others = Arc::new(others.collect());
-        let sharers = Sharers {
+        let share_group = ShareGroup {
             me: &me.id,
             zone: &me.zone,
             others: &others,
-            is_settled: true,
+            is_membership_known: true,
             is_stopping: false,
-            is_in_touch: in_touch,
+            is_in_contact: in_contact,
             pool_zones,
         };
         let mut shared = SharedLimits::new(PERIOD);
         let mut count = 0;
-        while shared.admits(&sharers, target, limit, Admission::Part, now) {
+        while shared.admits(&share_group, target, limit, Admission::Part, now) {
             shared.note_sent(&target.id, now);
             count += 1;
         }
@@ -125,13 +125,13 @@
     let all = boxes(&[2]);
     let others = Arc::new(vec![all[1].clone()]);
     let zones: Vec<ZoneId> = vec![name("z0")];
-    let sharers = Sharers {
+    let share_group = ShareGroup {
         me: &all[0].id,
         zone: &all[0].zone,
         others: &others,
-        is_settled: true,
+        is_membership_known: true,
         is_stopping: false,
-        is_in_touch: true,
+        is_in_contact: true,
         pool_zones: &zones,
     };
     let (target, limit) = (engine("e", "z0"), limit(4, false));
@@ -142,9 +142,9 @@
         tokio::time::advance(Duration::from_secs(1)).await;
     }
     let now = Instant::now();
-    assert!(!shared.admits(&sharers, &target, limit, Admission::Part, now));
-    let free = shared.free_at(&sharers, &target, limit, now).unwrap();
+    assert!(!shared.admits(&share_group, &target, limit, Admission::Part, now));
+    let free = shared.free_at(&share_group, &target, limit, now).unwrap();
     assert!(free >= began + PERIOD && free < began + PERIOD + Duration::from_millis(200));
     tokio::time::advance(free - now).await;
-    assert!(shared.admits(&sharers, &target, limit, Admission::Part, free));
+    assert!(shared.admits(&share_group, &target, limit, Admission::Part, free));
 }
--- a/crates/sillpin-gateway/tests/slow_start.rs
+++ b/crates/sillpin-gateway/tests/slow_start.rs
@@ -14,8 +14,8 @@
 use sillpin_gateway::beliefs::BoxEntry;
 use sillpin_gateway::config::WarmUp;
 use sillpin_gateway::control::TargetEntry;
-use sillpin_gateway::place::limits::{Gate, Limits};
-use sillpin_gateway::place::shared_limit::{Admission, KNOWS_AFTER, Sharers};
+use sillpin_gateway::place::limits::{LimitContext, Limits};
+use sillpin_gateway::place::shared_limit::{Admission, MEMBERSHIP_DELAY, ShareGroup};
 use sillpin_gateway::settings::WarmUpRules;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -232,26 +232,26 @@
             }
             let one = &mut fleet.boxes[of];
             let (others, zone): (_, ZoneId) = (one.others.clone(), one.entry.zone.clone());
-            let in_touch = one
+            let in_contact = one
                 .cut_since
                 .is_none_or(|at| now < at + Duration::from_secs(3));
-            let gate = Gate {
+            let limit_context = LimitContext {
                 cold: &cold,
                 warm_up: Some(WARM_UP),
                 rules: RULES,
-                sharers: Sharers {
+                share_group: ShareGroup {
                     me: &one.entry.id,
                     zone: &zone,
                     others: &others,
-                    is_settled: now >= one.began + KNOWS_AFTER,
+                    is_membership_known: now >= one.began + MEMBERSHIP_DELAY,
                     is_stopping: one.stopping.is_some(),
-                    is_in_touch: in_touch,
+                    is_in_contact: in_contact,
                     pool_zones: &[],
                 },
             };
             for target in &targets {
-                let admits = |state: &mut Limits, how| state.admits(&gate, target, how, now);
-                let lone = !gate.sharers.is_sure();
+                let admits = |state: &mut Limits, how| state.admits(&limit_context, target, how, now);
+                let lone = !limit_context.share_group.is_sure();
                 while !is_limited
                     || admits(&mut one.state, Admission::Part)
                     || (lone && admits(&mut one.state, Admission::Unsure))
--- a/crates/sillpin-gateway/tests/words.rs
+++ b/crates/sillpin-gateway/tests/words.rs
@@ -6,50 +6,50 @@
 use rstest::rstest;
 use sillpin_gateway::control::{Life, TargetEntry};
 use sillpin_gateway::dialect::{RetryAfter, TargetWords};
-use sillpin_gateway::place::words::{Change, Said, Words};
-use sillpin_gateway::place::work::LifeHash;
+use sillpin_gateway::place::words::{SignalChange, SignalObservation, TargetSignals};
+use sillpin_gateway::place::work::IncarnationHash;
 use std::time::Duration;
 use tokio::time::{Instant, advance};
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn life_of(id: &str, life: u64) -> LifeHash {
-    LifeHash::of(&TargetEntry {
+fn life_of(id: &str, life: u64) -> IncarnationHash {
+    IncarnationHash::of(&TargetEntry {
         id: name(id),
         life: Some(Life(life)),
         ..engine("i", "za")
     })
 }
 
-fn refusal(retry_after: RetryAfter) -> Said {
-    Said {
+fn refusal(retry_after: RetryAfter) -> SignalObservation {
+    SignalObservation {
         sent: Instant::now(),
         words: TargetWords {
             retry_after: Some(retry_after),
             ..TargetWords::default()
         },
         success: false,
-        turned_away: true,
+        is_refusal: true,
     }
 }
 
-fn wait(seconds: f64) -> Said {
+fn wait(seconds: f64) -> SignalObservation {
     refusal(RetryAfter::Wait(Duration::from_secs_f64(seconds)))
 }
 
-fn leaving() -> Said {
-    Said {
+fn leaving() -> SignalObservation {
+    SignalObservation {
         sent: Instant::now(),
         words: TargetWords {
             leaving: true,
             ..TargetWords::default()
         },
         success: true,
-        turned_away: false,
+        is_refusal: false,
     }
 }
 
-fn left(words: &Words, target: LifeHash) -> Option<f64> {
+fn left(words: &TargetSignals, target: IncarnationHash) -> Option<f64> {
     let left = words.backoffs.left(target, Instant::now());
     left.map(|left| left.as_secs_f64())
 }
@@ -60,13 +60,13 @@
 #[case::none(wait(0.0), None)]
 #[case::unreadable(refusal(RetryAfter::Unreadable), Some(1.0))]
 #[case::huge(refusal(RetryAfter::Wait(Duration::MAX)), Some(2_592_000.0))]
-#[case::in_a_success(Said { turned_away: false, ..wait(3.0) }, None)]
+#[case::in_a_success(SignalObservation { is_refusal: false, ..wait(3.0) }, None)]
 #[tokio::test(start_paused = true)]
 async fn a_target_wants_no_requests_for_as_long_as_its_refusal_says(
-    #[case] said: Said,
+    #[case] said: SignalObservation,
     #[case] expected: Option<f64>,
 ) {
-    let mut words = Words::default();
+    let mut words = TargetSignals::default();
     let target = life_of("i-1", 1);
     words.take(target, said, Instant::now());
     assert_eq!(left(&words, target), expected);
@@ -76,7 +76,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn of_several_times_the_one_that_ends_last_holds() {
-    let mut words = Words::default();
+    let mut words = TargetSignals::default();
     let target = life_of("i-1", 1);
     let first = words.take(target, wait(3.0), Instant::now());
     assert_eq!(first.len(), 1);
@@ -94,7 +94,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_time_goes_on_while_the_box_is_suspended() {
-    let mut words = Words::default();
+    let mut words = TargetSignals::default();
     let target = life_of("i-1", 1);
     words.take(target, wait(3.0), Instant::now());
     words.wake(2 * SECOND);
@@ -107,11 +107,11 @@
 
 #[tokio::test(start_paused = true)]
 async fn callers_are_kept_out_until_the_first_target_takes_requests() {
-    let mut words = Words::default();
+    let mut words = TargetSignals::default();
     let [a, b, gone] = ["i-1", "i-2", "i-3"].map(|id| life_of(id, 1));
     let now = Instant::now();
-    let kept_out = |words: &Words, targets: &[LifeHash]| {
-        let wait = words.backed_off(targets.iter().copied(), now);
+    let kept_out = |words: &TargetSignals, targets: &[IncarnationHash]| {
+        let wait = words.shortest_backoff(targets.iter().copied(), now);
         wait.map(|wait| wait.as_secs_f64())
     };
     words.take(a, wait(3.0), now);
@@ -126,11 +126,11 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_life_that_leaves_is_remembered_while_it_is_listed_and_a_while_after() {
-    let mut words = Words::default();
+    let mut words = TargetSignals::default();
     let (gone, there) = (life_of("i-1", 1), life_of("i-2", 1));
     for target in [gone, there] {
         let changes = words.take(target, leaving(), Instant::now());
-        assert_eq!(changes, [Change::Leaves]);
+        assert_eq!(changes, [SignalChange::Leaves]);
         assert!(words.take(target, leaving(), Instant::now()).is_empty());
     }
     assert!(!words.leaving.has(life_of("i-1", 2)), "a new life");
--- a/crates/sillpin-keeper/src/directory/table.rs
+++ b/crates/sillpin-keeper/src/directory/table.rs
@@ -1,7 +1,7 @@
 //! The prompts of the owned roots. No I/O: the clock is passed in.
 
 use sillpin_core::{BlockName, Generation, TargetId};
-use sillpin_policy::keeping::{KeepCandidate, ReturnGaps, should_keep, worth};
+use sillpin_policy::keeping::{KeepCandidate, ReturnGaps, should_keep, retention_value};
 use sillpin_policy::set::KeepingPolicy;
 use sillpin_rpc::directory::{BlockHints, HolderChange, KeptObject, PromptUse};
 use std::collections::{HashMap, HashSet};
@@ -122,14 +122,14 @@
         self.make_room();
         let prompt = self.prompts.entry(root).or_default();
         match prompt.used.replace(now) {
-            Some(before) => self.gaps.saw_return(now - before),
-            None => self.gaps.saw_first(),
+            Some(before) => self.gaps.record_return(now - before),
+            None => self.gaps.record_first_use(),
         }
         let held = prompt.holders.entry(used.target).or_default();
         held.extend(used.blocks.iter().copied());
         let candidate = KeepCandidate {
             blocks: used.blocks.len() as u32,
-            away: Duration::ZERO,
+            idle: Duration::ZERO,
         };
         if !to_export || !should_keep(policy, &self.gaps, candidate) {
             return None;
@@ -199,8 +199,8 @@
         for (root, prompt) in self.prompts.iter().filter(|(root, _)| mine(root)) {
             let objects = prompt.kept.values().filter(|o| o.store == *store).count();
             if objects > 0 {
-                let away = prompt.used.map_or(Duration::MAX, |used| now - used);
-                candidates.push((worth(&self.gaps, away), *root));
+                let idle = prompt.used.map_or(Duration::MAX, |used| now - used);
+                candidates.push((retention_value(&self.gaps, idle), *root));
                 known += objects;
             }
         }
--- a/crates/sillpin-policy/src/keeping.rs
+++ b/crates/sillpin-policy/src/keeping.rs
@@ -32,13 +32,13 @@
 
 impl ReturnGaps {
     /// Records the first use of a prompt.
-    pub fn saw_first(&mut self) {
+    pub fn record_first_use(&mut self) {
         self.first_seen += 1;
         self.age();
     }
 
     /// Records that a prompt returned after `gap`.
-    pub fn saw_return(&mut self, gap: Duration) {
+    pub fn record_return(&mut self, gap: Duration) {
         self.returned[bucket(gap)] += 1;
         self.age();
     }
@@ -74,7 +74,7 @@
     /// Number of complete blocks of the prompt.
     pub blocks: u32,
     /// Time since the prompt was last used.
-    pub away: Duration,
+    pub idle: Duration,
 }
 
 /// Returns whether a prompt's blocks are to be written to a store.
@@ -84,15 +84,15 @@
         KeepingKind::Everything => true,
         KeepingKind::Learnt => {
             prompt.blocks >= u32::from(policy.min_blocks)
-                && gaps.chance_of_return(prompt.away) >= policy.min_return_chance.fraction()
+                && gaps.chance_of_return(prompt.idle) >= policy.min_return_chance.fraction()
         }
     }
 }
 
-/// Returns the value of storing a block of a prompt that has been idle for `away`; the block with
+/// Returns the value of storing a block of a prompt that has been idle for `idle`; the block with
 /// the lowest value is evicted first. All blocks have the same size and the same cost of
 /// computation, so only the probability of a return matters; ties go to the prompt used last.
-pub fn worth(gaps: &ReturnGaps, away: Duration) -> f64 {
-    let recency = 1.0 / (1.0 + away.as_secs_f64());
-    gaps.chance_of_return(away) + recency * f64::EPSILON.sqrt()
+pub fn retention_value(gaps: &ReturnGaps, idle: Duration) -> f64 {
+    let recency = 1.0 / (1.0 + idle.as_secs_f64());
+    gaps.chance_of_return(idle) + recency * f64::EPSILON.sqrt()
 }
--- a/crates/sillpin-policy/src/overload.rs
+++ b/crates/sillpin-policy/src/overload.rs
@@ -14,7 +14,7 @@
 
 /// Ratio of the time that a prompt's prefill takes to the time that its tokens alone would take: a
 /// target generates tokens for other requests between the chunks of a prefill.
-pub const READING_FACTOR: f64 = 1.2;
+pub const PREFILL_FACTOR: f64 = 1.2;
 
 /// A request with less work of its own than this is judged by the current queue alone, however long
 /// its caller has waited: refusing it frees almost no capacity, and targets start it between the
@@ -40,11 +40,11 @@
 
 /// Estimates for one request at the target that could start it soonest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Expected {
+pub struct StartEstimate {
     /// Time for which the caller has waited.
     pub waited: Duration,
     /// Time within which the request should start, counted from the caller's first attempt.
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// Known work ahead of the request at the target.
     pub queue: Duration,
     /// Recent average of the queue at the chosen targets.
@@ -53,10 +53,10 @@
     pub own: Duration,
 }
 
-impl Expected {
+impl StartEstimate {
     /// Returns by how much the request would be late if it is to be refused, or `None` if it is to
     /// be served. `draw` is a random number from 0 to 1.
-    pub fn refused_for(&self, draw: f64) -> Option<Duration> {
+    pub fn lateness_if_refused(&self, draw: f64) -> Option<Duration> {
         if self.standing < LEAST_QUEUE || self.queue < LEAST_QUEUE {
             return None;
         }
@@ -64,9 +64,9 @@
             true => Duration::ZERO,
             false => self.waited + self.standing.mul_f64(STANDING_FACTOR),
         };
-        let begins = besides + self.queue + self.own.mul_f64(READING_FACTOR);
+        let begins = besides + self.queue + self.own.mul_f64(PREFILL_FACTOR);
         let bound = self
-            .aim
+            .latency_objective
             .mul_f64(LEAST_AIMS + (MOST_AIMS - LEAST_AIMS) * draw);
         begins.checked_sub(bound).filter(|late| !late.is_zero())
     }
--- a/crates/sillpin-policy/tests/overload.rs
+++ b/crates/sillpin-policy/tests/overload.rs
@@ -1,13 +1,13 @@
 //! Which requests are refused since no target can begin them in time.
 
 use rstest::rstest;
-use sillpin_policy::overload::Expected;
+use sillpin_policy::overload::StartEstimate;
 use std::time::Duration;
 
-fn expected(waited: u64, queue: u64, standing: u64, own: u64) -> Expected {
-    Expected {
+fn expected(waited: u64, queue: u64, standing: u64, own: u64) -> StartEstimate {
+    StartEstimate {
         waited: Duration::from_millis(waited),
-        aim: Duration::from_millis(500),
+        latency_objective: Duration::from_millis(500),
         queue: Duration::from_millis(queue),
         standing: Duration::from_millis(standing),
         own: Duration::from_millis(own),
@@ -28,16 +28,16 @@
 #[case::late_caller_with_a_short_request(expected(3_000, 100, 200, 10), false, false)]
 #[case::late_caller_and_a_short_queue_stands(expected(450, 30, 30, 100), true, true)]
 fn a_request_is_refused_if_it_cannot_begin_in_time_behind_what_waits(
-    #[case] expected: Expected,
+    #[case] expected: StartEstimate,
     #[case] by_the_least_draw: bool,
     #[case] by_the_greatest: bool,
 ) {
-    assert_eq!(expected.refused_for(0.0).is_some(), by_the_least_draw);
-    assert_eq!(expected.refused_for(1.0).is_some(), by_the_greatest);
+    assert_eq!(expected.lateness_if_refused(0.0).is_some(), by_the_least_draw);
+    assert_eq!(expected.lateness_if_refused(1.0).is_some(), by_the_greatest);
 }
 
 #[test]
 fn a_refusal_says_how_late_the_request_would_have_been() {
-    let late = expected(0, 200, 200, 100).refused_for(1.0);
+    let late = expected(0, 200, 200, 100).lateness_if_refused(1.0);
     assert_eq!(late, Some(Duration::from_millis(220)));
 }
--- a/crates/sillpin-policy/tests/policy.rs
+++ b/crates/sillpin-policy/tests/policy.rs
@@ -166,8 +166,8 @@
 fn return_gaps_are_learnt() {
     let mut gaps = ReturnGaps::default();
     for _ in 0..100 {
-        gaps.saw_first();
-        gaps.saw_return(Duration::from_secs(60));
+        gaps.record_first_use();
+        gaps.record_return(Duration::from_secs(60));
     }
     assert!(gaps.chance_of_return(Duration::from_secs(1)) > 0.45);
     assert!(gaps.chance_of_return(Duration::from_secs(600)) < 0.01);
