--- a/crates/sillpin-gateway/src/beliefs/reader.rs
+++ b/crates/sillpin-gateway/src/beliefs/reader.rs
@@ -189,7 +189,9 @@
         match (self.is_my_turn(), self.topic) {
             (true, _) => Turn::Reads,
             // The hub tells within milliseconds that something has changed, and each wait at the store costs a call.
-            (false, Topic::Operators) if self.loads.is_hub_responsive(Instant::now()) => Turn::Rests,
+            (false, Topic::Operators) if self.loads.is_hub_responsive(Instant::now()) => {
+                Turn::Rests
+            }
             (false, Topic::Operators) => Turn::Holds,
             (false, Topic::Targets) => Turn::Rests,
         }
--- a/crates/sillpin-gateway/src/fatal/record.rs
+++ b/crates/sillpin-gateway/src/fatal/record.rs
@@ -203,7 +203,13 @@
         prints
     }
 
-    fn note(&mut self, print: RequestPrint, life: IncarnationHash, at: Instant, now: Instant) -> bool {
+    fn note(
+        &mut self,
+        print: RequestPrint,
+        life: IncarnationHash,
+        at: Instant,
+        now: Instant,
+    ) -> bool {
         let suspect = self.suspects.entry(print);
         let suspect = suspect.or_insert_with(|| Suspect::new(now));
         let is_new = suspect.add(life, at);
@@ -252,7 +258,8 @@
             let mut there = others.filter(|(_, other)| other.ended.contains_key(life));
             there.any(|(_, other)| explains(other.count(), count))
         };
-        let is_alone = |life: &&IncarnationHash| !is_explained(life) && !self.is_mass_end(suspect, life);
+        let is_alone =
+            |life: &&IncarnationHash| !is_explained(life) && !self.is_mass_end(suspect, life);
         let unexplained = suspect.lives().filter(is_alone).count();
         let until = suspect.last()? + FATAL_MEMORY;
         (unexplained >= KNOWN_AFTER && now < until).then_some(until)
--- a/crates/sillpin-gateway/src/front/drive.rs
+++ b/crates/sillpin-gateway/src/front/drive.rs
@@ -226,7 +226,13 @@
         let mut links = self.kept.links();
         match placed.source {
             Some(store) => {
-                links.note_fetch(store, placed.length, excess, run.route.latency_objective, Instant::now());
+                links.note_fetch(
+                    store,
+                    placed.length,
+                    excess,
+                    run.route.latency_objective,
+                    Instant::now(),
+                );
             }
             None => links.note_read(placed.length, excess),
         }
@@ -257,7 +263,8 @@
             Ended::TakenBack => None,
         };
         if let Some(health) = health {
-            self.loads.record_for_incarnation(&target.id, target.life, health);
+            self.loads
+                .record_for_incarnation(&target.id, target.life, health);
         }
         match ended {
             Ended::Unsent(_) => {}
--- a/crates/sillpin-gateway/src/front/placing.rs
+++ b/crates/sillpin-gateway/src/front/placing.rs
@@ -19,7 +19,7 @@
 use crate::place::{ChoiceInputs, ChosenTarget, choose};
 use rand::RngExt;
 use sillpin_core::{ModelId, PoolId, Tokens, WeightVersion};
-use sillpin_policy::overload::{StartEstimate, PREFILL_FACTOR};
+use sillpin_policy::overload::{PREFILL_FACTOR, StartEstimate};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -85,8 +85,9 @@
 impl Selected {
     /// Prompt work of the request at the chosen target, in milliseconds.
     fn prefill_ms(&self) -> f64 {
-        let work =
-            |plan: &Plan| Plan::prefill_time_ms(plan.own_tokens) + plan.shared_time_ms(&self.chosen.target.zone);
+        let work = |plan: &Plan| {
+            Plan::prefill_time_ms(plan.own_tokens) + plan.shared_time_ms(&self.chosen.target.zone)
+        };
         self.plan.as_ref().map_or(0.0, work)
     }
 
@@ -333,7 +334,12 @@
     }
 
     /// Until when a prompt may begin at the target that was chosen for it, as far as is known by now.
-    pub fn latest_start(&self, run: &Run, pool: &PoolId, version: WeightVersion) -> Option<Instant> {
+    pub fn latest_start(
+        &self,
+        run: &Run,
+        pool: &PoolId,
+        version: WeightVersion,
+    ) -> Option<Instant> {
         let model = &run.demand.prompt.as_ref()?.model;
         let view = self.fleet.view();
         let serving = served_versions(&view, pool, model);
--- a/crates/sillpin-gateway/src/front/relay.rs
+++ b/crates/sillpin-gateway/src/front/relay.rs
@@ -80,7 +80,9 @@
                     return;
                 }
                 Pumped::CallerGone => {
-                    self.fatal.sent(run.print, IncarnationHash::of(&entry)).end(true);
+                    self.fatal
+                        .sent(run.print, IncarnationHash::of(&entry))
+                        .end(true);
                     self.metrics.request(&run.route.name, "caller-gone");
                     event!(self.log, events::CALLER_GONE, "request" => id,
                         "target" => target.as_str(),
@@ -88,12 +90,15 @@
                     return;
                 }
                 Pumped::TimeOver => {
-                    self.fatal.sent(run.print, IncarnationHash::of(&entry)).end(true);
+                    self.fatal
+                        .sent(run.print, IncarnationHash::of(&entry))
+                        .end(true);
                     "the request's time is over".to_owned()
                 }
                 Pumped::Broken(why) => {
                     self.broke_off(&run, &entry);
-                    self.loads.record_for_incarnation(&target, life, Health::Failed);
+                    self.loads
+                        .record_for_incarnation(&target, life, Health::Failed);
                     event!(self.log, events::SENDING_FAILED, "request" => id,
                         "target" => target.as_str(), "outcome" => "broken", "why" => &why,
                         "elapsed_ms" => run.arrival.elapsed().as_millis());
--- a/crates/sillpin-gateway/src/peers/spread.rs
+++ b/crates/sillpin-gateway/src/peers/spread.rs
@@ -156,7 +156,8 @@
 
     async fn send_bulletin(&self, socket: &UdpSocket, bulletin: Bulletin, roster: &Roster) {
         if let Some(sums) = &bulletin.sums {
-            self.loads.apply_zone_totals(sums.work.clone(), &bulletin.members);
+            self.loads
+                .apply_zone_totals(sums.work.clone(), &bulletin.members);
         }
         let to = roster.addrs(behind(&bulletin.members, self.name));
         self.send(socket, &Datagram::Bulletin(bulletin), to).await;
--- a/crates/sillpin-gateway/src/place/choose.rs
+++ b/crates/sillpin-gateway/src/place/choose.rs
@@ -293,7 +293,11 @@
 
     /// Returns whether a choice is good enough to consider no more engines.
     fn is_soon(&self, found: &ChosenTarget) -> bool {
-        let latency_objective = self.choice.prompt.as_ref().map_or(0.0, |p| millis(p.latency_objective));
+        let latency_objective = self
+            .choice
+            .prompt
+            .as_ref()
+            .map_or(0.0, |p| millis(p.latency_objective));
         !found.in_cooldown && found.queue_ms <= latency_objective * FURTHER_AIMS
     }
 
--- a/crates/sillpin-gateway/src/place/limits.rs
+++ b/crates/sillpin-gateway/src/place/limits.rs
@@ -1,6 +1,6 @@
 //! Applies the limits of targets to requests of this box.
 
-use super::shared_limit::{Admission, SharedLimit, SharedLimits, ShareGroup};
+use super::shared_limit::{Admission, ShareGroup, SharedLimit, SharedLimits};
 use super::slow_start::{self, SlowStart};
 use super::words::{TargetSignals, limit};
 use super::work::IncarnationHash;
@@ -55,18 +55,29 @@
         now: Instant,
     ) -> bool {
         let mut limits = self.of(limit_context, target, now).into_iter().flatten();
-        limits.all(|limit| self.shared.admits(&limit_context.share_group, target, limit, how, now))
+        limits.all(|limit| {
+            self.shared
+                .admits(&limit_context.share_group, target, limit, how, now)
+        })
     }
 
     /// Returns whether any target may be limited.
     pub fn has_any(&self, limit_context: &LimitContext<'_>) -> bool {
-        let cold = limit_context.warm_up.is_some() && (!limit_context.cold.is_empty() || self.slow_start.has_any());
+        let cold = limit_context.warm_up.is_some()
+            && (!limit_context.cold.is_empty() || self.slow_start.has_any());
         cold || !self.words.limits.is_empty()
     }
 
     /// Returns whether a target is limited.
-    pub fn is_limited(&self, limit_context: &LimitContext<'_>, target: &TargetEntry, now: Instant) -> bool {
-        self.of(limit_context, target, now).iter().any(Option::is_some)
+    pub fn is_limited(
+        &self,
+        limit_context: &LimitContext<'_>,
+        target: &TargetEntry,
+        now: Instant,
+    ) -> bool {
+        self.of(limit_context, target, now)
+            .iter()
+            .any(Option::is_some)
     }
 
     /// Returns how long this box has to wait before it may send one more request to a target;
@@ -79,7 +90,9 @@
     ) -> Option<Duration> {
         let limits = self.of(limit_context, target, now).into_iter().flatten();
         let waits = limits.filter_map(|limit| {
-            let free = self.shared.free_at(&limit_context.share_group, target, limit, now);
+            let free = self
+                .shared
+                .free_at(&limit_context.share_group, target, limit, now);
             // Other boxes send the target one request in each of so many parts of the period.
             let others = || now + limit.period / limit.whole.max(1);
             Some(free.unwrap_or_else(others)).filter(|at| *at > now)
@@ -89,7 +102,12 @@
 
     /// Returns the limits that apply at a target now: that of a cold target, and the one that the
     /// target reports.
-    fn of(&self, limit_context: &LimitContext<'_>, target: &TargetEntry, now: Instant) -> [Option<SharedLimit>; 2] {
+    fn of(
+        &self,
+        limit_context: &LimitContext<'_>,
+        target: &TargetEntry,
+        now: Instant,
+    ) -> [Option<SharedLimit>; 2] {
         let cold = self.cold_limit(limit_context, target, now);
         let limits = &self.words.limits;
         let named = match limits.is_empty() {
--- a/crates/sillpin-gateway/src/place/load.rs
+++ b/crates/sillpin-gateway/src/place/load.rs
@@ -324,7 +324,10 @@
     pub fn follow(&self, targets: &HashMap<TargetId, Arc<TargetEntry>>) {
         let now = Instant::now();
         self.limits().follow(|id| targets.contains_key(id), now);
-        let lives: HashSet<IncarnationHash> = targets.values().map(|entry| IncarnationHash::of(entry)).collect();
+        let lives: HashSet<IncarnationHash> = targets
+            .values()
+            .map(|entry| IncarnationHash::of(entry))
+            .collect();
         let is_listed = |life| lives.contains(&life);
         self.words(|words| words.follow(is_listed, now));
         let mut table = self.lock();
--- a/crates/sillpin-gateway/src/place/mod.rs
+++ b/crates/sillpin-gateway/src/place/mod.rs
@@ -31,4 +31,4 @@
 pub mod work;
 
 pub use choose::{ChoiceInputs, ChosenTarget, choose};
-pub use load::{Load, Loads, InFlightGuard};
+pub use load::{InFlightGuard, Load, Loads};
--- a/crates/sillpin-gateway/src/place/shared_limit.rs
+++ b/crates/sillpin-gateway/src/place/shared_limit.rs
@@ -199,7 +199,9 @@
         limit: SharedLimit,
         now: Instant,
     ) -> Option<Instant> {
-        let part = self.part(share_group, target, limit).filter(|part| *part > 0)?;
+        let part = self
+            .part(share_group, target, limit)
+            .filter(|part| *part > 0)?;
         let sent = self.sent.get(&target.id).into_iter().flatten();
         // There is room once all but the last `part - 1` requests have expired.
         let blocking = sent.rev().nth(part as usize - 1);
@@ -215,8 +217,12 @@
         limit: SharedLimit,
     ) -> Option<u32> {
         let has_recent_report = share_group.is_in_contact || !limit.strict;
-        let takes_part = share_group.is_membership_known && !share_group.is_stopping && has_recent_report;
-        takes_part.then(|| self.place(share_group, target, limit.strict).part(limit.whole))
+        let takes_part =
+            share_group.is_membership_known && !share_group.is_stopping && has_recent_report;
+        takes_part.then(|| {
+            self.place(share_group, target, limit.strict)
+                .part(limit.whole)
+        })
     }
 
     fn sent_within(&self, target: &TargetId, time: Duration, now: Instant) -> u32 {
@@ -227,7 +233,12 @@
 
     /// Returns when this box may send to a limited target without knowing its share. The first time
     /// is random, since boxes that start together would otherwise send together.
-    fn seldom_from(&mut self, share_group: &ShareGroup<'_>, target: &TargetId, now: Instant) -> Instant {
+    fn seldom_from(
+        &mut self,
+        share_group: &ShareGroup<'_>,
+        target: &TargetId,
+        now: Instant,
+    ) -> Instant {
         let first = || {
             let others = share_group.others.iter();
             let near = others.filter(|other| other.zone == *share_group.zone);
@@ -269,7 +280,8 @@
     let shares = |zone: &ZoneId| *zone == target.zone || is_left_alone(zone);
     let is_near = |zone: &ZoneId| *zone == target.zone;
     let others = share_group.others.iter();
-    let zone_has_box = is_near(share_group.zone) || others.clone().any(|other| is_near(&other.zone));
+    let zone_has_box =
+        is_near(share_group.zone) || others.clone().any(|other| is_near(&other.zone));
     if zone_has_box && !shares(share_group.zone) {
         return NO_PLACE;
     }
--- a/crates/sillpin-gateway/src/place/words/backoff.rs
+++ b/crates/sillpin-gateway/src/place/words/backoff.rs
@@ -30,7 +30,12 @@
 impl Backoffs {
     /// Records the backoff of a refusal. Returns its length, or `None` if an earlier one lasts as
     /// long.
-    pub fn hear(&mut self, target: IncarnationHash, word: RetryAfter, now: Instant) -> Option<Duration> {
+    pub fn hear(
+        &mut self,
+        target: IncarnationHash,
+        word: RetryAfter,
+        now: Instant,
+    ) -> Option<Duration> {
         let wait = match word {
             RetryAfter::Wait(wait) => wait.min(MAX),
             RetryAfter::Unreadable => UNREADABLE,
--- a/crates/sillpin-gateway/src/place/words/mod.rs
+++ b/crates/sillpin-gateway/src/place/words/mod.rs
@@ -71,7 +71,12 @@
 
 impl TargetSignals {
     /// Records the signals of a response to this box; returns the changes.
-    pub fn take(&mut self, target: IncarnationHash, said: SignalObservation, now: Instant) -> Vec<SignalChange> {
+    pub fn take(
+        &mut self,
+        target: IncarnationHash,
+        said: SignalObservation,
+        now: Instant,
+    ) -> Vec<SignalChange> {
         let heard = Heard {
             sent: said.sent,
             word: said.words.limit,
@@ -106,7 +111,8 @@
         now: Instant,
     ) -> Option<Duration> {
         let replaced = self.replaced.known(now);
-        let is_gone = |target: &IncarnationHash| replaced.contains(target) || self.leaving.has(*target);
+        let is_gone =
+            |target: &IncarnationHash| replaced.contains(target) || self.leaving.has(*target);
         let there = targets.filter(|target| !is_gone(target));
         let waits: Option<Vec<Duration>> = there
             .map(|target| self.backoffs.left(target, now))
--- a/crates/sillpin-gateway/src/weights/rollout.rs
+++ b/crates/sillpin-gateway/src/weights/rollout.rs
@@ -239,7 +239,8 @@
             return;
         };
         let (target, life, model) = (loaded.target, loaded.life, loaded.model);
-        self.loads.record_for_incarnation(&target, life, Outcome::Loaded);
+        self.loads
+            .record_for_incarnation(&target, life, Outcome::Loaded);
         let news = LoadNews {
             target: target.clone(),
             life,
--- a/crates/sillpin-gateway/tests/common/engines.rs
+++ b/crates/sillpin-gateway/tests/common/engines.rs
@@ -14,7 +14,7 @@
 use sillpin_gateway::place::parts::{Plan, PlanInputs, plan, salt};
 use sillpin_gateway::place::standing::Queue;
 use sillpin_gateway::place::work::{EngineWork, TargetHash, Work};
-use sillpin_gateway::place::{ChoiceInputs, ChosenTarget, Loads, InFlightGuard, choose};
+use sillpin_gateway::place::{ChoiceInputs, ChosenTarget, InFlightGuard, Loads, choose};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/sillpin-gateway/tests/limited_fleet.rs
+++ b/crates/sillpin-gateway/tests/limited_fleet.rs
@@ -254,7 +254,10 @@
         };
         let mut admits = |target: &usize| {
             let entry = &self.targets[*target];
-            off == Off::Limits || one.memory.admits(&limit_context, entry, Admission::Part, now)
+            off == Off::Limits
+                || one
+                    .memory
+                    .admits(&limit_context, entry, Admission::Part, now)
         };
         let Some(target) = looked.into_iter().find(|target| admits(target)) else {
             return false;
--- a/crates/sillpin-gateway/tests/overload.rs
+++ b/crates/sillpin-gateway/tests/overload.rs
@@ -74,7 +74,10 @@
                 standing: millis(standing_ms),
                 own: millis(PROMPT_MS),
             };
-            match expected.lateness_if_refused(zone.draw()).filter(|_| refuses) {
+            match expected
+                .lateness_if_refused(zone.draw())
+                .filter(|_| refuses)
+            {
                 None => zone.send(placed, PATIENCE),
                 Some(late) if first == now => {
                     let spread = SPREAD[outcome.asked % SPREAD.len()];
--- a/crates/sillpin-gateway/tests/slow_start.rs
+++ b/crates/sillpin-gateway/tests/slow_start.rs
@@ -250,7 +250,8 @@
                 },
             };
             for target in &targets {
-                let admits = |state: &mut Limits, how| state.admits(&limit_context, target, how, now);
+                let admits =
+                    |state: &mut Limits, how| state.admits(&limit_context, target, how, now);
                 let lone = !limit_context.share_group.is_sure();
                 while !is_limited
                     || admits(&mut one.state, Admission::Part)
--- a/crates/sillpin-keeper/src/directory/table.rs
+++ b/crates/sillpin-keeper/src/directory/table.rs
@@ -1,7 +1,7 @@
 //! The prompts of the owned roots. No I/O: the clock is passed in.
 
 use sillpin_core::{BlockName, Generation, TargetId};
-use sillpin_policy::keeping::{KeepCandidate, ReturnGaps, should_keep, retention_value};
+use sillpin_policy::keeping::{KeepCandidate, ReturnGaps, retention_value, should_keep};
 use sillpin_policy::set::KeepingPolicy;
 use sillpin_rpc::directory::{BlockHints, HolderChange, KeptObject, PromptUse};
 use std::collections::{HashMap, HashSet};
--- a/crates/sillpin-policy/tests/overload.rs
+++ b/crates/sillpin-policy/tests/overload.rs
@@ -32,7 +32,10 @@
     #[case] by_the_least_draw: bool,
     #[case] by_the_greatest: bool,
 ) {
-    assert_eq!(expected.lateness_if_refused(0.0).is_some(), by_the_least_draw);
+    assert_eq!(
+        expected.lateness_if_refused(0.0).is_some(),
+        by_the_least_draw
+    );
     assert_eq!(expected.lateness_if_refused(1.0).is_some(), by_the_greatest);
 }
 
