--- a/crates/sillpin-gateway/src/place/choose.rs
+++ b/crates/sillpin-gateway/src/place/choose.rs
@@ -6,9 +6,9 @@
 //! looked least loaded, it would get all of these prompts. So a prompt first considers a few
 //! engines, selected by a hash of the prompt, and further ones only if all of those are busy.
 
-use super::index::{Indexed, PoolTargets, TargetIndex};
+use super::index::{IndexedTarget, PoolTargets, TargetIndex};
 use super::limits::LimitContext;
-use super::load::{Load, Loads, Table};
+use super::load::{Load, Loads, LoadTable};
 use super::parts::Plan;
 use super::residency::Residency;
 use super::shared_limit::Admission;
@@ -24,11 +24,11 @@
 
 /// What each request in flight at an engine adds to the next one's expected time, in milliseconds:
 /// each makes a step of the engine 0.1 ms longer, and a request takes a few dozen steps.
-const IN_FLIGHT_MS: f64 = 2.0;
+const MS_PER_REQUEST: f64 = 2.0;
 
 /// Share of an engine's memory that requests may occupy before the next one waits; the rest is for
 /// the tokens that they generate.
-const MEMORY_SHARE: f64 = 0.9;
+const USABLE_MEMORY_SHARE: f64 = 0.9;
 
 /// Longest expected wait for memory, as a part of the latency objective, at which an engine still
 /// counts as one with free memory: the prompt's parts are fetched meanwhile. Engines with free
@@ -36,23 +36,23 @@
 /// with objectives of 0.3 to 0.5 s 0.644, where 0.9 of the memory gave 0.635 and 1.25 gave 0.649;
 /// with objectives of 1.2 s, on hard days, 0.657, where 0.9 gave 0.652. Differences below 0.02 are
 /// noise.
-const ROOM_WAIT_AIM_PART: f64 = 0.15;
+const MAX_MEMORY_WAIT_FACTOR: f64 = 0.15;
 
 /// What each request in flight at a target without a model adds, in milliseconds: its work takes 30
 /// to 60 ms, and a target runs six at once.
-const PLAIN_IN_FLIGHT_MS: f64 = 12.0;
+const PLAIN_MS_PER_REQUEST: f64 = 12.0;
 
 /// Advantage of a prompt's home over other engines, in milliseconds. An engine holds a prefilled
 /// prompt for one or two seconds and a session's next request comes after twelve, so the home saves
 /// one fetch in eight. Measured: 5 and 15 are equal, 40 is worse.
-const HOME_MS: f64 = 15.0;
+const HOME_ADVANTAGE_MS: f64 = 15.0;
 
 /// Cost of another zone in milliseconds, for the longer network path.
-const FOREIGN_ZONE_MS: f64 = 8.0;
+const OTHER_ZONE_MS: f64 = 8.0;
 
 /// Cost of sending a request's body to another zone, in milliseconds per byte: 27 ms for a long
 /// prompt of 18 KB, less than a queue that matters. Measured: twice the cost is no better.
-const FOREIGN_BYTE_MS: f64 = 0.0015;
+const OTHER_ZONE_MS_PER_BYTE: f64 = 0.0015;
 
 /// Cost of weights that are being replaced: responses from them lose a fifth of their credit after
 /// a while. Small compared with a queue, so that the first engines with new weights are not
@@ -64,10 +64,10 @@
 
 /// Cost of a zone that looks partitioned: each attempt there takes a third of a second and most
 /// likely fails.
-const CUT_OFF_MS: f64 = 1_500.0;
+const PARTITIONED_MS: f64 = 1_500.0;
 
 /// Cost of a target in cooldown; such a target is chosen only if there is no other.
-const RESTING_MS: f64 = 10_000.0;
+const COOLDOWN_MS: f64 = 10_000.0;
 
 /// A request to place, and the state on which the choice depends.
 pub struct ChoiceInputs<'a> {
@@ -144,15 +144,15 @@
     /// Whether the target is in cooldown, so that it is used only if there is no other.
     pub in_cooldown: bool,
     /// Whether the target has enough memory for the request.
-    pub fits: bool,
+    pub has_memory: bool,
 }
 
 impl ChosenTarget {
     /// Orders targets: those with enough memory first, then by cost.
     fn is_better_than(&self, other: &ChosenTarget) -> bool {
-        match self.fits == other.fits {
+        match self.has_memory == other.has_memory {
             true => self.cost_ms < other.cost_ms,
-            false => self.fits,
+            false => self.has_memory,
         }
     }
 }
@@ -161,16 +161,16 @@
 /// engines behind 60 boxes that hear of each other 0.15 to 0.3 s late, at 84 % of the prefill
 /// capacity, 95 % of prompts start within 0.5 s if two engines are considered, 92 % with three, and
 /// 66 % with all (`herd.rs`, three seeds).
-const FIRST_LOOK: usize = 2;
+const FIRST_ENGINES: usize = 2;
 
 /// Number of engines of the own zone, and of all other zones, that are considered next.
-const SECOND_LOOK: usize = 4;
+const SECOND_ENGINES: usize = 4;
 
 /// More engines are considered if the prompt would wait for longer than its latency objective times
 /// this factor: it is late then anyway. With half the objective fewer prompts start in time (0.86
 /// instead of 0.91 at 94 % of the prefill capacity, same test), because an engine that looks idle
 /// looks so to all boxes.
-const FURTHER_AIMS: f64 = 1.0;
+const MAX_WAIT_FACTOR: f64 = 1.0;
 
 /// Returns the target with the lowest cost, or `None` if no target can take the request.
 pub fn choose(choice: &ChoiceInputs<'_>) -> Option<ChosenTarget> {
@@ -189,7 +189,7 @@
     if choice.prompt.is_none() || !choice.reported_late {
         return search.best_of(&search.ranked(pool.all.iter()), usize::MAX);
     }
-    search.look_wider(pool)
+    search.best_of_widening(pool)
 }
 
 /// Returns the better of two choices.
@@ -206,27 +206,27 @@
     admission: Admission,
     others: Arc<HashMap<TargetHash, Work>>,
     /// Targets that accept nothing from this box, according to their own responses.
-    closed: HashSet<IncarnationHash>,
+    unavailable: HashSet<IncarnationHash>,
     /// Hash of the prompt's last shared part, which determines its homes.
     key: Option<u64>,
-    table: Table<'a>,
+    table: LoadTable<'a>,
 }
 
 impl<'a> Search<'a> {
     fn new(choice: &'a ChoiceInputs<'a>, admission: Admission) -> Self {
-        let affinity = choice
+        let affinity_key = choice
             .prompt
             .as_ref()
             .and_then(|p| p.any_plan())
-            .and_then(Plan::affinity);
-        let closed = choice.loads.words(|words| words.closed(choice.now));
+            .and_then(Plan::affinity_key);
+        let unavailable = choice.loads.words(|words| words.unavailable(choice.now));
         Self {
             others: match choice.prompt {
                 Some(_) => choice.loads.others(choice.now),
                 None => Arc::default(),
             },
-            closed,
-            key: affinity.map(|key| hash_pair(&key.part.0, "")),
+            unavailable,
+            key: affinity_key.map(|key| hash_pair(&key.part.0, "")),
             table: choice.loads.table(),
             choice,
             admission,
@@ -235,10 +235,10 @@
 
     /// Returns targets in the order in which they are homes of the prompt. The order is the same at
     /// all boxes, so they all leave a busy home for the same other engine.
-    fn ranked<'t>(&self, targets: impl Iterator<Item = &'t Indexed>) -> Vec<&'t Indexed> {
-        let mut targets: Vec<&Indexed> = targets.collect();
+    fn ranked<'t>(&self, targets: impl Iterator<Item = &'t IndexedTarget>) -> Vec<&'t IndexedTarget> {
+        let mut targets: Vec<&IndexedTarget> = targets.collect();
         if let Some(key) = self.key {
-            targets.sort_by_cached_key(|target| std::cmp::Reverse(target.rank(key)));
+            targets.sort_by_cached_key(|target| std::cmp::Reverse(target.home_rank(key)));
         }
         targets
     }
@@ -246,7 +246,7 @@
     /// Returns the zone whose stores hold most of the prompt, unless it is the own zone. A fetch
     /// from another zone takes a store's link for twice as long, and the total load of the links
     /// decides how long each fetch waits.
-    fn parts_zone(&self) -> Option<&ZoneId> {
+    fn stored_parts_zone(&self) -> Option<&ZoneId> {
         let prompt = self.choice.prompt.as_ref()?;
         let (_, newest) = prompt.plans.last()?;
         newest.main_zone().filter(|zone| *zone != self.choice.zone)
@@ -254,31 +254,31 @@
 
     /// Considers two engines of the own zone and two of the zone that holds the prompt's parts,
     /// then a few more of all zones, then all if the best of those is in cooldown.
-    fn look_wider(&self, pool: &PoolTargets) -> Option<ChosenTarget> {
+    fn best_of_widening(&self, pool: &PoolTargets) -> Option<ChosenTarget> {
         let own = self.ranked(pool.of_zone(self.choice.zone).iter());
         let near_parts = self
-            .parts_zone()
+            .stored_parts_zone()
             .map(|zone| self.ranked(pool.of_zone(zone).iter()));
-        let near_parts = near_parts.and_then(|near| self.best_of(&near, FIRST_LOOK));
-        let first = better(self.best_of(&own, FIRST_LOOK), near_parts);
-        let first = better(first, self.best_of(&self.limited(&own), usize::MAX));
-        if first.as_ref().is_some_and(|found| self.is_soon(found)) {
+        let near_parts = near_parts.and_then(|near| self.best_of(&near, FIRST_ENGINES));
+        let first = better(self.best_of(&own, FIRST_ENGINES), near_parts);
+        let first = better(first, self.best_of(&self.limited_only(&own), usize::MAX));
+        if first.as_ref().is_some_and(|found| self.is_good_enough(found)) {
             return first;
         }
-        let others = self.ranked(pool.of_others(self.choice.zone));
-        let own_few = self.best_of(&own, SECOND_LOOK);
-        let others_few = self.best_of(&others, SECOND_LOOK);
-        let second = better(own_few, others_few);
+        let others = self.ranked(pool.of_other_zones(self.choice.zone));
+        let own_best = self.best_of(&own, SECOND_ENGINES);
+        let others_best = self.best_of(&others, SECOND_ENGINES);
+        let second = better(own_best, others_best);
         if second.as_ref().is_some_and(|found| !found.in_cooldown) {
             return second;
         }
-        let all: Vec<&Indexed> = own.into_iter().chain(others).collect();
+        let all: Vec<&IndexedTarget> = own.into_iter().chain(others).collect();
         self.best_of(&all, usize::MAX)
     }
 
     /// Returns those of the targets that are limited. Few boxes have a share of a target's limit,
     /// and two engines selected for a prompt are rarely those at which its box has one.
-    fn limited<'t>(&self, targets: &[&'t Indexed]) -> Vec<&'t Indexed> {
+    fn limited_only<'t>(&self, targets: &[&'t IndexedTarget]) -> Vec<&'t IndexedTarget> {
         let Some(limit_context) = &self.choice.limit_context else {
             return Vec::new();
         };
@@ -287,34 +287,34 @@
             return Vec::new();
         }
         let is_limited =
-            |target: &&&Indexed| limits.is_limited(limit_context, &target.entry, self.choice.now);
+            |target: &&&IndexedTarget| limits.is_limited(limit_context, &target.entry, self.choice.now);
         targets.iter().filter(is_limited).copied().collect()
     }
 
     /// Returns whether a choice is good enough to consider no more engines.
-    fn is_soon(&self, found: &ChosenTarget) -> bool {
+    fn is_good_enough(&self, found: &ChosenTarget) -> bool {
         let latency_objective = self
             .choice
             .prompt
             .as_ref()
             .map_or(0.0, |p| millis(p.latency_objective));
-        !found.in_cooldown && found.queue_ms <= latency_objective * FURTHER_AIMS
+        !found.in_cooldown && found.queue_ms <= latency_objective * MAX_WAIT_FACTOR
     }
 
-    /// Returns the best of the first targets that can take the request, counting at most `most`
+    /// Returns the best of the first targets that can take the request, counting at most `max_available`
     /// targets that are not in cooldown.
-    fn best_of(&self, targets: &[&Indexed], most: usize) -> Option<ChosenTarget> {
-        let (mut candidates, mut active) = (0, 0);
+    fn best_of(&self, targets: &[&IndexedTarget], max_available: usize) -> Option<ChosenTarget> {
+        let (mut candidates, mut available) = (0, 0);
         let mut best: Option<ChosenTarget> = None;
-        for (place, target) in targets.iter().enumerate() {
-            if active == most {
+        for (position, target) in targets.iter().enumerate() {
+            if available == max_available {
                 break;
             }
-            let Some(found) = self.candidate(target, place) else {
+            let Some(found) = self.candidate(target, position) else {
                 continue;
             };
             candidates += 1;
-            active += usize::from(!found.in_cooldown);
+            available += usize::from(!found.in_cooldown);
             if best.as_ref().is_none_or(|best| found.is_better_than(best)) {
                 best = Some(found);
             }
@@ -331,11 +331,11 @@
         limits.admits(limit_context, entry, self.admission, self.choice.now)
     }
 
-    /// Returns a target with its cost, or `None` if it can't take the request. `place` is its
+    /// Returns a target with its cost, or `None` if it can't take the request. `position` is its
     /// position among the prompt's homes.
-    fn candidate(&self, target: &Indexed, place: usize) -> Option<ChosenTarget> {
+    fn candidate(&self, target: &IndexedTarget, position: usize) -> Option<ChosenTarget> {
         let (choice, entry) = (self.choice, &target.entry);
-        if choice.tried.contains(&entry.id) || self.closed.contains(&target.life) {
+        if choice.tried.contains(&entry.id) || self.unavailable.contains(&target.life) {
             return None;
         }
         if !choice.residency.allows(&entry.zone) {
@@ -354,16 +354,16 @@
             Some(prompt) => Some(served(entry, prompt.model).filter(|v| *v >= prompt.oldest)?),
             None => None,
         };
-        let away = self.key.map_or(0, |_| place);
+        let position = self.key.map_or(0, |_| position);
         let in_cooldown = load.in_cooldown(choice.now);
         Some(ChosenTarget {
             target: entry.clone(),
             version,
             queue_ms: load.work.prefill_ms + memory_ms(choice, &load),
-            cost_ms: cost(choice, entry, &load, version, away),
+            cost_ms: cost(choice, entry, &load, version, position),
             candidates: 0,
             in_cooldown,
-            fits: !in_cooldown && fits(choice, &load),
+            has_memory: !in_cooldown && has_memory(choice, &load),
         })
     }
 }
@@ -373,36 +373,36 @@
     target: &TargetEntry,
     load: &Load,
     version: Option<WeightVersion>,
-    away: usize,
+    position: usize,
 ) -> f64 {
-    let mut ms = load.failing() * FAILING_MS;
+    let mut ms = load.failure_rate() * FAILING_MS;
     if load.in_cooldown(choice.now) {
-        ms += RESTING_MS;
+        ms += COOLDOWN_MS;
     }
     if target.zone != *choice.zone {
-        ms += FOREIGN_ZONE_MS + choice.body_len as f64 * FOREIGN_BYTE_MS;
-        if choice.loads.looks_cut_off(&target.zone, choice.now) {
-            ms += CUT_OFF_MS;
+        ms += OTHER_ZONE_MS + choice.body_len as f64 * OTHER_ZONE_MS_PER_BYTE;
+        if choice.loads.looks_partitioned(&target.zone, choice.now) {
+            ms += PARTITIONED_MS;
         }
     }
     let Some(prompt) = &choice.prompt else {
-        return ms + f64::from(load.in_flight) * PLAIN_IN_FLIGHT_MS + spread(target);
+        return ms + f64::from(load.in_flight) * PLAIN_MS_PER_REQUEST + tie_break(target);
     };
-    ms += load.work.requests * IN_FLIGHT_MS + load.work.prefill_ms + memory_ms(choice, load);
+    ms += load.work.requests * MS_PER_REQUEST + load.work.prefill_ms + memory_ms(choice, load);
     let plan = version.and_then(|version| prompt.plan(version));
     ms += plan.map_or(0.0, |plan| plan.shared_cost(&target.zone));
     if version < prompt.wanted {
         ms += OLD_WEIGHTS_MS;
     }
-    ms + away_ms(away)
+    ms + position_ms(position)
 }
 
 /// Returns whether an engine will have memory for a prompt soon enough.
-fn fits(choice: &ChoiceInputs<'_>, load: &Load) -> bool {
+fn has_memory(choice: &ChoiceInputs<'_>, load: &Load) -> bool {
     let Some(prompt) = &choice.prompt else {
         return true;
     };
-    memory_ms(choice, load) <= millis(prompt.latency_objective) * ROOM_WAIT_AIM_PART
+    memory_ms(choice, load) <= millis(prompt.latency_objective) * MAX_MEMORY_WAIT_FACTOR
 }
 
 /// Returns the expected wait for memory at an engine, in milliseconds.
@@ -411,22 +411,22 @@
         return 0.0;
     };
     let room = prompt.room.0.max(1) as f64;
-    let lacking = load.work.tokens + prompt.tokens.0 as f64 - room * MEMORY_SHARE;
-    if lacking <= 0.0 {
+    let missing = load.work.tokens + prompt.tokens.0 as f64 - room * USABLE_MEMORY_SHARE;
+    if missing <= 0.0 {
         return 0.0;
     }
     // Memory is assumed to be freed evenly over the time for which it is held.
-    choice.loads.held_ms() * lacking / load.work.tokens.max(lacking)
+    choice.loads.memory_hold_ms() * missing / load.work.tokens.max(missing)
 }
 
 /// Breaks ties between targets without a model, the same way in all decisions of a process.
-fn spread(target: &TargetEntry) -> f64 {
+fn tie_break(target: &TargetEntry) -> f64 {
     unit(hash_pair(target.id.as_str(), ""))
 }
 
 /// Returns the cost of not using the home: zero for the first engine, increasing with the position.
-fn away_ms(place: usize) -> f64 {
-    HOME_MS * place as f64 / (1.0 + place as f64)
+fn position_ms(position: usize) -> f64 {
+    HOME_ADVANTAGE_MS * position as f64 / (1.0 + position as f64)
 }
 
 fn millis(time: Duration) -> f64 {
--- a/crates/sillpin-gateway/src/place/held.rs
+++ b/crates/sillpin-gateway/src/place/held.rs
@@ -17,13 +17,13 @@
 
 /// Mean hold time of recently completed requests, weighted by memory.
 #[derive(Debug, Clone, Copy)]
-pub struct HeldTime {
+pub struct HoldTime {
     tokens: f64,
     token_ms: f64,
     at: Option<Instant>,
 }
 
-impl Default for HeldTime {
+impl Default for HoldTime {
     fn default() -> Self {
         Self {
             tokens: 0.0,
@@ -33,13 +33,13 @@
     }
 }
 
-impl HeldTime {
-    /// Records that a request held `tokens` of memory for `held`.
-    pub fn note(&mut self, tokens: f64, held: Duration, now: Instant) {
+impl HoldTime {
+    /// Records that a request held `tokens` of memory for `hold_time`.
+    pub fn record(&mut self, tokens: f64, hold_time: Duration, now: Instant) {
         let age = self.at.map_or(Duration::ZERO, |at| now - at);
         let left = 0.5_f64.powf(age.as_secs_f64() / HALF_LIFE.as_secs_f64());
         self.tokens = self.tokens * left + tokens;
-        self.token_ms = self.token_ms * left + tokens * millis(held);
+        self.token_ms = self.token_ms * left + tokens * millis(hold_time);
         self.at = Some(now);
     }
 
--- a/crates/sillpin-gateway/src/place/index.rs
+++ b/crates/sillpin-gateway/src/place/index.rs
@@ -11,7 +11,7 @@
 
 /// A target that takes requests.
 #[derive(Debug)]
-pub struct Indexed {
+pub struct IndexedTarget {
     /// Entry of the target.
     pub entry: Arc<TargetEntry>,
     /// Hash of the target's id.
@@ -22,16 +22,16 @@
     seed: u64,
 }
 
-impl Indexed {
+impl IndexedTarget {
     /// Returns the target's rank for a key; the target with the highest rank is the first home. The
     /// rank is the same at all boxes.
-    pub fn rank(&self, key: u64) -> u64 {
-        mix(self.seed ^ key)
+    pub fn home_rank(&self, key: u64) -> u64 {
+        mix_bits(self.seed ^ key)
     }
 }
 
 /// Mixes all bits of a number (the finalizer of splitmix64).
-fn mix(mut x: u64) -> u64 {
+fn mix_bits(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
@@ -44,7 +44,7 @@
 #[derive(Debug, Default)]
 pub struct PoolTargets {
     /// All targets, grouped by zone.
-    pub all: Vec<Indexed>,
+    pub all: Vec<IndexedTarget>,
     /// Zones that have targets, sorted.
     pub zone_names: Vec<ZoneId>,
     zones: HashMap<ZoneId, std::ops::Range<usize>>,
@@ -53,13 +53,13 @@
 
 impl PoolTargets {
     /// Returns the targets of a zone.
-    pub fn of_zone(&self, zone: &ZoneId) -> &[Indexed] {
+    pub fn of_zone(&self, zone: &ZoneId) -> &[IndexedTarget] {
         let range = self.zones.get(zone).cloned();
         range.map_or(&[], |range| &self.all[range])
     }
 
     /// Returns the targets of all other zones.
-    pub fn of_others(&self, zone: &ZoneId) -> impl Iterator<Item = &Indexed> {
+    pub fn of_other_zones(&self, zone: &ZoneId) -> impl Iterator<Item = &IndexedTarget> {
         let own = self.zones.get(zone).cloned().unwrap_or(0..0);
         self.all[..own.start].iter().chain(&self.all[own.end..])
     }
@@ -110,7 +110,7 @@
                     *serving.entry(version).or_default() += 1;
                 }
             }
-            pool.all.push(Indexed {
+            pool.all.push(IndexedTarget {
                 hash: TargetHash::of(&entry.id),
                 life: IncarnationHash::of(entry),
                 seed: hash_pair(entry.id.as_str(), "home"),
--- a/crates/sillpin-gateway/src/place/limits.rs
+++ b/crates/sillpin-gateway/src/place/limits.rs
@@ -130,8 +130,8 @@
     }
 
     /// Records that a request is sent to a target.
-    pub fn note_sent(&mut self, target: &TargetId, now: Instant) {
-        self.shared.note_sent(target, now);
+    pub fn record_sent(&mut self, target: &TargetId, now: Instant) {
+        self.shared.record_sent(target, now);
     }
 
     /// Removes targets that are not listed, and requests that no longer count.
--- a/crates/sillpin-gateway/src/place/load.rs
+++ b/crates/sillpin-gateway/src/place/load.rs
@@ -1,6 +1,6 @@
 //! Requests that this box has in flight at each target, and the health of targets.
 
-use super::held::HeldTime;
+use super::hold_time::HoldTime;
 use super::limits::Limits;
 use super::standing::{Queue, StandingQueue};
 use super::words::TargetSignals;
@@ -17,45 +17,45 @@
 /// Cooldown of a target that can't be reached, unless a connection to it succeeds earlier. The
 /// target's entry lapses after three heartbeats, so this only limits the effect of a probe that was
 /// lost.
-const UNREACHABLE_REST: Duration = Duration::from_secs(15);
+const UNREACHABLE_COOLDOWN: Duration = Duration::from_secs(15);
 
 /// First cooldown of a target that refused a request: a full queue drains in less. Doubled by each
 /// further refusal in a row.
-const REFUSAL_REST: Duration = Duration::from_millis(250);
+const REFUSAL_COOLDOWN: Duration = Duration::from_millis(250);
 
 /// Longest cooldown after refusals: a load of weights that this box was not told of takes one to
 /// two seconds.
-const MAX_REFUSAL_REST: Duration = Duration::from_millis(1_000);
+const MAX_REFUSAL_COOLDOWN: Duration = Duration::from_millis(1_000);
 
 /// Cooldown of an engine that loads weights, unless the end of the load is known earlier: the
 /// engine's requests end first, and the load takes 0.76 s, or more while others load.
-const LOADING_REST: Duration = Duration::from_millis(3_500);
+const LOADING_COOLDOWN: Duration = Duration::from_millis(3_500);
 
 /// Weight of the newest outcome in a target's failure rate, which covers about the last ten.
 const OUTCOME_WEIGHT: f64 = 0.1;
 
 /// Failure rate from which a target gets a cooldown: several times the rate of targets without a
 /// model on a day without faults (0.14).
-const FAILING: f64 = 0.4;
+const MAX_FAILURE_RATE: f64 = 0.4;
 
 /// Number of outcomes from which the failure rate is used.
 const MIN_OUTCOMES: u32 = 8;
 
 /// Cooldown of a failing target.
-const FAILING_REST: Duration = Duration::from_secs(3);
+const FAILING_COOLDOWN: Duration = Duration::from_secs(3);
 
 /// End of the cooldown for each reason; ending one does not end the others.
 #[derive(Debug, Clone, Copy, Default)]
-struct Rests {
+struct Cooldowns {
     unreachable: Option<Instant>,
-    refusing: Option<Instant>,
+    refused: Option<Instant>,
     loading: Option<Instant>,
     failing: Option<Instant>,
 }
 
-impl Rests {
+impl Cooldowns {
     fn until(&self) -> Option<Instant> {
-        let first = self.unreachable.max(self.refusing);
+        let first = self.unreachable.max(self.refused);
         first.max(self.loading).max(self.failing)
     }
 }
@@ -67,9 +67,9 @@
     pub in_flight: u32,
     /// Work of these requests, for engines.
     pub work: Work,
-    in_cooldown: Rests,
+    cooldowns: Cooldowns,
     refusals: u32,
-    failing: f64,
+    failure_rate: f64,
     outcomes: u32,
     /// The incarnation of the target to which all fields but the requests in flight apply.
     life: Option<Life>,
@@ -78,21 +78,21 @@
 impl Load {
     /// Returns whether the target is in cooldown.
     pub fn in_cooldown(&self, now: Instant) -> bool {
-        self.in_cooldown.until().is_some_and(|until| now < until)
+        self.cooldowns.until().is_some_and(|until| now < until)
     }
 
     /// Returns the share of recent requests that failed.
-    pub fn failing(&self) -> f64 {
-        self.failing
+    pub fn failure_rate(&self) -> f64 {
+        self.failure_rate
     }
 
-    fn outcome(&mut self, now: Instant, failed: bool) {
-        let sample = if failed { 1.0 } else { 0.0 };
-        self.failing += OUTCOME_WEIGHT * (sample - self.failing);
+    fn record_outcome(&mut self, now: Instant, is_failure: bool) {
+        let sample = if is_failure { 1.0 } else { 0.0 };
+        self.failure_rate += OUTCOME_WEIGHT * (sample - self.failure_rate);
         self.outcomes = self.outcomes.saturating_add(1);
-        if self.failing > FAILING && self.outcomes >= MIN_OUTCOMES {
-            self.in_cooldown.failing = Some(now + FAILING_REST);
-            self.failing = FAILING / 2.0;
+        if self.failure_rate > MAX_FAILURE_RATE && self.outcomes >= MIN_OUTCOMES {
+            self.cooldowns.failing = Some(now + FAILING_COOLDOWN);
+            self.failure_rate = MAX_FAILURE_RATE / 2.0;
         }
     }
 }
@@ -118,28 +118,28 @@
 
 /// A zone looks partitioned after this many failures to reach a target in it without a success
 /// between.
-const SUSPICIOUS: u32 = 2;
+const MIN_ZONE_FAILURES: u32 = 2;
 
 /// Time for which a zone that looks partitioned is avoided after the last failure.
-const SUSPICION_TIME: Duration = Duration::from_secs(2);
+const PARTITION_AVOIDANCE: Duration = Duration::from_secs(2);
 
 /// Failures to reach targets of another zone since the last success.
 #[derive(Debug, Clone, Copy)]
-struct Reach {
+struct ZoneReachability {
     failures: u32,
-    failed: Instant,
+    last_failure: Instant,
 }
 
 /// Guard of the loads of all targets.
-pub type Table<'a> = MutexGuard<'a, HashMap<TargetId, Load>>;
+pub type LoadTable<'a> = MutexGuard<'a, HashMap<TargetId, Load>>;
 
 /// Loads of all targets, shared by all clones.
 #[derive(Debug, Clone, Default)]
 pub struct Loads {
     table: Arc<Mutex<HashMap<TargetId, Load>>>,
-    zones: Arc<Mutex<HashMap<ZoneId, Reach>>>,
+    zones: Arc<Mutex<HashMap<ZoneId, ZoneReachability>>>,
     others: Arc<Mutex<Others>>,
-    held: Arc<Mutex<HeldTime>>,
+    hold_time: Arc<Mutex<HoldTime>>,
     standing: Arc<Mutex<StandingQueue>>,
     limits: Arc<Mutex<Limits>>,
     /// Notified when this box observes that a target's limit has started, changed or ended.
@@ -148,11 +148,11 @@
 
 impl Loads {
     /// Locks the loads of all targets for one decision.
-    pub fn table(&self) -> Table<'_> {
+    pub fn table(&self) -> LoadTable<'_> {
         self.lock()
     }
 
-    fn lock(&self) -> Table<'_> {
+    fn lock(&self) -> LoadTable<'_> {
         self.table.lock().unwrap_or_else(|e| e.into_inner())
     }
 
@@ -218,42 +218,42 @@
     }
 
     /// Returns how long a token of an engine's memory is held on average, in milliseconds.
-    pub fn held_ms(&self) -> f64 {
-        self.held.lock().unwrap_or_else(|e| e.into_inner()).ms()
+    pub fn memory_hold_ms(&self) -> f64 {
+        self.hold_time.lock().unwrap_or_else(|e| e.into_inner()).ms()
     }
 
     /// Records the queue of a chosen engine and returns the recent average, in milliseconds.
     pub fn record_queue(&self, queue: Queue, now: Instant) -> f64 {
         let mut standing = self.standing.lock().unwrap_or_else(|e| e.into_inner());
-        standing.note(queue, now)
+        standing.record(queue, now)
     }
 
-    fn note_held(&self, tokens: f64, time: Duration, now: Instant) {
-        let mut held = self.held.lock().unwrap_or_else(|e| e.into_inner());
-        held.note(tokens, time, now);
+    fn record_hold_time(&self, tokens: f64, time: Duration, now: Instant) {
+        let mut hold_time = self.hold_time.lock().unwrap_or_else(|e| e.into_inner());
+        hold_time.record(tokens, time, now);
     }
 
     /// Records whether a target of a zone could be reached.
     pub fn record_reachability(&self, zone: &ZoneId, reached: bool) {
-        let failed = Instant::now();
+        let last_failure = Instant::now();
         let mut zones = self.zones.lock().unwrap_or_else(|e| e.into_inner());
         if reached {
             zones.remove(zone);
             return;
         }
-        let reach = zones.entry(zone.clone()).or_insert(Reach {
+        let reachability = zones.entry(zone.clone()).or_insert(ZoneReachability {
             failures: 0,
-            failed,
+            last_failure,
         });
-        reach.failures += 1;
-        reach.failed = failed;
+        reachability.failures += 1;
+        reachability.last_failure = last_failure;
     }
 
     /// Returns whether this box seems to be partitioned from a zone.
-    pub fn looks_cut_off(&self, zone: &ZoneId, now: Instant) -> bool {
+    pub fn looks_partitioned(&self, zone: &ZoneId, now: Instant) -> bool {
         let zones = self.zones.lock().unwrap_or_else(|e| e.into_inner());
-        let reach = zones.get(zone);
-        reach.is_some_and(|r| r.failures >= SUSPICIOUS && now - r.failed < SUSPICION_TIME)
+        let reachability = zones.get(zone);
+        reachability.is_some_and(|r| r.failures >= MIN_ZONE_FAILURES && now - r.last_failure < PARTITION_AVOIDANCE)
     }
 
     /// Returns the load and health of a target.
@@ -263,7 +263,7 @@
 
     /// Counts a request as in flight at a target until the ticket is dropped.
     pub fn start(&self, target: &TargetId, work: Work) -> InFlightGuard {
-        self.limits().note_sent(target, Instant::now());
+        self.limits().record_sent(target, Instant::now());
         let mut table = self.lock();
         let load = table.entry(target.clone()).or_default();
         load.in_flight += 1;
@@ -273,12 +273,12 @@
             target: target.clone(),
             work,
             prefill_ms: work.prefill_ms,
-            began: None,
+            first_event: None,
         }
     }
 
     /// Records the outcome of an attempt.
-    pub fn note(&self, target: &TargetId, outcome: Outcome) {
+    pub fn record(&self, target: &TargetId, outcome: Outcome) {
         self.record_for_incarnation(target, None, outcome);
     }
 
@@ -295,24 +295,24 @@
         match outcome {
             Outcome::Served => {
                 load.refusals = 0;
-                load.outcome(now, false);
+                load.record_outcome(now, false);
             }
-            Outcome::Failed => load.outcome(now, true),
+            Outcome::Failed => load.record_outcome(now, true),
             Outcome::Refused => {
-                let doubled = REFUSAL_REST * 2u32.pow(load.refusals.min(4));
+                let cooldown = REFUSAL_COOLDOWN * 2u32.pow(load.refusals.min(4));
                 load.refusals += 1;
-                let until = now + doubled.min(MAX_REFUSAL_REST);
-                load.in_cooldown.refusing = load.in_cooldown.refusing.max(Some(until));
+                let until = now + cooldown.min(MAX_REFUSAL_COOLDOWN);
+                load.cooldowns.refused = load.cooldowns.refused.max(Some(until));
             }
-            Outcome::Loading => load.in_cooldown.loading = Some(now + LOADING_REST),
+            Outcome::Loading => load.cooldowns.loading = Some(now + LOADING_COOLDOWN),
             Outcome::Loaded => {
                 load.refusals = 0;
-                load.in_cooldown.refusing = None;
-                load.in_cooldown.loading = None;
+                load.cooldowns.refused = None;
+                load.cooldowns.loading = None;
             }
-            Outcome::Unreachable => load.in_cooldown.unreachable = Some(now + UNREACHABLE_REST),
+            Outcome::Unreachable => load.cooldowns.unreachable = Some(now + UNREACHABLE_COOLDOWN),
             Outcome::Reachable => {
-                if load.in_cooldown.unreachable.take().is_some() {
+                if load.cooldowns.unreachable.take().is_some() {
                     self.limits().slow_start.returned(target, now);
                 }
             }
@@ -337,12 +337,12 @@
             if life.is_none() || load.life == life {
                 continue;
             }
-            let restarted = load.life.is_some();
+            let has_restarted = load.life.is_some();
             load.life = life;
-            if restarted {
-                load.in_cooldown = Rests::default();
+            if has_restarted {
+                load.cooldowns = Cooldowns::default();
                 load.refusals = 0;
-                load.failing = 0.0;
+                load.failure_rate = 0.0;
                 load.outcomes = 0;
             }
         }
@@ -358,39 +358,39 @@
     /// Expected engine time for the prefill of its prompt, in milliseconds.
     prefill_ms: f64,
     /// When the first event of the response came.
-    began: Option<Instant>,
+    first_event: Option<Instant>,
 }
 
 impl InFlightGuard {
     /// Removes the prefill from the target's work: it is complete.
     pub fn prefill_done(&mut self) {
         let mut table = self.loads.lock();
-        let done = Work {
+        let finished = Work {
             prefill_ms: self.work.prefill_ms,
             ..Work::default()
         };
         if let Some(load) = table.get_mut(&self.target) {
-            load.work.take(done);
+            load.work.take(finished);
         }
         self.work.prefill_ms = 0.0;
-        self.began = Some(Instant::now());
+        self.first_event = Some(Instant::now());
     }
 
     /// Records how long the request held its engine's memory, which starts with the prefill.
-    fn note_held(&self) {
-        let Some(began) = self.began else {
+    fn record_hold_time(&self) {
+        let Some(first_event) = self.first_event else {
             return;
         };
         let now = Instant::now();
-        let reading = Duration::from_secs_f64(self.prefill_ms / 1000.0);
+        let prefill = Duration::from_secs_f64(self.prefill_ms / 1000.0);
         self.loads
-            .note_held(self.work.tokens, now - began + reading, now);
+            .record_hold_time(self.work.tokens, now - first_event + prefill, now);
     }
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.note_held();
+        self.record_hold_time();
         let mut table = self.loads.lock();
         if let Some(load) = table.get_mut(&self.target) {
             load.in_flight = load.in_flight.saturating_sub(1);
--- a/crates/sillpin-gateway/src/place/parts.rs
+++ b/crates/sillpin-gateway/src/place/parts.rs
@@ -210,7 +210,7 @@
 impl Plan {
     /// Returns the key of the last shared part: requests that share it also share all parts before
     /// it.
-    pub fn affinity(&self) -> Option<&KeptKey> {
+    pub fn affinity_key(&self) -> Option<&KeptKey> {
         self.shared.last().map(|part| &part.key)
     }
 
--- a/crates/sillpin-gateway/src/place/probe.rs
+++ b/crates/sillpin-gateway/src/place/probe.rs
@@ -39,7 +39,7 @@
             return;
         }
         event!(self.log, events::TARGET_UNREACHABLE, "target" => target.as_str(), "why" => why);
-        self.loads.note(target, Outcome::Unreachable);
+        self.loads.record(target, Outcome::Unreachable);
         tokio::spawn(self.clone().probe(target.clone()));
     }
 
@@ -60,7 +60,7 @@
         probed.remove(&target);
         if back {
             event!(self.log, events::TARGET_REACHABLE, "target" => target.as_str());
-            self.loads.note(&target, Outcome::Reachable);
+            self.loads.record(&target, Outcome::Reachable);
         }
     }
 }
--- a/crates/sillpin-gateway/src/place/shared_limit.rs
+++ b/crates/sillpin-gateway/src/place/shared_limit.rs
@@ -160,7 +160,7 @@
     }
 
     /// Records that a request is sent to a target.
-    pub fn note_sent(&mut self, target: &TargetId, now: Instant) {
+    pub fn record_sent(&mut self, target: &TargetId, now: Instant) {
         let sent = self.sent.entry(target.clone()).or_default();
         while sent.front().is_some_and(|at| now - *at >= self.longest) {
             sent.pop_front();
--- a/crates/sillpin-gateway/src/place/standing.rs
+++ b/crates/sillpin-gateway/src/place/standing.rs
@@ -58,7 +58,7 @@
 
 impl StandingQueue {
     /// Records the queue of a chosen engine and returns the average including it, in milliseconds.
-    pub fn note(&mut self, queue: Queue, now: Instant) -> f64 {
+    pub fn record(&mut self, queue: Queue, now: Instant) -> f64 {
         let age = self.at.map_or(Duration::ZERO, |at| now - at);
         let left = 0.5_f64.powf(age.as_secs_f64() / HALF_LIFE.as_secs_f64());
         self.samples = self.samples * left + 1.0;
--- a/crates/sillpin-gateway/src/place/words/mod.rs
+++ b/crates/sillpin-gateway/src/place/words/mod.rs
@@ -96,11 +96,11 @@
     }
 
     /// Returns the targets to which this box sends no requests.
-    pub fn closed(&self, now: Instant) -> HashSet<IncarnationHash> {
-        let mut closed = self.replaced.known(now);
-        closed.extend(self.leaving.all());
-        closed.extend(self.backoffs.all(now));
-        closed
+    pub fn unavailable(&self, now: Instant) -> HashSet<IncarnationHash> {
+        let mut unavailable = self.replaced.known(now);
+        unavailable.extend(self.leaving.all());
+        unavailable.extend(self.backoffs.all(now));
+        unavailable
     }
 
     /// Returns the shortest remaining backoff of these targets, ignoring those that are gone;
--- a/crates/sillpin-gateway/tests/held.rs
+++ b/crates/sillpin-gateway/tests/held.rs
@@ -1,7 +1,7 @@
 //! How long requests hold an engine's memory.
 
 use rstest::rstest;
-use sillpin_gateway::place::held::HeldTime;
+use sillpin_gateway::place::held::HoldTime;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -15,10 +15,10 @@
     #[case] expected: f64,
     #[case] within: f64,
 ) {
-    let mut mean = HeldTime::default();
+    let mut mean = HoldTime::default();
     for ms in held {
         tokio::time::advance(Duration::from_millis(100)).await;
-        mean.note(9_000.0, Duration::from_millis(*ms), Instant::now());
+        mean.record(9_000.0, Duration::from_millis(*ms), Instant::now());
     }
     let ms = mean.ms();
     assert!((ms - expected).abs() <= within, "{ms}");
@@ -26,10 +26,10 @@
 
 #[tokio::test(start_paused = true)]
 async fn how_long_memory_was_held_is_unlearnt_when_it_changes() {
-    let mut mean = HeldTime::default();
+    let mut mean = HoldTime::default();
     for ms in [2_000; 200].into_iter().chain([500; 200]) {
         tokio::time::advance(Duration::from_millis(100)).await;
-        mean.note(9_000.0, Duration::from_millis(ms), Instant::now());
+        mean.record(9_000.0, Duration::from_millis(ms), Instant::now());
     }
     let ms = mean.ms();
     assert!((ms - 500.0).abs() < 80.0, "{ms}");
--- a/crates/sillpin-gateway/tests/limited_fleet.rs
+++ b/crates/sillpin-gateway/tests/limited_fleet.rs
@@ -262,7 +262,7 @@
         let Some(target) = looked.into_iter().find(|target| admits(target)) else {
             return false;
         };
-        one.memory.note_sent(&self.targets[target].id, now);
+        one.memory.record_sent(&self.targets[target].id, now);
         let opened = Duration::from_millis(self.fleet.rng.random_range(0..=60));
         self.arrived[target].push(now + opened);
         self.answers.push(Answer {
--- a/crates/sillpin-gateway/tests/place.rs
+++ b/crates/sillpin-gateway/tests/place.rs
@@ -135,10 +135,10 @@
 #[tokio::test(start_paused = true)]
 async fn a_target_out_of_reach_rests_until_it_can_be_reached() {
     let setting = Setting::new(three());
-    setting.loads.note(&target("e1"), Outcome::Unreachable);
+    setting.loads.record(&target("e1"), Outcome::Unreachable);
     tokio::time::advance(Duration::from_secs(3)).await;
     assert_ne!(setting.choose(None).as_deref(), Some("e1"));
-    setting.loads.note(&target("e1"), Outcome::Reachable);
+    setting.loads.record(&target("e1"), Outcome::Reachable);
     assert_eq!(setting.choose(None).as_deref(), Some("e1"));
 }
 
@@ -147,12 +147,12 @@
 #[tokio::test(start_paused = true)]
 async fn an_engine_that_loads_is_passed_over_though_it_can_be_reached() {
     let setting = Setting::new(three());
-    setting.loads.note(&target("e1"), Outcome::Unreachable);
-    setting.loads.note(&target("e1"), Outcome::Loading);
+    setting.loads.record(&target("e1"), Outcome::Unreachable);
+    setting.loads.record(&target("e1"), Outcome::Loading);
     tokio::time::advance(Duration::from_millis(400)).await;
-    setting.loads.note(&target("e1"), Outcome::Reachable);
+    setting.loads.record(&target("e1"), Outcome::Reachable);
     assert_ne!(setting.choose(None).as_deref(), Some("e1"));
-    setting.loads.note(&target("e1"), Outcome::Loaded);
+    setting.loads.record(&target("e1"), Outcome::Loaded);
     assert_eq!(setting.choose(None).as_deref(), Some("e1"));
 }
 
@@ -161,11 +161,11 @@
 #[tokio::test(start_paused = true)]
 async fn an_engine_that_has_loaded_is_passed_over_until_it_can_be_reached() {
     let setting = Setting::new(three());
-    setting.loads.note(&target("e1"), Outcome::Loading);
-    setting.loads.note(&target("e1"), Outcome::Unreachable);
-    setting.loads.note(&target("e1"), Outcome::Loaded);
+    setting.loads.record(&target("e1"), Outcome::Loading);
+    setting.loads.record(&target("e1"), Outcome::Unreachable);
+    setting.loads.record(&target("e1"), Outcome::Loaded);
     assert_ne!(setting.choose(None).as_deref(), Some("e1"));
-    setting.loads.note(&target("e1"), Outcome::Reachable);
+    setting.loads.record(&target("e1"), Outcome::Reachable);
     assert_eq!(setting.choose(None).as_deref(), Some("e1"));
 }
 
@@ -174,10 +174,10 @@
 async fn a_failing_target_rests_though_it_can_be_reached() {
     let setting = Setting::new(three());
     for _ in 0..10 {
-        setting.loads.note(&target("e1"), Outcome::Failed);
+        setting.loads.record(&target("e1"), Outcome::Failed);
     }
-    setting.loads.note(&target("e1"), Outcome::Unreachable);
-    setting.loads.note(&target("e1"), Outcome::Reachable);
+    setting.loads.record(&target("e1"), Outcome::Unreachable);
+    setting.loads.record(&target("e1"), Outcome::Reachable);
     let load = setting.loads.get(&target("e1"));
     assert!(load.in_cooldown(Instant::now()));
 }
@@ -217,15 +217,15 @@
     let mut refusals = 0;
     for _ in 0..20 {
         if setting.choose(None).as_deref() == Some("e1") {
-            setting.loads.note(&target("e1"), Outcome::Refused);
+            setting.loads.record(&target("e1"), Outcome::Refused);
             refusals += 1;
         }
         tokio::time::advance(Duration::from_millis(100)).await;
     }
     assert_eq!(refusals, 4, "in two seconds: at 0, 0.3, 0.8 and 1.8 s");
     tokio::time::advance(Duration::from_secs(1)).await;
-    setting.loads.note(&target("e1"), Outcome::Served);
-    setting.loads.note(&target("e1"), Outcome::Refused);
+    setting.loads.record(&target("e1"), Outcome::Served);
+    setting.loads.record(&target("e1"), Outcome::Refused);
     tokio::time::advance(Duration::from_millis(260)).await;
     assert_eq!(
         setting.choose(None).as_deref(),
@@ -237,7 +237,7 @@
 #[tokio::test(start_paused = true)]
 async fn the_last_target_is_used_even_if_it_rests() {
     let setting = Setting::new(targets(vec![engine("e1", "za")]));
-    setting.loads.note(&target("e1"), Outcome::Unreachable);
+    setting.loads.record(&target("e1"), Outcome::Unreachable);
     assert_eq!(setting.choose(None).as_deref(), Some("e1"));
 }
 
@@ -250,7 +250,7 @@
         } else {
             Outcome::Served
         };
-        setting.loads.note(&target("e1"), outcome);
+        setting.loads.record(&target("e1"), outcome);
     }
     assert_ne!(setting.choose(None).as_deref(), Some("e1"));
 }
@@ -370,19 +370,19 @@
 async fn a_prompt_does_not_fit_while_memory_is_let_go_too_slowly() {
     let setting = Setting::new(targets(vec![engine("e1", "za")]));
     let model = name("m");
-    let fits = || setting.find(Some(long_prompt(&model))).unwrap().fits;
+    let has_memory = || setting.find(Some(long_prompt(&model))).unwrap().has_memory;
     let work = |tokens| Work::one(0.0, Tokens(tokens));
     let small = setting.loads.start(&target("e1"), work(25_000));
-    assert!(fits(), "there is room for it");
+    assert!(has_memory(), "there is room for it");
     let mut long = setting.loads.start(&target("e1"), work(10_000));
-    assert!(fits(), "room comes within 75 ms, the most that it may wait");
+    assert!(has_memory(), "room comes within 75 ms, the most that it may wait");
     long.prefill_done();
     tokio::time::advance(Duration::from_secs(3)).await;
     drop(long);
     let _again = setting.loads.start(&target("e1"), work(10_000));
-    assert!(!fits(), "requests hold their memory for seconds");
+    assert!(!has_memory(), "requests hold their memory for seconds");
     drop(small);
-    assert!(fits());
+    assert!(has_memory());
 }
 
 #[tokio::test(start_paused = true)]
@@ -475,7 +475,7 @@
         for _ in 0..8 {
             let chosen = setting.find(Some(prompt())).unwrap();
             assert_eq!(chosen.target.id, the_limited.id);
-            setting.loads.limits().note_sent(&the_limited.id, now);
+            setting.loads.limits().record_sent(&the_limited.id, now);
         }
         let chosen = setting.find(Some(prompt())).unwrap();
         assert_ne!(
--- a/crates/sillpin-gateway/tests/shared_limit.rs
+++ b/crates/sillpin-gateway/tests/shared_limit.rs
@@ -61,7 +61,7 @@
         let mut shared = SharedLimits::new(PERIOD);
         let mut count = 0;
         while shared.admits(&share_group, target, limit, Admission::Part, now) {
-            shared.note_sent(&target.id, now);
+            shared.record_sent(&target.id, now);
             count += 1;
         }
         count
@@ -138,7 +138,7 @@
     let mut shared = SharedLimits::new(PERIOD);
     let began = Instant::now();
     for _ in 0..2 {
-        shared.note_sent(&target.id, Instant::now());
+        shared.record_sent(&target.id, Instant::now());
         tokio::time::advance(Duration::from_secs(1)).await;
     }
     let now = Instant::now();
--- a/crates/sillpin-gateway/tests/slow_start.rs
+++ b/crates/sillpin-gateway/tests/slow_start.rs
@@ -257,7 +257,7 @@
                     || admits(&mut one.state, Admission::Part)
                     || (lone && admits(&mut one.state, Admission::Unsure))
                 {
-                    one.state.note_sent(&target.id, now);
+                    one.state.record_sent(&target.id, now);
                     let opened = Duration::from_millis(fleet.rng.random_range(0..=OPENING_MS));
                     sent.entry(target.id.clone())
                         .or_default()
