--- a/crates/sillpin-gateway/src/place/choose.rs
+++ b/crates/sillpin-gateway/src/place/choose.rs
@@ -174,10 +174,10 @@
 
 /// Returns the target with the lowest cost, or `None` if no target can take the request.
 pub fn choose(choice: &ChoiceInputs<'_>) -> Option<ChosenTarget> {
-    let found = choose_with(choice, Admission::Part);
+    let found = choose_with(choice, Admission::OwnShare);
     match &choice.limit_context {
-        Some(limit_context) if !limit_context.share_group.is_sure() => {
-            found.or_else(|| choose_with(choice, Admission::Unsure))
+        Some(limit_context) if !limit_context.share_group.knows_share() => {
+            found.or_else(|| choose_with(choice, Admission::UnknownShare))
         }
         _ => found,
     }
@@ -204,7 +204,7 @@
 struct Search<'a> {
     choice: &'a ChoiceInputs<'a>,
     admission: Admission,
-    others: Arc<HashMap<TargetHash, Work>>,
+    peer_work: Arc<HashMap<TargetHash, Work>>,
     /// Targets that accept nothing from this box, according to their own responses.
     unavailable: HashSet<IncarnationHash>,
     /// Hash of the prompt's last shared part, which determines its homes.
@@ -221,8 +221,8 @@
             .and_then(Plan::affinity_key);
         let unavailable = choice.loads.words(|words| words.unavailable(choice.now));
         Self {
-            others: match choice.prompt {
-                Some(_) => choice.loads.others(choice.now),
+            peer_work: match choice.prompt {
+                Some(_) => choice.loads.peer_work(choice.now),
                 None => Arc::default(),
             },
             unavailable,
@@ -348,7 +348,7 @@
         if load.in_flight >= choice.max_in_flight {
             return None;
         }
-        let theirs = self.others.get(&target.hash);
+        let theirs = self.peer_work.get(&target.hash);
         load.work = load.work.plus(theirs.copied().unwrap_or_default());
         let version = match &choice.prompt {
             Some(prompt) => Some(served(entry, prompt.model).filter(|v| *v >= prompt.oldest)?),
--- a/crates/sillpin-gateway/src/place/limits.rs
+++ b/crates/sillpin-gateway/src/place/limits.rs
@@ -51,13 +51,13 @@
         &mut self,
         limit_context: &LimitContext<'_>,
         target: &TargetEntry,
-        how: Admission,
+        admission: Admission,
         now: Instant,
     ) -> bool {
-        let mut limits = self.of(limit_context, target, now).into_iter().flatten();
+        let mut limits = self.applicable(limit_context, target, now).into_iter().flatten();
         limits.all(|limit| {
             self.shared
-                .admits(&limit_context.share_group, target, limit, how, now)
+                .admits(&limit_context.share_group, target, limit, admission, now)
         })
     }
 
@@ -75,7 +75,7 @@
         target: &TargetEntry,
         now: Instant,
     ) -> bool {
-        self.of(limit_context, target, now)
+        self.applicable(limit_context, target, now)
             .iter()
             .any(Option::is_some)
     }
@@ -88,13 +88,13 @@
         target: &TargetEntry,
         now: Instant,
     ) -> Option<Duration> {
-        let limits = self.of(limit_context, target, now).into_iter().flatten();
+        let limits = self.applicable(limit_context, target, now).into_iter().flatten();
         let waits = limits.filter_map(|limit| {
             let free = self
                 .shared
                 .free_at(&limit_context.share_group, target, limit, now);
             // Other boxes send the target one request in each of so many parts of the period.
-            let others = || now + limit.period / limit.whole.max(1);
+            let others = || now + limit.period / limit.total.max(1);
             Some(free.unwrap_or_else(others)).filter(|at| *at > now)
         });
         waits.max().map(|at| at - now)
@@ -102,7 +102,7 @@
 
     /// Returns the limits that apply at a target now: that of a cold target, and the one that the
     /// target reports.
-    fn of(
+    fn applicable(
         &self,
         limit_context: &LimitContext<'_>,
         target: &TargetEntry,
@@ -124,8 +124,8 @@
         now: Instant,
     ) -> Option<SharedLimit> {
         let warm_up = limit_context.warm_up?;
-        let told = limit_context.cold.get(&target.id).copied();
-        let is_cold = self.slow_start.is_cold(&target.id, told, warm_up, now);
+        let announced_until = limit_context.cold.get(&target.id).copied();
+        let is_cold = self.slow_start.is_cold(&target.id, announced_until, warm_up, now);
         is_cold.then(|| slow_start::limit(warm_up, limit_context.rules))
     }
 
--- a/crates/sillpin-gateway/src/place/load.rs
+++ b/crates/sillpin-gateway/src/place/load.rs
@@ -4,7 +4,7 @@
 use super::limits::Limits;
 use super::standing::{Queue, StandingQueue};
 use super::words::TargetSignals;
-use super::work::{EngineWork, IncarnationHash, Others, TargetHash, Work};
+use super::work::{EngineWork, IncarnationHash, PeerWork, TargetHash, Work};
 use crate::control::{Life, TargetEntry};
 use crate::peers::datagram::BoxHash;
 use sillpin_core::{BoxId, TargetId, ZoneId};
@@ -138,7 +138,7 @@
 pub struct Loads {
     table: Arc<Mutex<HashMap<TargetId, Load>>>,
     zones: Arc<Mutex<HashMap<ZoneId, ZoneReachability>>>,
-    others: Arc<Mutex<Others>>,
+    peer_work: Arc<Mutex<PeerWork>>,
     hold_time: Arc<Mutex<HoldTime>>,
     standing: Arc<Mutex<StandingQueue>>,
     limits: Arc<Mutex<Limits>>,
@@ -167,44 +167,44 @@
 
     /// Stores the work that another box reported.
     pub fn hear(&self, from: BoxId, work: Vec<EngineWork>) {
-        let mut others = self.others.lock().unwrap_or_else(|e| e.into_inner());
-        others.hear(from, work, Instant::now());
+        let mut peer_work = self.peer_work.lock().unwrap_or_else(|e| e.into_inner());
+        peer_work.hear(from, work, Instant::now());
     }
 
     /// Stores the work that this box reported to its hub.
     pub fn report(&self, work: Vec<EngineWork>) {
-        let mut others = self.others.lock().unwrap_or_else(|e| e.into_inner());
-        others.report(work);
+        let mut peer_work = self.peer_work.lock().unwrap_or_else(|e| e.into_inner());
+        peer_work.report(work);
     }
 
     /// Stores the total work of all boxes from the hub of a large zone.
     pub fn apply_zone_totals(&self, work: Vec<EngineWork>, members: &[BoxHash]) {
-        let mut others = self.others.lock().unwrap_or_else(|e| e.into_inner());
-        others.apply_zone_totals(work, members, Instant::now());
+        let mut peer_work = self.peer_work.lock().unwrap_or_else(|e| e.into_inner());
+        peer_work.apply_zone_totals(work, members, Instant::now());
     }
 
     /// Returns whether a box, or the hub on its behalf, sent a message recently.
     pub fn has_recent_report(&self, from: &BoxId, now: Instant) -> bool {
-        let others = self.others.lock().unwrap_or_else(|e| e.into_inner());
-        others.has_recent_report(from, now)
+        let peer_work = self.peer_work.lock().unwrap_or_else(|e| e.into_inner());
+        peer_work.has_recent_report(from, now)
     }
 
     /// Returns whether the hub of a large zone sent a message recently.
     pub fn is_hub_responsive(&self, now: Instant) -> bool {
-        let others = self.others.lock().unwrap_or_else(|e| e.into_inner());
-        others.is_hub_responsive(now)
+        let peer_work = self.peer_work.lock().unwrap_or_else(|e| e.into_inner());
+        peer_work.is_hub_responsive(now)
     }
 
     /// Returns whether a box of the zone may be alive, according to the zone's hub.
     pub fn may_be_alive(&self, id: &BoxId, now: Instant) -> bool {
-        let others = self.others.lock().unwrap_or_else(|e| e.into_inner());
-        others.may_be_alive(id, now)
+        let peer_work = self.peer_work.lock().unwrap_or_else(|e| e.into_inner());
+        peer_work.may_be_alive(id, now)
     }
 
     /// Returns the work of all other boxes at each engine.
-    pub fn others(&self, now: Instant) -> Arc<HashMap<TargetHash, Work>> {
-        let others = self.others.lock().unwrap_or_else(|e| e.into_inner());
-        others.sum(now)
+    pub fn peer_work(&self, now: Instant) -> Arc<HashMap<TargetHash, Work>> {
+        let peer_work = self.peer_work.lock().unwrap_or_else(|e| e.into_inner());
+        peer_work.engine_totals(now)
     }
 
     /// Locks the limits of targets, with the signals that targets sent and the requests that count.
@@ -313,7 +313,7 @@
             Outcome::Unreachable => load.cooldowns.unreachable = Some(now + UNREACHABLE_COOLDOWN),
             Outcome::Reachable => {
                 if load.cooldowns.unreachable.take().is_some() {
-                    self.limits().slow_start.returned(target, now);
+                    self.limits().slow_start.record_return(target, now);
                 }
             }
         }
@@ -370,7 +370,7 @@
             ..Work::default()
         };
         if let Some(load) = table.get_mut(&self.target) {
-            load.work.take(finished);
+            load.work.subtract(finished);
         }
         self.work.prefill_ms = 0.0;
         self.first_event = Some(Instant::now());
@@ -394,7 +394,7 @@
         let mut table = self.loads.lock();
         if let Some(load) = table.get_mut(&self.target) {
             load.in_flight = load.in_flight.saturating_sub(1);
-            load.work.take(self.work);
+            load.work.subtract(self.work);
         }
     }
 }
--- a/crates/sillpin-gateway/src/place/shared_limit.rs
+++ b/crates/sillpin-gateway/src/place/shared_limit.rs
@@ -5,8 +5,8 @@
 //! communication: each takes its share by its rank among the boxes that it knows to be alive. Boxes
 //! that still count others that have stopped take less, never more, so the shares add up to no more
 //! than the limit while such views lag. For boxes that some do not know yet there is a reserve
-//! ([`RESERVE`]), and a box that can't know which boxes are alive takes no share
-//! ([`UNSURE_EVERY`]).
+//! ([`RESERVE_FACTOR`]), and a box that can't know which boxes are alive takes no share
+//! ([`UNKNOWN_SHARE_INTERVAL`]).
 //!
 //! Boxes of other zones send nothing there: their knowledge of the zone's boxes is older, and if a
 //! zone is partitioned each side would take the whole limit. Limits that are not strict are also
@@ -28,19 +28,19 @@
 /// The load that a target can handle is divided by this factor before it caps a limit. Boxes that
 /// start at the same moment may know about each other only one way, and a connection that opens
 /// slowly moves a request into the next period.
-const RESERVE: f64 = 2.0;
+const RESERVE_FACTOR: f64 = 2.0;
 
 /// Added to the time in which requests are counted, for differences in the time to open
 /// connections.
-const OPENING: Duration = Duration::from_millis(50);
+const CONNECT_ALLOWANCE: Duration = Duration::from_millis(50);
 
 /// Time between requests to one limited target in its zone from a box that can't know which boxes
 /// are alive, if no other target can take the request: if 100 boxes of a zone all restart, they
 /// send it five requests a second, besides the shares of boxes that did not restart.
-const UNSURE_EVERY: Duration = Duration::from_secs(20);
+const UNKNOWN_SHARE_INTERVAL: Duration = Duration::from_secs(20);
 
 /// This time per other known box of the zone is used instead if it is longer.
-const UNSURE_EVERY_BOX: Duration = Duration::from_millis(200);
+const UNKNOWN_SHARE_INTERVAL_PER_BOX: Duration = Duration::from_millis(200);
 
 /// Time after its start in which a box takes no share: by then other boxes have read that it is
 /// registered or received a message from it. They read the registrations 0.7 s after their own
@@ -71,7 +71,7 @@
 
 impl ShareGroup<'_> {
     /// Returns whether this box takes its share of every limit.
-    pub fn is_sure(&self) -> bool {
+    pub fn knows_share(&self) -> bool {
         self.is_membership_known && self.is_in_contact && !self.is_stopping
     }
 }
@@ -80,7 +80,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SharedLimit {
     /// Number of requests in each period.
-    pub whole: u32,
+    pub total: u32,
     /// Length of the period.
     pub period: Duration,
     /// Whether only boxes of the target's zone take a share, and only while they are in contact
@@ -91,9 +91,9 @@
 
 impl SharedLimit {
     /// Returns how many of `wanted` requests in a period boxes may divide among each other, if the
-    /// target can handle `borne`.
-    pub fn whole_of(wanted: f64, borne: f64) -> u32 {
-        wanted.min(borne / RESERVE) as u32
+    /// target can handle `capacity`.
+    pub fn total_of(wanted: f64, capacity: f64) -> u32 {
+        wanted.min(capacity / RESERVE_FACTOR) as u32
     }
 }
 
@@ -101,29 +101,29 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
     /// They get this box's share.
-    Part,
+    OwnShare,
     /// No other target can take the request, and this box does not know its share.
-    Unsure,
+    UnknownShare,
 }
 
 /// This box's rank among the boxes that share a limit of a target.
 #[derive(Debug, Clone, Copy)]
-struct Place {
+struct ShareRank {
     ahead: u32,
     boxes: u32,
 }
 
-impl Place {
-    /// Returns this box's share of `whole` requests, which are dealt out one by one by rank.
-    fn part(self, whole: u32) -> u32 {
-        whole.saturating_sub(self.ahead).div_ceil(self.boxes.max(1))
+impl ShareRank {
+    /// Returns this box's share of `total` requests, which are dealt out one by one by rank.
+    fn share(self, total: u32) -> u32 {
+        total.saturating_sub(self.ahead).div_ceil(self.boxes.max(1))
     }
 }
 
 /// Pacing of requests to a limited target at which this box does not know its share.
 #[derive(Debug, Clone, Copy)]
-struct Seldom {
-    every: Duration,
+struct PacedSending {
+    interval: Duration,
     /// When the next request may be sent.
     from: Instant,
 }
@@ -134,40 +134,40 @@
     sent: HashMap<TargetId, VecDeque<Instant>>,
     /// Rank of this box at targets, for strict limits and others. Valid for `others`, and while the
     /// pool has targets in the zones that are stored with the rank.
-    places: HashMap<(TargetId, bool), (Place, Vec<ZoneId>)>,
+    ranks: HashMap<(TargetId, bool), (ShareRank, Vec<ZoneId>)>,
     others: Arc<Vec<BoxEntry>>,
-    seldom: HashMap<TargetId, Seldom>,
+    paced: HashMap<TargetId, PacedSending>,
     /// Longest time for which requests are counted.
-    longest: Duration,
+    max_period: Duration,
 }
 
 impl SharedLimits {
-    /// Creates the state for limits whose longest period is `longest`.
-    pub fn new(longest: Duration) -> Self {
+    /// Creates the state for limits whose longest period is `max_period`.
+    pub fn new(max_period: Duration) -> Self {
         Self {
-            longest: longest + OPENING,
+            max_period: max_period + CONNECT_ALLOWANCE,
             ..Self::default()
         }
     }
 
     /// Removes targets that are not listed, and requests that no longer count.
     pub fn follow(&mut self, is_listed: impl Fn(&TargetId) -> bool, now: Instant) {
-        self.places.retain(|(id, _), _| is_listed(id));
-        self.seldom.retain(|id, _| is_listed(id));
-        let longest = self.longest;
+        self.ranks.retain(|(id, _), _| is_listed(id));
+        self.paced.retain(|id, _| is_listed(id));
+        let max_period = self.max_period;
         self.sent
-            .retain(|_, sent| sent.back().is_some_and(|at| now - *at < longest));
+            .retain(|_, sent| sent.back().is_some_and(|at| now - *at < max_period));
     }
 
     /// Records that a request is sent to a target.
     pub fn record_sent(&mut self, target: &TargetId, now: Instant) {
         let sent = self.sent.entry(target.clone()).or_default();
-        while sent.front().is_some_and(|at| now - *at >= self.longest) {
+        while sent.front().is_some_and(|at| now - *at >= self.max_period) {
             sent.pop_front();
         }
         sent.push_back(now);
-        if let Some(seldom) = self.seldom.get_mut(target) {
-            seldom.from = now + seldom.every;
+        if let Some(paced) = self.paced.get_mut(target) {
+            paced.from = now + paced.interval;
         }
     }
 
@@ -177,17 +177,17 @@
         share_group: &ShareGroup<'_>,
         target: &TargetEntry,
         limit: SharedLimit,
-        how: Admission,
+        admission: Admission,
         now: Instant,
     ) -> bool {
-        let Some(part) = self.part(share_group, target, limit) else {
+        let Some(share) = self.share(share_group, target, limit) else {
             // Callers of a box that stops can use another one; callers of a box out of contact may
             // not be able to.
-            let may = how == Admission::Unsure && !share_group.is_stopping;
+            let may = admission == Admission::UnknownShare && !share_group.is_stopping;
             let is_near = *share_group.zone == target.zone;
-            return may && is_near && now >= self.seldom_from(share_group, &target.id, now);
+            return may && is_near && now >= self.paced_from(share_group, &target.id, now);
         };
-        self.sent_within(&target.id, limit.period + OPENING, now) < part
+        self.sent_within(&target.id, limit.period + CONNECT_ALLOWANCE, now) < share
     }
 
     /// Returns when this box may send one more request to a limited target; `None` if it has no
@@ -199,29 +199,29 @@
         limit: SharedLimit,
         now: Instant,
     ) -> Option<Instant> {
-        let part = self
-            .part(share_group, target, limit)
-            .filter(|part| *part > 0)?;
+        let share = self
+            .share(share_group, target, limit)
+            .filter(|share| *share > 0)?;
         let sent = self.sent.get(&target.id).into_iter().flatten();
-        // There is room once all but the last `part - 1` requests have expired.
-        let blocking = sent.rev().nth(part as usize - 1);
-        Some(blocking.map_or(now, |at| *at + limit.period + OPENING))
+        // There is room once all but the last `share - 1` requests have expired.
+        let blocking_send = sent.rev().nth(share as usize - 1);
+        Some(blocking_send.map_or(now, |at| *at + limit.period + CONNECT_ALLOWANCE))
     }
 
     /// Returns this box's share of a limit in each period; `None` if it can't know it or is
     /// stopping.
-    fn part(
+    fn share(
         &mut self,
         share_group: &ShareGroup<'_>,
         target: &TargetEntry,
         limit: SharedLimit,
     ) -> Option<u32> {
-        let has_recent_report = share_group.is_in_contact || !limit.strict;
-        let takes_part =
-            share_group.is_membership_known && !share_group.is_stopping && has_recent_report;
-        takes_part.then(|| {
-            self.place(share_group, target, limit.strict)
-                .part(limit.whole)
+        let is_informed = share_group.is_in_contact || !limit.strict;
+        let takes_share =
+            share_group.is_membership_known && !share_group.is_stopping && is_informed;
+        takes_share.then(|| {
+            self.share_rank(share_group, target, limit.strict)
+                .share(limit.total)
         })
     }
 
@@ -233,7 +233,7 @@
 
     /// Returns when this box may send to a limited target without knowing its share. The first time
     /// is random, since boxes that start together would otherwise send together.
-    fn seldom_from(
+    fn paced_from(
         &mut self,
         share_group: &ShareGroup<'_>,
         target: &TargetId,
@@ -242,56 +242,56 @@
         let first = || {
             let others = share_group.others.iter();
             let near = others.filter(|other| other.zone == *share_group.zone);
-            let every = UNSURE_EVERY.max(UNSURE_EVERY_BOX * near.count() as u32);
-            let from = now + every.mul_f64(rand::rng().random());
-            Seldom { every, from }
+            let interval = UNKNOWN_SHARE_INTERVAL.max(UNKNOWN_SHARE_INTERVAL_PER_BOX * near.count() as u32);
+            let from = now + interval.mul_f64(rand::rng().random());
+            PacedSending { interval, from }
         };
-        self.seldom.entry(target.clone()).or_insert_with(first).from
+        self.paced.entry(target.clone()).or_insert_with(first).from
     }
 
     /// Returns this box's rank among those that share a limit of a target, cached.
-    fn place(&mut self, share_group: &ShareGroup<'_>, target: &TargetEntry, strict: bool) -> Place {
+    fn share_rank(&mut self, share_group: &ShareGroup<'_>, target: &TargetEntry, strict: bool) -> ShareRank {
         if !Arc::ptr_eq(&self.others, share_group.others) {
             self.others = share_group.others.clone();
-            self.places.clear();
+            self.ranks.clear();
         }
         let key = (target.id.clone(), strict);
-        let known = self.places.get(&key);
-        if let Some((place, _)) = known.filter(|(_, zones)| zones == share_group.pool_zones) {
-            return *place;
+        let cached = self.ranks.get(&key);
+        if let Some((share_rank, _)) = cached.filter(|(_, zones)| zones == share_group.pool_zones) {
+            return *share_rank;
         }
-        let place = place(share_group, target, strict);
-        self.places
-            .insert(key, (place, share_group.pool_zones.to_vec()));
-        place
+        let share_rank = share_rank(share_group, target, strict);
+        self.ranks
+            .insert(key, (share_rank, share_group.pool_zones.to_vec()));
+        share_rank
     }
 }
 
 /// The rank of a box that gets no share.
-const NO_PLACE: Place = Place {
+const NO_SHARE: ShareRank = ShareRank {
     ahead: u32::MAX,
     boxes: 1,
 };
 
 /// Computes a box's rank among those that share a limit of a target. If the target's zone has no
 /// box, the boxes of all zones share it.
-fn place(share_group: &ShareGroup<'_>, target: &TargetEntry, strict: bool) -> Place {
-    let is_left_alone = |zone: &ZoneId| !strict && !share_group.pool_zones.contains(zone);
-    let shares = |zone: &ZoneId| *zone == target.zone || is_left_alone(zone);
+fn share_rank(share_group: &ShareGroup<'_>, target: &TargetEntry, strict: bool) -> ShareRank {
+    let has_no_targets = |zone: &ZoneId| !strict && !share_group.pool_zones.contains(zone);
+    let shares = |zone: &ZoneId| *zone == target.zone || has_no_targets(zone);
     let is_near = |zone: &ZoneId| *zone == target.zone;
     let others = share_group.others.iter();
     let zone_has_box =
         is_near(share_group.zone) || others.clone().any(|other| is_near(&other.zone));
     if zone_has_box && !shares(share_group.zone) {
-        return NO_PLACE;
+        return NO_SHARE;
     }
     let sharing = others.filter(|other| !zone_has_box || shares(&other.zone));
-    let rank = |id: &BoxId| (hash_pair(id.as_str(), target.id.as_str()), id.clone());
-    let own = rank(share_group.me);
-    let mut place = Place { ahead: 0, boxes: 1 };
+    let hash_rank = |id: &BoxId| (hash_pair(id.as_str(), target.id.as_str()), id.clone());
+    let own = hash_rank(share_group.me);
+    let mut share_rank = ShareRank { ahead: 0, boxes: 1 };
     for other in sharing {
-        place.boxes += 1;
-        place.ahead += u32::from(rank(&other.id) > own);
+        share_rank.boxes += 1;
+        share_rank.ahead += u32::from(hash_rank(&other.id) > own);
     }
-    place
+    share_rank
 }
--- a/crates/sillpin-gateway/src/place/slow_start.rs
+++ b/crates/sillpin-gateway/src/place/slow_start.rs
@@ -21,7 +21,7 @@
 
 impl SlowStart {
     /// Records that a target can be reached again.
-    pub fn returned(&mut self, target: &TargetId, now: Instant) {
+    pub fn record_return(&mut self, target: &TargetId, now: Instant) {
         self.returned.insert(target.clone(), now);
     }
 
@@ -35,25 +35,25 @@
         self.returned.retain(|id, _| is_listed(id));
     }
 
-    /// Returns whether a target is cold or may be. `told` is the end of its cold phase, as reported
+    /// Returns whether a target is cold or may be. `announced_until` is the end of its cold phase, as reported
     /// by the target or set by operators.
     pub fn is_cold(
         &self,
         target: &TargetId,
-        told: Option<Instant>,
+        announced_until: Option<Instant>,
         warm_up: WarmUp,
         now: Instant,
     ) -> bool {
         let returned = self.returned.get(target);
-        told.is_some_and(|until| now < until) || returned.is_some_and(|at| now < *at + warm_up.time)
+        announced_until.is_some_and(|until| now < until) || returned.is_some_and(|at| now < *at + warm_up.time)
     }
 }
 
 /// Returns the limit on what all boxes together may send to a cold target.
 pub fn limit(warm_up: WarmUp, rules: WarmUpRules) -> SharedLimit {
-    let borne = warm_up.per_s * rules.overage + rules.slack;
+    let capacity = warm_up.per_s * rules.overage + rules.slack;
     SharedLimit {
-        whole: SharedLimit::whole_of(warm_up.per_s, borne),
+        total: SharedLimit::total_of(warm_up.per_s, capacity),
         period: PERIOD,
         strict: true,
     }
--- a/crates/sillpin-gateway/src/place/standing.rs
+++ b/crates/sillpin-gateway/src/place/standing.rs
@@ -16,11 +16,11 @@
 /// Delay with which a box learns of others' work in a large fleet, in milliseconds: when a prompt
 /// reaches an engine, that much of the work ahead has been done. Without this correction most
 /// engines would seem busy at loads that they serve well.
-const HEARD_LATE_MS: f64 = 250.0;
+const REPORT_DELAY_MS: f64 = 250.0;
 
 /// Least queue that a prompt is expected to meet if any work was reported: work that was added
 /// since is unknown.
-const LEAST_MET_MS: f64 = 20.0;
+const MIN_EXPECTED_MS: f64 = 20.0;
 
 /// Work ahead of a prompt at an engine, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -33,17 +33,17 @@
 
 impl Queue {
     /// Estimates the queue from the reported work; `late` if the reports are delayed.
-    pub fn heard(heard_ms: f64, late: bool) -> Self {
+    pub fn reported(reported_ms: f64, late: bool) -> Self {
         if !late {
             return Self {
-                left_ms: heard_ms,
-                met_ms: heard_ms,
+                left_ms: reported_ms,
+                met_ms: reported_ms,
             };
         }
-        let left_ms = (heard_ms - HEARD_LATE_MS).max(0.0);
+        let left_ms = (reported_ms - REPORT_DELAY_MS).max(0.0);
         Self {
             left_ms,
-            met_ms: left_ms.max(heard_ms.min(LEAST_MET_MS)),
+            met_ms: left_ms.max(reported_ms.min(MIN_EXPECTED_MS)),
         }
     }
 }
--- a/crates/sillpin-gateway/src/place/words/backoff.rs
+++ b/crates/sillpin-gateway/src/place/words/backoff.rs
@@ -12,14 +12,14 @@
 
 /// Used if the header can't be parsed: the target is overloaded, and its next response says for how
 /// long.
-const UNREADABLE: Duration = Duration::from_secs(1);
+const UNREADABLE_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Upper bound: no process runs for longer, and clock arithmetic would overflow.
-const MAX: Duration = Duration::from_secs(30 * 24 * 3_600);
+const MAX_BACKOFF: Duration = Duration::from_secs(30 * 24 * 3_600);
 
 /// Maximum number of entries, more than a fleet has targets. Beyond it the ones that end first are
 /// removed.
-const MAX_LIVES: usize = 2_048;
+const MAX_ENTRIES: usize = 2_048;
 
 /// End of the backoff of each target.
 #[derive(Debug, Default)]
@@ -30,15 +30,15 @@
 impl Backoffs {
     /// Records the backoff of a refusal. Returns its length, or `None` if an earlier one lasts as
     /// long.
-    pub fn hear(
+    pub fn record(
         &mut self,
         target: IncarnationHash,
-        word: RetryAfter,
+        retry_after: RetryAfter,
         now: Instant,
     ) -> Option<Duration> {
-        let wait = match word {
-            RetryAfter::Wait(wait) => wait.min(MAX),
-            RetryAfter::Unreadable => UNREADABLE,
+        let wait = match retry_after {
+            RetryAfter::Wait(wait) => wait.min(MAX_BACKOFF),
+            RetryAfter::Unreadable => UNREADABLE_BACKOFF,
         };
         let end = now + wait;
         let known = self.until.get(&target).copied().unwrap_or(now);
@@ -50,10 +50,10 @@
     }
 
     /// Returns the remaining backoff of a target.
-    pub fn left(&self, target: IncarnationHash, now: Instant) -> Option<Duration> {
+    pub fn remaining(&self, target: IncarnationHash, now: Instant) -> Option<Duration> {
         let until = self.until.get(&target)?;
-        let left = until.saturating_duration_since(now);
-        Some(left).filter(|left| !left.is_zero())
+        let remaining = until.saturating_duration_since(now);
+        Some(remaining).filter(|remaining| !remaining.is_zero())
     }
 
     /// Returns all targets with a backoff.
@@ -72,7 +72,7 @@
     /// Removes backoffs that have ended.
     pub fn follow(&mut self, now: Instant) {
         self.until.retain(|_, until| now < *until);
-        while self.until.len() > MAX_LIVES {
+        while self.until.len() > MAX_ENTRIES {
             let first = self.until.iter().min_by_key(|(_, until)| **until);
             let Some(first) = first.map(|(target, _)| *target) else {
                 return;
--- a/crates/sillpin-gateway/src/place/words/leaving.rs
+++ b/crates/sillpin-gateway/src/place/words/leaving.rs
@@ -11,54 +11,54 @@
 
 /// Time after which an unlisted incarnation is removed. Entries lapse while the store is
 /// unreachable, and are back seconds after its return.
-const UNLISTED_MEMORY: Duration = Duration::from_secs(60);
+const UNLISTED_RETENTION: Duration = Duration::from_secs(60);
 
 /// Maximum number of incarnations, more than a fleet has targets. Beyond it the ones listed least
 /// recently are removed.
-const MAX_LIVES: usize = 2_048;
+const MAX_ENTRIES: usize = 2_048;
 
 /// Incarnations of targets that are shutting down.
 #[derive(Debug, Default)]
-pub struct Leaving {
+pub struct LeavingTargets {
     /// When each incarnation was last listed, or announced its shutdown.
-    known: BTreeMap<IncarnationHash, Instant>,
+    last_seen: BTreeMap<IncarnationHash, Instant>,
 }
 
-impl Leaving {
+impl LeavingTargets {
     /// Records that a target is shutting down; returns whether that was unknown.
-    pub fn hear(&mut self, target: IncarnationHash, now: Instant) -> bool {
-        self.known.insert(target, now).is_none()
+    pub fn record(&mut self, target: IncarnationHash, now: Instant) -> bool {
+        self.last_seen.insert(target, now).is_none()
     }
 
     /// Returns whether a target is shutting down.
-    pub fn has(&self, target: IncarnationHash) -> bool {
-        self.known.contains_key(&target)
+    pub fn contains(&self, target: IncarnationHash) -> bool {
+        self.last_seen.contains_key(&target)
     }
 
     /// Returns all incarnations that are shutting down.
     pub fn all(&self) -> impl Iterator<Item = IncarnationHash> + '_ {
-        self.known.keys().copied()
+        self.last_seen.keys().copied()
     }
 
     /// Returns the number of incarnations that are shutting down.
     pub fn count(&self) -> usize {
-        self.known.len()
+        self.last_seen.len()
     }
 
     /// Removes incarnations that have been unlisted for a while.
     pub fn follow(&mut self, is_listed: impl Fn(IncarnationHash) -> bool, now: Instant) {
-        self.known.retain(|target, seen| {
+        self.last_seen.retain(|target, seen| {
             if is_listed(*target) {
                 *seen = now;
             }
-            now.saturating_duration_since(*seen) < UNLISTED_MEMORY
+            now.saturating_duration_since(*seen) < UNLISTED_RETENTION
         });
-        while self.known.len() > MAX_LIVES {
-            let oldest = self.known.iter().min_by_key(|(_, seen)| **seen);
+        while self.last_seen.len() > MAX_ENTRIES {
+            let oldest = self.last_seen.iter().min_by_key(|(_, seen)| **seen);
             let Some(oldest) = oldest.map(|(target, _)| *target) else {
                 return;
             };
-            self.known.remove(&oldest);
+            self.last_seen.remove(&oldest);
         }
     }
 }
--- a/crates/sillpin-gateway/src/place/words/limit.rs
+++ b/crates/sillpin-gateway/src/place/words/limit.rs
@@ -33,7 +33,7 @@
 
 /// A limit that has ended is lifted in steps: it doubles at once and after each step. Otherwise all
 /// boxes would return at the same moment to a target that has just recovered.
-const LIFT_STEP: Duration = Duration::from_secs(2);
+const LIFT_STEP_TIME: Duration = Duration::from_secs(2);
 const LIFT_STEPS: i32 = 3;
 
 /// Used if a limit can't be parsed and none is known: the target is overloaded, and one request a
@@ -42,22 +42,22 @@
 
 /// Relative difference between two rates from which a change is logged and sent to other boxes at
 /// once.
-const CHANGE: f64 = 0.1;
+const SIGNIFICANT_CHANGE: f64 = 0.1;
 
 /// Time after a change for which a limit is in every message: several rounds of gossip.
-const FRESH: Duration = Duration::from_secs(2);
+const RECENT_CHANGE: Duration = Duration::from_secs(2);
 
 /// Numbers of recently changed limits, and of others in rotation, per message. Each takes 13 bytes,
 /// so a message has a kilobyte of them.
-const FRESH_IN_WORD: usize = 56;
-const OTHERS_IN_WORD: usize = 16;
+const RECENT_PER_MESSAGE: usize = 56;
+const OTHERS_PER_MESSAGE: usize = 16;
 
 /// Time after which the limit of an unlisted target is removed; its entry may arrive later than the
 /// announcement of its limit.
-const UNLISTED_MEMORY: Duration = Duration::from_secs(10);
+const UNLISTED_RETENTION: Duration = Duration::from_secs(10);
 
 /// Time for which an ended limit is stored, for boxes that receive updates late.
-const ENDED_MEMORY: Duration = Duration::from_secs(60);
+const ENDED_RETENTION: Duration = Duration::from_secs(60);
 
 /// Maximum number of limits, more than a fleet has targets. Beyond it the oldest observations are
 /// removed.
@@ -89,34 +89,34 @@
 
 /// The properties of a target's response that concern its limit.
 #[derive(Debug, Clone, Copy)]
-pub struct Heard {
+pub struct LimitObservation {
     /// When the request was sent.
     pub sent: Instant,
     /// Limit announced in the response.
-    pub word: Option<LimitWord>,
+    pub announced: Option<LimitWord>,
     /// Whether the response is a success from the target itself.
     pub success: bool,
 }
 
 /// The latest observation of one target's limit.
 #[derive(Debug, Clone, Copy)]
-struct Known {
+struct TargetLimit {
     rate: Option<RequestRate>,
     /// The last limit that was announced.
     last: Option<RequestRate>,
     at: Instant,
     /// When this box learned of the observation made at `at`; not adjusted for suspensions, because
     /// it is compared with the times at which requests were sent.
-    learned: Instant,
-    changed: Instant,
+    learned_at: Instant,
+    changed_at: Instant,
     /// Whether the target's last response to this box had a limit that could not be parsed.
     unreadable: bool,
     /// When this box itself last observed a change.
-    found: Option<Instant>,
+    observed_at: Option<Instant>,
 }
 
-impl Known {
-    fn news(&self, target: IncarnationHash, now: Instant) -> LimitUpdate {
+impl TargetLimit {
+    fn update(&self, target: IncarnationHash, now: Instant) -> LimitUpdate {
         let age = now.saturating_duration_since(self.at).as_millis();
         LimitUpdate {
             target,
@@ -128,43 +128,43 @@
 
 /// Limits of all targets that have one, or recently had.
 #[derive(Debug, Default)]
-pub struct NamedLimits {
-    known: BTreeMap<IncarnationHash, Known>,
+pub struct AnnouncedLimits {
+    known: BTreeMap<IncarnationHash, TargetLimit>,
     /// The last one sent in rotation.
-    told: Option<IncarnationHash>,
+    last_sent: Option<IncarnationHash>,
 }
 
-impl NamedLimits {
+impl AnnouncedLimits {
     /// Records the limit in a response to this box; returns the change, if there is one.
-    pub fn answered(
+    pub fn record_response(
         &mut self,
         target: IncarnationHash,
-        heard: Heard,
+        observation: LimitObservation,
         now: Instant,
     ) -> Option<LimitChange> {
         let known = self.known.get(&target);
         let before = known.and_then(|known| known.rate);
-        let (rate, at) = match heard.word {
+        let (rate, at) = match observation.announced {
             Some(LimitWord::Rate(rate)) => (Some(rate), now),
             Some(LimitWord::Unreadable) => {
-                let careful = RequestRate::try_from(UNREADABLE_PER_S).ok();
-                (before.or(careful), now)
+                let fallback = RequestRate::try_from(UNREADABLE_PER_S).ok();
+                (before.or(fallback), now)
             }
             None => {
-                let ends = known.is_some_and(|known| known.learned < heard.sent);
-                if before.is_none() || !heard.success || !ends {
+                let ends = known.is_some_and(|known| known.learned_at < observation.sent);
+                if before.is_none() || !observation.success || !ends {
                     return None;
                 }
-                (None, heard.sent)
+                (None, observation.sent)
             }
         };
         let was_unreadable = known.is_some_and(|known| known.unreadable);
-        let is_unreadable = heard.word == Some(LimitWord::Unreadable);
-        let change = self.set(target, rate, at, now);
+        let is_unreadable = observation.announced == Some(LimitWord::Unreadable);
+        let change = self.store(target, rate, at, now);
         let known = self.known.get_mut(&target)?;
         known.unreadable = is_unreadable;
         if change.is_some() {
-            known.found = Some(now);
+            known.observed_at = Some(now);
         }
         if !is_unreadable || was_unreadable {
             return change;
@@ -178,48 +178,48 @@
     }
 
     /// Applies updates from another box; returns the changes.
-    pub fn hear(&mut self, news: &[LimitUpdate], now: Instant) -> Vec<LimitChange> {
+    pub fn hear(&mut self, updates: &[LimitUpdate], now: Instant) -> Vec<LimitChange> {
         let mut changes = Vec::new();
-        for one in news {
-            let age = Duration::from_millis(u64::from(one.age_ms));
+        for update in updates {
+            let age = Duration::from_millis(u64::from(update.age_ms));
             // An observation from before the start of this machine's clock is of no use.
             let Some(at) = now.checked_sub(age) else {
                 continue;
             };
-            let known = self.known.get(&one.target);
-            let is_news = known.map_or(one.rate.is_some(), |known| known.at < at);
-            if is_news {
-                changes.extend(self.set(one.target, one.rate, at, now));
+            let known = self.known.get(&update.target);
+            let is_newer = known.map_or(update.rate.is_some(), |known| known.at < at);
+            if is_newer {
+                changes.extend(self.store(update.target, update.rate, at, now));
             }
         }
         changes
     }
 
-    fn set(
+    fn store(
         &mut self,
         target: IncarnationHash,
         rate: Option<RequestRate>,
         at: Instant,
         now: Instant,
     ) -> Option<LimitChange> {
-        let known = self.known.entry(target).or_insert(Known {
+        let known = self.known.entry(target).or_insert(TargetLimit {
             rate: None,
             last: None,
             at,
-            learned: now,
-            changed: now,
+            learned_at: now,
+            changed_at: now,
             unreadable: false,
-            found: None,
+            observed_at: None,
         });
         let before = known.rate;
         known.rate = rate;
         known.last = rate.or(known.last);
         known.at = at;
-        known.learned = now;
-        if !differ(before, rate) {
+        known.learned_at = now;
+        if !is_significant(before, rate) {
             return None;
         }
-        known.changed = now;
+        known.changed_at = now;
         Some(LimitChange {
             target,
             rate,
@@ -244,8 +244,8 @@
         if let Some(rate) = known.rate {
             return Some(limit(rate.per_s()));
         }
-        let lifted = now.saturating_duration_since(known.learned);
-        let steps = (lifted.as_secs_f64() / LIFT_STEP.as_secs_f64()) as i32;
+        let since_end = now.saturating_duration_since(known.learned_at);
+        let steps = (since_end.as_secs_f64() / LIFT_STEP_TIME.as_secs_f64()) as i32;
         let before = known.last?.per_s().max(1.0 / MAX_PERIOD.as_secs_f64());
         (steps < LIFT_STEPS).then(|| limit(before * 2f64.powi(steps + 1)))
     }
@@ -268,12 +268,12 @@
     pub fn follow(&mut self, is_listed: impl Fn(IncarnationHash) -> bool, now: Instant) {
         self.known.retain(|target, known| {
             let age = now.saturating_duration_since(known.at);
-            let memory = match (is_listed(*target), known.rate) {
+            let retention = match (is_listed(*target), known.rate) {
                 (true, Some(_)) => return true,
-                (true, None) => ENDED_MEMORY,
-                (false, _) => UNLISTED_MEMORY,
+                (true, None) => ENDED_RETENTION,
+                (false, _) => UNLISTED_RETENTION,
             };
-            age < memory
+            age < retention
         });
         while self.known.len() > MAX_LIMITS {
             let oldest = self.known.iter().min_by_key(|(_, known)| known.at);
@@ -286,69 +286,69 @@
 
     /// Returns the changes that this box itself observed recently, to be forwarded by its hub.
     pub fn found(&self, now: Instant) -> Vec<LimitUpdate> {
-        let is_fresh = |known: &&Known| {
+        let is_recent = |known: &&TargetLimit| {
             known
-                .found
-                .is_some_and(|at| now.saturating_duration_since(at) < FRESH)
+                .observed_at
+                .is_some_and(|at| now.saturating_duration_since(at) < RECENT_CHANGE)
         };
-        let fresh = self.known.iter().filter(|(_, known)| is_fresh(known));
-        fresh
-            .take(FRESH_IN_WORD)
-            .map(|(target, known)| known.news(*target, now))
+        let recent = self.known.iter().filter(|(_, known)| is_recent(known));
+        recent
+            .take(RECENT_PER_MESSAGE)
+            .map(|(target, known)| known.update(*target, now))
             .collect()
     }
 
     /// Returns the limits to send to other boxes: recent changes, and some of the others in
     /// rotation.
     pub fn told(&mut self, now: Instant) -> Vec<LimitUpdate> {
-        let is_fresh = |known: &Known| now.saturating_duration_since(known.changed) < FRESH;
-        let fresh = self.known.iter().filter(|(_, known)| is_fresh(known));
-        let mut news: Vec<LimitUpdate> = fresh
-            .take(FRESH_IN_WORD)
-            .map(|(target, known)| known.news(*target, now))
+        let is_recent = |known: &TargetLimit| now.saturating_duration_since(known.changed_at) < RECENT_CHANGE;
+        let recent = self.known.iter().filter(|(_, known)| is_recent(known));
+        let mut updates: Vec<LimitUpdate> = recent
+            .take(RECENT_PER_MESSAGE)
+            .map(|(target, known)| known.update(*target, now))
             .collect();
-        let from = self.told.map_or(Bound::Unbounded, Bound::Excluded);
-        let behind = self.known.range((from, Bound::Unbounded));
-        let others = behind.take(OTHERS_IN_WORD);
+        let from = self.last_sent.map_or(Bound::Unbounded, Bound::Excluded);
+        let following = self.known.range((from, Bound::Unbounded));
+        let others = following.take(OTHERS_PER_MESSAGE);
         let others: Vec<LimitUpdate> = others
-            .map(|(target, known)| known.news(*target, now))
+            .map(|(target, known)| known.update(*target, now))
             .collect();
-        let has_more = others.len() == OTHERS_IN_WORD;
-        self.told = others.last().map(|one| one.target).filter(|_| has_more);
-        for one in others {
-            if !news.iter().any(|told| told.target == one.target) {
-                news.push(one);
+        let has_more = others.len() == OTHERS_PER_MESSAGE;
+        self.last_sent = others.last().map(|update| update.target).filter(|_| has_more);
+        for update in others {
+            if !updates.iter().any(|sent| sent.target == update.target) {
+                updates.push(update);
             }
         }
-        news
+        updates
     }
 }
 
 /// Returns the shared limit for a target that announces `per_s` requests a second.
 fn limit(per_s: f64) -> SharedLimit {
     let per_s = per_s.max(1.0 / MAX_PERIOD.as_secs_f64());
-    let wanted = per_s * PERIOD.as_secs_f64();
-    let (whole, period) = match wanted < 1.0 {
+    let requested = per_s * PERIOD.as_secs_f64();
+    let (total, period) = match requested < 1.0 {
         true => (1, Duration::from_secs_f64(1.0 / per_s)),
         false => {
-            let borne = wanted * OVERAGE + SLACK;
-            (SharedLimit::whole_of(wanted, borne), PERIOD)
+            let capacity = requested * OVERAGE + SLACK;
+            (SharedLimit::total_of(requested, capacity), PERIOD)
         }
     };
     SharedLimit {
-        whole,
+        total,
         period,
         strict: false,
     }
 }
 
 /// Returns whether the difference between two limits is significant.
-fn differ(a: Option<RequestRate>, b: Option<RequestRate>) -> bool {
+fn is_significant(a: Option<RequestRate>, b: Option<RequestRate>) -> bool {
     let (Some(a), Some(b)) = (a, b) else {
         return a != b;
     };
     let (a, b) = (a.per_s(), b.per_s());
-    (a - b).abs() > a.max(b) * CHANGE
+    (a - b).abs() > a.max(b) * SIGNIFICANT_CHANGE
 }
 
 /// Logs a change of the limit of `target`; `source` is how this box learned of it.
--- a/crates/sillpin-gateway/src/place/words/mod.rs
+++ b/crates/sillpin-gateway/src/place/words/mod.rs
@@ -14,9 +14,9 @@
 pub mod replaced;
 
 use self::backoff::Backoffs;
-use self::leaving::Leaving;
-use self::limit::{Heard, LimitChange, NamedLimits, log_limit};
-use self::replaced::Replaced;
+use self::leaving::LeavingTargets;
+use self::limit::{LimitObservation, LimitChange, AnnouncedLimits, log_limit};
+use self::replaced::ReplacedTargets;
 use super::work::IncarnationHash;
 use crate::dialect::{RetryAfter, TargetWords};
 use sillpin_telemetry::{event, events};
@@ -58,13 +58,13 @@
 #[derive(Debug, Default)]
 pub struct TargetSignals {
     /// Rate limits.
-    pub limits: NamedLimits,
+    pub limits: AnnouncedLimits,
     /// Targets that are shutting down.
-    pub leaving: Leaving,
+    pub leaving: LeavingTargets,
     /// Targets that asked this box to send no requests for a while.
     pub backoffs: Backoffs,
     /// Targets whose address is now used by another target.
-    pub replaced: Replaced,
+    pub replaced: ReplacedTargets,
     /// Total time of suspensions that has been accounted for.
     slept: Duration,
 }
@@ -77,19 +77,19 @@
         said: SignalObservation,
         now: Instant,
     ) -> Vec<SignalChange> {
-        let heard = Heard {
+        let observation = LimitObservation {
             sent: said.sent,
-            word: said.words.limit,
+            retry_after: said.words.limit,
             success: said.success,
         };
-        let limit = self.limits.answered(target, heard, now);
+        let limit = self.limits.record_response(target, observation, now);
         let mut changes: Vec<SignalChange> = limit.into_iter().map(SignalChange::Limit).collect();
-        if said.words.leaving && self.leaving.hear(target, now) {
+        if said.words.leaving && self.leaving.record(target, now) {
             changes.push(SignalChange::Leaves);
         }
-        if let Some(word) = said.words.retry_after.filter(|_| said.is_refusal) {
-            let wait = self.backoffs.hear(target, word, now);
-            let is_readable = word != RetryAfter::Unreadable;
+        if let Some(retry_after) = said.words.retry_after.filter(|_| said.is_refusal) {
+            let wait = self.backoffs.record(target, retry_after, now);
+            let is_readable = retry_after != RetryAfter::Unreadable;
             changes.extend(wait.map(|wait| SignalChange::BacksOff { wait, is_readable }));
         }
         changes
@@ -112,10 +112,10 @@
     ) -> Option<Duration> {
         let replaced = self.replaced.known(now);
         let is_gone =
-            |target: &IncarnationHash| replaced.contains(target) || self.leaving.has(*target);
+            |target: &IncarnationHash| replaced.contains(target) || self.leaving.contains(*target);
         let there = targets.filter(|target| !is_gone(target));
         let waits: Option<Vec<Duration>> = there
-            .map(|target| self.backoffs.left(target, now))
+            .map(|target| self.backoffs.remaining(target, now))
             .collect();
         waits?.into_iter().min()
     }
--- a/crates/sillpin-gateway/src/place/words/replaced.rs
+++ b/crates/sillpin-gateway/src/place/words/replaced.rs
@@ -12,19 +12,19 @@
 
 /// Time for which a replaced target is stored: its entry lapses three heartbeats after its last
 /// write, and boxes read the entries every one to two seconds.
-const MEMORY: Duration = Duration::from_secs(6);
+const RETENTION: Duration = Duration::from_secs(6);
 
 /// Time for which this box sends its own observations to others: several rounds of gossip.
-const TELL: Duration = Duration::from_secs(2);
+const SEND_TIME: Duration = Duration::from_secs(2);
 
 /// Targets that are known to be replaced.
 #[derive(Debug, Default)]
-pub struct Replaced {
-    until: HashMap<IncarnationHash, Instant>,
+pub struct ReplacedTargets {
+    expires_at: HashMap<IncarnationHash, Instant>,
     found: HashMap<IncarnationHash, Instant>,
 }
 
-impl Replaced {
+impl ReplacedTargets {
     /// Records that the current user of the address reported the replacement to this box.
     pub fn find(&mut self, target: IncarnationHash, now: Instant) {
         self.found.insert(target, now);
@@ -33,21 +33,21 @@
 
     /// Records replacements that other boxes observed.
     pub fn hear(&mut self, targets: &[IncarnationHash], now: Instant) {
-        self.until.retain(|_, until| now < *until);
+        self.expires_at.retain(|_, expires_at| now < *expires_at);
         for target in targets {
-            self.until.entry(*target).or_insert(now + MEMORY);
+            self.expires_at.entry(*target).or_insert(now + RETENTION);
         }
     }
 
     /// Returns the recent observations of this box, to be sent to others.
     pub fn told(&mut self, now: Instant) -> Vec<IncarnationHash> {
-        self.found.retain(|_, at| now - *at < TELL);
+        self.found.retain(|_, at| now - *at < SEND_TIME);
         self.found.keys().copied().collect()
     }
 
     /// Returns all targets that are known to be replaced.
     pub fn known(&self, now: Instant) -> HashSet<IncarnationHash> {
-        let known = self.until.iter().filter(|(_, until)| now < **until);
+        let known = self.expires_at.iter().filter(|(_, expires_at)| now < **expires_at);
         known.map(|(target, _)| *target).collect()
     }
 }
--- a/crates/sillpin-gateway/src/place/work.rs
+++ b/crates/sillpin-gateway/src/place/work.rs
@@ -39,7 +39,7 @@
     }
 
     /// Subtracts work that is done.
-    pub fn take(&mut self, other: Self) {
+    pub fn subtract(&mut self, other: Self) {
         self.prefill_ms = (self.prefill_ms - other.prefill_ms).max(0.0);
         self.tokens = (self.tokens - other.tokens).max(0.0);
         self.requests = (self.requests - other.requests).max(0.0);
@@ -53,10 +53,10 @@
 }
 
 /// Time for which another box's report of its work is used: three rounds of gossip.
-const WORD_TIME: Duration = Duration::from_millis(1_300);
+const REPORT_LIFETIME: Duration = Duration::from_millis(1_300);
 
 /// A hub sends a message every 0.15 s; after this time without one it may be gone.
-const HUB_FRESH: Duration = Duration::from_millis(600);
+const HUB_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Hash of a target's id, used in messages between boxes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -112,14 +112,14 @@
 }
 
 #[derive(Debug)]
-struct Word {
+struct BoxReport {
     at: Instant,
     work: Vec<EngineWork>,
 }
 
 /// Total work of all boxes, as the hub of a large zone sent it.
 #[derive(Debug)]
-struct Told {
+struct HubReport {
     at: Instant,
     sums: Arc<HashMap<TargetHash, Work>>,
     members: HashSet<BoxHash>,
@@ -127,78 +127,78 @@
 
 /// Work that other boxes have in flight.
 #[derive(Debug, Default)]
-pub struct Others {
-    words: HashMap<BoxId, Word>,
-    told: Option<Told>,
+pub struct PeerWork {
+    box_reports: HashMap<BoxId, BoxReport>,
+    hub_report: Option<HubReport>,
     /// What this box last reported to its hub.
-    reported: Vec<EngineWork>,
+    own_reported: Vec<EngineWork>,
 }
 
-impl Others {
+impl PeerWork {
     /// Stores the work that a box reported.
     pub fn hear(&mut self, from: BoxId, work: Vec<EngineWork>, now: Instant) {
-        self.words.retain(|_, word| now - word.at < WORD_TIME);
-        self.words.insert(from, Word { at: now, work });
+        self.box_reports.retain(|_, report| now - report.at < REPORT_LIFETIME);
+        self.box_reports.insert(from, BoxReport { at: now, work });
     }
 
     /// Stores what this box reported to its hub, which the hub includes in its totals.
     pub fn report(&mut self, work: Vec<EngineWork>) {
-        self.reported = work;
+        self.own_reported = work;
     }
 
     /// Stores a hub's totals of the work of all boxes, including this one, and the boxes of the
     /// zone from which the hub receives messages.
     pub fn apply_zone_totals(&mut self, work: Vec<EngineWork>, members: &[BoxHash], now: Instant) {
         let mut sums: HashMap<TargetHash, Work> = work.iter().map(|w| (w.0, w.work())).collect();
-        for own in &self.reported {
+        for own in &self.own_reported {
             if let Some(sum) = sums.get_mut(&own.0) {
-                sum.take(own.work());
+                sum.subtract(own.work());
             }
         }
-        self.told = Some(Told {
+        self.hub_report = Some(HubReport {
             at: now,
             sums: Arc::new(sums),
             members: members.iter().map(|of| of.placeless()).collect(),
         });
     }
 
-    fn told(&self, now: Instant) -> Option<&Told> {
-        let told = self.told.as_ref();
-        told.filter(|told| now - told.at < WORD_TIME)
+    fn hub_report(&self, now: Instant) -> Option<&HubReport> {
+        let hub_report = self.hub_report.as_ref();
+        hub_report.filter(|hub_report| now - hub_report.at < REPORT_LIFETIME)
     }
 
     /// Returns whether a recent message came from a box, directly or through the hub.
     pub fn has_recent_report(&self, from: &BoxId, now: Instant) -> bool {
-        let word = self.words.get(from);
-        let direct = word.is_some_and(|word| now - word.at < WORD_TIME);
-        let told = self.told(now);
-        direct || told.is_some_and(|told| told.members.contains(&BoxHash::anywhere(from)))
+        let report = self.box_reports.get(from);
+        let direct = report.is_some_and(|report| now - report.at < REPORT_LIFETIME);
+        let hub_report = self.hub_report(now);
+        direct || hub_report.is_some_and(|hub_report| hub_report.members.contains(&BoxHash::anywhere(from)))
     }
 
     /// Returns whether the last message from a hub is recent enough for the hub to be considered
     /// alive.
     pub fn is_hub_responsive(&self, now: Instant) -> bool {
-        let told = self.told.as_ref();
-        told.is_some_and(|told| now - told.at < HUB_FRESH)
+        let hub_report = self.hub_report.as_ref();
+        hub_report.is_some_and(|hub_report| now - hub_report.at < HUB_TIMEOUT)
     }
 
     /// Returns whether a box of the zone may be alive: the hub receives its messages, or there is
     /// no hub.
     pub fn may_be_alive(&self, id: &BoxId, now: Instant) -> bool {
-        let told = self.told(now);
-        told.is_none_or(|told| told.members.contains(&BoxHash::anywhere(id)))
+        let hub_report = self.hub_report(now);
+        hub_report.is_none_or(|hub_report| hub_report.members.contains(&BoxHash::anywhere(id)))
     }
 
     /// Returns the work of all other boxes at each engine, from the hub or else from the boxes
     /// themselves.
-    pub fn sum(&self, now: Instant) -> Arc<HashMap<TargetHash, Work>> {
-        if let Some(told) = self.told(now) {
-            return told.sums.clone();
+    pub fn engine_totals(&self, now: Instant) -> Arc<HashMap<TargetHash, Work>> {
+        if let Some(hub_report) = self.hub_report(now) {
+            return hub_report.sums.clone();
         }
-        let fresh = self.words.values().filter(|word| now - word.at < WORD_TIME);
+        let fresh = self.box_reports.values().filter(|report| now - report.at < REPORT_LIFETIME);
         let mut sums: HashMap<TargetHash, Work> = HashMap::new();
-        for told in fresh.flat_map(|word| &word.work) {
-            sums.entry(told.0).or_default().add(told.work());
+        for engine in fresh.flat_map(|report| &report.work) {
+            sums.entry(engine.0).or_default().add(engine.work());
         }
         Arc::new(sums)
     }
--- a/crates/sillpin-gateway/tests/limited_fleet.rs
+++ b/crates/sillpin-gateway/tests/limited_fleet.rs
@@ -17,7 +17,7 @@
 use sillpin_gateway::peers::roles::SMALL_FLEET;
 use sillpin_gateway::place::limits::{LimitContext, Limits};
 use sillpin_gateway::place::shared_limit::{Admission, MEMBERSHIP_DELAY, ShareGroup};
-use sillpin_gateway::place::words::limit::{Heard, LimitUpdate};
+use sillpin_gateway::place::words::limit::{LimitObservation, LimitUpdate};
 use sillpin_gateway::place::work::IncarnationHash;
 use sillpin_gateway::settings::WarmUpRules;
 use std::collections::HashMap;
@@ -257,7 +257,7 @@
             off == Off::Limits
                 || one
                     .memory
-                    .admits(&limit_context, entry, Admission::Part, now)
+                    .admits(&limit_context, entry, Admission::OwnShare, now)
         };
         let Some(target) = looked.into_iter().find(|target| admits(target)) else {
             return false;
@@ -283,7 +283,7 @@
             let word = answer
                 .named
                 .map(|rate| LimitWord::Rate(rate.try_into().unwrap()));
-            let heard = Heard {
+            let heard = LimitObservation {
                 sent: answer.sent,
                 word,
                 success: true,
@@ -292,7 +292,7 @@
             one.memory
                 .words
                 .limits
-                .answered(life, heard, Instant::now());
+                .record_response(life, heard, Instant::now());
         }
     }
 
--- a/crates/sillpin-gateway/tests/named_limit.rs
+++ b/crates/sillpin-gateway/tests/named_limit.rs
@@ -7,7 +7,7 @@
 use sillpin_core::RequestRate;
 use sillpin_gateway::control::TargetEntry;
 use sillpin_gateway::dialect::LimitWord;
-use sillpin_gateway::place::words::limit::{Heard, NamedLimits};
+use sillpin_gateway::place::words::limit::{LimitObservation, AnnouncedLimits};
 use sillpin_gateway::place::work::IncarnationHash;
 use std::time::Duration;
 use tokio::time::{Instant, advance};
@@ -24,18 +24,18 @@
 }
 
 /// An answer to a request that was sent just now.
-fn naming(text: &str) -> Heard {
-    Heard {
+fn naming(text: &str) -> LimitObservation {
+    LimitObservation {
         sent: Instant::now(),
-        word: Some(LimitWord::Rate(rate(text))),
+        announced: Some(LimitWord::Rate(rate(text))),
         success: true,
     }
 }
 
-fn silent(sent: Instant, success: bool) -> Heard {
-    Heard {
+fn silent(sent: Instant, success: bool) -> LimitObservation {
+    LimitObservation {
         sent,
-        word: None,
+        announced: None,
         success,
     }
 }
@@ -58,10 +58,10 @@
 
 #[tokio::test(start_paused = true)]
 async fn the_last_limit_named_holds_whether_it_fell_or_rose() {
-    let mut limits = NamedLimits::default();
+    let mut limits = AnnouncedLimits::default();
     for text in ["4", "1.5", "9", "0"] {
         advance(Duration::from_millis(100)).await;
-        let change = limits.answered(life("a"), naming(text), Instant::now());
+        let change = limits.record_response(life("a"), naming(text), Instant::now());
         assert_eq!(change.unwrap().rate, Some(rate(text)));
         assert_eq!(limits.rate(life("a")), Some(rate(text)));
     }
@@ -71,52 +71,52 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_limit_ends_by_a_success_without_one_whose_request_was_sent_later() {
-    let mut limits = NamedLimits::default();
+    let mut limits = AnnouncedLimits::default();
     let before = Instant::now();
     advance(Duration::from_millis(10)).await;
-    limits.answered(life("a"), naming("2"), Instant::now());
+    limits.record_response(life("a"), naming("2"), Instant::now());
     advance(Duration::from_millis(10)).await;
     let now = Instant::now();
     // An answer that was overtaken, and a failure that something before the target may have made.
-    assert_eq!(limits.answered(life("a"), silent(before, true), now), None);
-    assert_eq!(limits.answered(life("a"), silent(now, false), now), None);
+    assert_eq!(limits.record_response(life("a"), silent(before, true), now), None);
+    assert_eq!(limits.record_response(life("a"), silent(now, false), now), None);
     assert_eq!(limits.rate(life("a")), Some(rate("2")));
-    let ended = limits.answered(life("a"), silent(now, true), now).unwrap();
+    let ended = limits.record_response(life("a"), silent(now, true), now).unwrap();
     assert_eq!((ended.rate, ended.before), (None, Some(rate("2"))));
     assert_eq!(limits.rate(life("a")), None);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_limit_that_cannot_be_read_keeps_what_was_known_and_else_is_taken_for_a_small_one() {
-    let mut limits = NamedLimits::default();
-    let unreadable = || Heard {
-        word: Some(LimitWord::Unreadable),
+    let mut limits = AnnouncedLimits::default();
+    let unreadable = || LimitObservation {
+        announced: Some(LimitWord::Unreadable),
         ..silent(Instant::now(), true)
     };
-    limits.answered(life("a"), naming("6"), Instant::now());
-    let change = limits.answered(life("a"), unreadable(), Instant::now());
+    limits.record_response(life("a"), naming("6"), Instant::now());
+    let change = limits.record_response(life("a"), unreadable(), Instant::now());
     assert!(change.unwrap().unreadable);
     assert_eq!(limits.rate(life("a")), Some(rate("6")));
     // Said once, not with each answer.
     assert_eq!(
-        limits.answered(life("a"), unreadable(), Instant::now()),
+        limits.record_response(life("a"), unreadable(), Instant::now()),
         None
     );
-    limits.answered(life("b"), unreadable(), Instant::now());
+    limits.record_response(life("b"), unreadable(), Instant::now());
     assert_eq!(limits.rate(life("b")), Some(rate("1")));
 }
 
 #[tokio::test(start_paused = true)]
 async fn of_two_words_the_later_one_holds_in_whatever_order_they_come() {
-    let (mut one, mut other) = (NamedLimits::default(), NamedLimits::default());
-    one.answered(life("a"), naming("2"), Instant::now());
+    let (mut one, mut other) = (AnnouncedLimits::default(), AnnouncedLimits::default());
+    one.record_response(life("a"), naming("2"), Instant::now());
     let named = one.told(Instant::now());
     advance(Duration::from_millis(50)).await;
     let sent = Instant::now();
-    one.answered(life("a"), silent(sent, true), sent);
+    one.record_response(life("a"), silent(sent, true), sent);
     let ended = one.told(Instant::now());
     // The end first, then the naming, told with its age.
-    other.answered(life("a"), naming("2"), sent - Duration::from_millis(40));
+    other.record_response(life("a"), naming("2"), sent - Duration::from_millis(40));
     other.hear(&ended, sent);
     assert_eq!(other.rate(life("a")), None);
     let late: Vec<_> = named
@@ -132,13 +132,13 @@
 
 #[tokio::test(start_paused = true)]
 async fn what_a_box_knew_before_it_was_suspended_is_older_than_what_others_tell() {
-    let (mut one, mut other) = (NamedLimits::default(), NamedLimits::default());
-    one.answered(life("a"), naming("2"), Instant::now());
+    let (mut one, mut other) = (AnnouncedLimits::default(), AnnouncedLimits::default());
+    one.record_response(life("a"), naming("2"), Instant::now());
     advance(Duration::from_secs(1)).await;
     // The other box saw the end five seconds before this one woke: this one had stood still for ten.
-    other.answered(life("a"), naming("2"), Instant::now());
+    other.record_response(life("a"), naming("2"), Instant::now());
     let sent = Instant::now() + Duration::from_millis(1);
-    other.answered(life("a"), silent(sent, true), sent);
+    other.record_response(life("a"), silent(sent, true), sent);
     let mut told = other.told(sent);
     told[0].age_ms = 5_000;
     one.age(Duration::from_secs(10));
@@ -149,9 +149,9 @@
 
 #[tokio::test(start_paused = true)]
 async fn limits_of_targets_that_are_gone_are_forgotten() {
-    let mut limits = NamedLimits::default();
-    limits.answered(life("a"), naming("2"), Instant::now());
-    limits.answered(life("b"), naming("2"), Instant::now());
+    let mut limits = AnnouncedLimits::default();
+    limits.record_response(life("a"), naming("2"), Instant::now());
+    limits.record_response(life("b"), naming("2"), Instant::now());
     advance(Duration::from_secs(60)).await;
     limits.follow(|listed| listed == life("a"), Instant::now());
     assert_eq!(limits.rate(life("a")), Some(rate("2")));
@@ -160,12 +160,12 @@
 
 #[tokio::test(start_paused = true)]
 async fn many_limits_are_told_in_turn_within_what_a_datagram_holds() {
-    let mut limits = NamedLimits::default();
+    let mut limits = AnnouncedLimits::default();
     for index in 0..300 {
-        limits.answered(life(&format!("t{index}")), naming("2"), Instant::now());
+        limits.record_response(life(&format!("t{index}")), naming("2"), Instant::now());
     }
     advance(Duration::from_secs(60)).await;
-    let mut other = NamedLimits::default();
+    let mut other = AnnouncedLimits::default();
     for _ in 0..300 / 16 + 1 {
         let word = limits.told(Instant::now());
         assert!(word.len() <= 72);
@@ -185,25 +185,25 @@
 #[tokio::test(start_paused = true)]
 async fn a_limit_is_shared_as_whole_requests_with_a_reserve(
     #[case] named: &str,
-    #[case] whole: u32,
+    #[case] total: u32,
     #[case] period_ms: u128,
 ) {
-    let mut limits = NamedLimits::default();
-    limits.answered(life("a"), naming(named), Instant::now());
+    let mut limits = AnnouncedLimits::default();
+    limits.record_response(life("a"), naming(named), Instant::now());
     let limit = limits.limit(life("a"), Instant::now()).unwrap();
-    assert_eq!((limit.whole, limit.period.as_millis()), (whole, period_ms));
+    assert_eq!((limit.total, limit.period.as_millis()), (total, period_ms));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_limit_that_ended_is_lifted_step_by_step() {
-    let mut limits = NamedLimits::default();
-    limits.answered(life("a"), naming("2"), Instant::now());
+    let mut limits = AnnouncedLimits::default();
+    limits.record_response(life("a"), naming("2"), Instant::now());
     advance(Duration::from_millis(10)).await;
-    limits.answered(life("a"), silent(Instant::now(), true), Instant::now());
+    limits.record_response(life("a"), silent(Instant::now(), true), Instant::now());
     let mut wholes = Vec::new();
     for _ in 0..4 {
         let limit = limits.limit(life("a"), Instant::now());
-        wholes.push(limit.map(|limit| limit.whole));
+        wholes.push(limit.map(|limit| limit.total));
         advance(Duration::from_secs(2)).await;
     }
     assert_eq!(wholes, [Some(14), Some(26), Some(50), None]);
--- a/crates/sillpin-gateway/tests/place.rs
+++ b/crates/sillpin-gateway/tests/place.rs
@@ -17,7 +17,7 @@
 use sillpin_gateway::place::load::Outcome;
 use sillpin_gateway::place::parts::{Plan, PlanInputs, plan, salt};
 use sillpin_gateway::place::shared_limit::ShareGroup;
-use sillpin_gateway::place::words::limit::Heard;
+use sillpin_gateway::place::words::limit::LimitObservation;
 use sillpin_gateway::place::work::{EngineWork, IncarnationHash, TargetHash, Work};
 use sillpin_gateway::place::{ChoiceInputs, ChosenTarget, Loads, choose};
 use sillpin_gateway::settings::WarmUpRules;
@@ -456,7 +456,7 @@
         let busy = engines().filter(|e| e.id != the_limited.id);
         let work = busy.map(|e| EngineWork(TargetHash::of(&e.id), 200, 100, 1));
         setting.loads.apply_zone_totals(work.collect(), &[]);
-        let heard = Heard {
+        let heard = LimitObservation {
             sent: Instant::now(),
             word: Some(LimitWord::Rate("2".parse().unwrap())),
             success: true,
@@ -465,7 +465,7 @@
         let now = Instant::now();
         setting
             .loads
-            .words(|words| words.limits.answered(life, heard, now));
+            .words(|words| words.limits.record_response(life, heard, now));
         let model = name("m");
         let plans = [(WeightVersion(1), plan_kept_in("za"))];
         let prompt = || PromptInputs {
--- a/crates/sillpin-gateway/tests/shared_limit.rs
+++ b/crates/sillpin-gateway/tests/shared_limit.rs
@@ -14,9 +14,9 @@
 
 const PERIOD: Duration = Duration::from_secs(4);
 
-fn limit(whole: u32, strict: bool) -> SharedLimit {
+fn limit(total: u32, strict: bool) -> SharedLimit {
     SharedLimit {
-        whole,
+        total,
         period: PERIOD,
         strict,
     }
@@ -60,7 +60,7 @@
         };
         let mut shared = SharedLimits::new(PERIOD);
         let mut count = 0;
-        while shared.admits(&share_group, target, limit, Admission::Part, now) {
+        while shared.admits(&share_group, target, limit, Admission::OwnShare, now) {
             shared.record_sent(&target.id, now);
             count += 1;
         }
@@ -73,13 +73,13 @@
 #[tokio::test(start_paused = true)]
 async fn parts_add_up_to_the_limit_in_the_targets_zone(
     #[values(1, 3, 7, 25, 59)] near: usize,
-    #[values(1, 7, 152)] whole: u32,
+    #[values(1, 7, 152)] total: u32,
     #[values(true, false)] strict: bool,
 ) {
     let all = boxes(&[near, near, near]);
     let zones: Vec<ZoneId> = ["z0", "z1", "z2"].map(name).into();
-    let sent = sent(&all, &zones, &engine("e", "z1"), limit(whole, strict), true);
-    assert_eq!(sent.iter().sum::<usize>(), whole as usize);
+    let sent = sent(&all, &zones, &engine("e", "z1"), limit(total, strict), true);
+    assert_eq!(sent.iter().sum::<usize>(), total as usize);
     let elsewhere = sent[..near].iter().chain(&sent[2 * near..]);
     assert_eq!(elsewhere.sum::<usize>(), 0);
     let (least, most) = (
@@ -142,9 +142,9 @@
         tokio::time::advance(Duration::from_secs(1)).await;
     }
     let now = Instant::now();
-    assert!(!shared.admits(&share_group, &target, limit, Admission::Part, now));
+    assert!(!shared.admits(&share_group, &target, limit, Admission::OwnShare, now));
     let free = shared.free_at(&share_group, &target, limit, now).unwrap();
     assert!(free >= began + PERIOD && free < began + PERIOD + Duration::from_millis(200));
     tokio::time::advance(free - now).await;
-    assert!(shared.admits(&share_group, &target, limit, Admission::Part, free));
+    assert!(shared.admits(&share_group, &target, limit, Admission::OwnShare, free));
 }
--- a/crates/sillpin-gateway/tests/slow_start.rs
+++ b/crates/sillpin-gateway/tests/slow_start.rs
@@ -254,8 +254,8 @@
                     |state: &mut Limits, how| state.admits(&limit_context, target, how, now);
                 let lone = !limit_context.share_group.is_sure();
                 while !is_limited
-                    || admits(&mut one.state, Admission::Part)
-                    || (lone && admits(&mut one.state, Admission::Unsure))
+                    || admits(&mut one.state, Admission::OwnShare)
+                    || (lone && admits(&mut one.state, Admission::UnknownShare))
                 {
                     one.state.record_sent(&target.id, now);
                     let opened = Duration::from_millis(fleet.rng.random_range(0..=OPENING_MS));
--- a/crates/sillpin-gateway/tests/words.rs
+++ b/crates/sillpin-gateway/tests/words.rs
@@ -49,9 +49,9 @@
     }
 }
 
-fn left(words: &TargetSignals, target: IncarnationHash) -> Option<f64> {
-    let left = words.backoffs.left(target, Instant::now());
-    left.map(|left| left.as_secs_f64())
+fn remaining(words: &TargetSignals, target: IncarnationHash) -> Option<f64> {
+    let remaining = words.backoffs.remaining(target, Instant::now());
+    remaining.map(|remaining| remaining.as_secs_f64())
 }
 
 #[rstest]
@@ -69,9 +69,9 @@
     let mut words = TargetSignals::default();
     let target = life_of("i-1", 1);
     words.take(target, said, Instant::now());
-    assert_eq!(left(&words, target), expected);
-    assert_eq!(left(&words, life_of("i-2", 1)), None);
-    assert_eq!(left(&words, life_of("i-1", 2)), None, "a new life");
+    assert_eq!(remaining(&words, target), expected);
+    assert_eq!(remaining(&words, life_of("i-2", 1)), None);
+    assert_eq!(remaining(&words, life_of("i-1", 2)), None, "a new life");
 }
 
 #[tokio::test(start_paused = true)]
@@ -85,11 +85,11 @@
     assert!(words.take(target, wait(0.0), Instant::now()).is_empty());
     let unreadable = refusal(RetryAfter::Unreadable);
     assert!(words.take(target, unreadable, Instant::now()).is_empty());
-    assert_eq!(left(&words, target), Some(2.0));
+    assert_eq!(remaining(&words, target), Some(2.0));
     words.take(target, wait(4.0), Instant::now());
-    assert_eq!(left(&words, target), Some(4.0));
+    assert_eq!(remaining(&words, target), Some(4.0));
     advance(4 * SECOND).await;
-    assert_eq!(left(&words, target), None);
+    assert_eq!(remaining(&words, target), None);
 }
 
 #[tokio::test(start_paused = true)]
@@ -98,11 +98,11 @@
     let target = life_of("i-1", 1);
     words.take(target, wait(3.0), Instant::now());
     words.wake(2 * SECOND);
-    assert_eq!(left(&words, target), Some(1.0));
+    assert_eq!(remaining(&words, target), Some(1.0));
     words.wake(2 * SECOND);
-    assert_eq!(left(&words, target), Some(1.0), "aged once");
+    assert_eq!(remaining(&words, target), Some(1.0), "aged once");
     words.wake(4 * SECOND);
-    assert_eq!(left(&words, target), None);
+    assert_eq!(remaining(&words, target), None);
 }
 
 #[tokio::test(start_paused = true)]
@@ -133,20 +133,20 @@
         assert_eq!(changes, [SignalChange::Leaves]);
         assert!(words.take(target, leaving(), Instant::now()).is_empty());
     }
-    assert!(!words.leaving.has(life_of("i-1", 2)), "a new life");
+    assert!(!words.leaving.contains(life_of("i-1", 2)), "a new life");
     for _ in 0..120 {
         advance(SECOND).await;
         words.follow(|life| life == there, Instant::now());
-        let is_recent = words.leaving.has(gone);
-        assert!(words.leaving.has(there));
+        let is_recent = words.leaving.contains(gone);
+        assert!(words.leaving.contains(there));
         if !is_recent {
             break;
         }
     }
-    assert!(!words.leaving.has(gone));
+    assert!(!words.leaving.contains(gone));
     // Its entry lapses in an outage, and comes back.
     advance(20 * SECOND).await;
     words.follow(|_| false, Instant::now());
     words.follow(|life| life == there, Instant::now());
-    assert!(words.leaving.has(there));
+    assert!(words.leaving.contains(there));
 }
