--- a/crates/sillpin-gateway/src/front/attempt.rs
+++ b/crates/sillpin-gateway/src/front/attempt.rs
@@ -9,7 +9,7 @@
 use crate::control::TargetEntry;
 use crate::dialect::{AnswerHead, Dialect, Sending};
 use crate::place::InFlightGuard;
-use crate::place::words::{SignalChange, SignalObservation, log_change};
+use crate::place::signals::{SignalChange, SignalObservation, log_change};
 use crate::place::work::IncarnationHash;
 use crate::pool::{Conn, SendError};
 use bytes::Bytes;
@@ -319,14 +319,14 @@
         }
         let said = SignalObservation {
             sent,
-            words: head.words,
+            signals: head.signals,
             success: status.is_success() && head.signed && !head.not_run,
             is_refusal: TURNED_AWAY.contains(&status),
         };
         let life = IncarnationHash::of(target);
         let changes = self
             .loads
-            .words(|words| words.take(life, said, Instant::now()));
+            .signals(|signals| signals.record(life, said, Instant::now()));
         for change in changes {
             if let SignalChange::Limit(_) = change {
                 self.loads.limit_changed.notify_waiters();
--- a/crates/sillpin-gateway/src/front/drive.rs
+++ b/crates/sillpin-gateway/src/front/drive.rs
@@ -193,7 +193,7 @@
         let (chosen, weights) = (&placed.chosen, placed.weights);
         let limit = self
             .loads
-            .words(|words| words.limits.rate(IncarnationHash::of(&chosen.target)));
+            .signals(|signals| signals.limits.rate(IncarnationHash::of(&chosen.target)));
         event!(self.log, events::SENDING,
             "request" => &run.demand.id, "print" => run.print.to_string(),
             "target" => chosen.target.id.as_str(),
@@ -284,9 +284,9 @@
             if *misdirected && self.is_replaced(run, version) {
                 let mut limits = self.loads.limits();
                 limits
-                    .words
+                    .signals
                     .replaced
-                    .find(IncarnationHash::of(target), Instant::now());
+                    .record_observed(IncarnationHash::of(target), Instant::now());
             }
         }
         if !matches!(ended, Ended::Answered(_) | Ended::Streaming(_)) {
--- a/crates/sillpin-gateway/src/front/placing.rs
+++ b/crates/sillpin-gateway/src/front/placing.rs
@@ -127,7 +127,7 @@
     /// Work ahead of a prompt at its target, in a fleet of so many boxes; `None` for a request without one.
     pub fn queue(&self, boxes: usize) -> Option<Queue> {
         self.engine.as_ref()?;
-        Some(Queue::heard(self.chosen.queue_ms, boxes > SMALL_FLEET))
+        Some(Queue::reported(self.chosen.queue_ms, boxes > SMALL_FLEET))
     }
 
     /// What is expected of a prompt behind a queue, where so much has stood at targets of late, in milliseconds.
@@ -241,7 +241,7 @@
         let lives = allowed.map(|target| target.life);
         let wait = self
             .loads
-            .words(|words| words.shortest_backoff(lives, Instant::now()))?;
+            .signals(|signals| signals.shortest_backoff(lives, Instant::now()))?;
         Some(wait + BACKED_OFF_SPREAD.mul_f64(rand::rng().random_range(0.0..1.0)))
     }
 
--- a/crates/sillpin-gateway/src/metrics.rs
+++ b/crates/sillpin-gateway/src/metrics.rs
@@ -2,7 +2,7 @@
 
 use crate::beliefs::{FleetHandle, View};
 use crate::place::Loads;
-use crate::place::words::TargetSignals;
+use crate::place::signals::TargetSignals;
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{AsyncInstrument, Counter, Histogram, Meter};
 use sillpin_platform::call::{CallCounts, Tally};
@@ -160,23 +160,23 @@
     let observe = |of: fn(&TargetSignals) -> usize| {
         let loads = loads.clone();
         move |observer: &dyn AsyncInstrument<u64>| {
-            observer.observe(loads.words(|words| of(words)) as u64, &[]);
+            observer.observe(loads.signals(|signals| of(signals)) as u64, &[]);
         }
     };
     meter
         .u64_observable_gauge("sillpin_limited_targets")
         .with_description("Targets that name a limit on the requests of all boxes together")
-        .with_callback(observe(|words| words.limits.count()))
+        .with_callback(observe(|signals| signals.limits.count()))
         .build();
     meter
         .u64_observable_gauge("sillpin_leaving_targets")
         .with_description("Targets that told this box that they leave")
-        .with_callback(observe(|words| words.leaving.count()))
+        .with_callback(observe(|signals| signals.leaving.count()))
         .build();
     meter
         .u64_observable_gauge("sillpin_backing_off_targets")
         .with_description("Targets that want no requests from this box for a while")
-        .with_callback(observe(|words| words.backoffs.all(Instant::now()).count()))
+        .with_callback(observe(|signals| signals.backoffs.all(Instant::now()).count()))
         .build();
 }
 
--- a/crates/sillpin-gateway/src/ops.rs
+++ b/crates/sillpin-gateway/src/ops.rs
@@ -430,7 +430,7 @@
         let targets = views.borrow_and_update().targets.clone();
         if due || !Arc::ptr_eq(&known, &targets) {
             shared.pool.prune(&targets);
-            shared.loads.follow(&targets);
+            shared.loads.retain_listed(&targets);
             known = targets;
         }
     }
--- a/crates/sillpin-gateway/src/peers/datagram.rs
+++ b/crates/sillpin-gateway/src/peers/datagram.rs
@@ -9,7 +9,7 @@
 use crate::kept::directory::Position;
 use crate::kept::homes::hash_pair;
 use crate::kept::retire::Retired;
-use crate::place::words::limit::LimitUpdate;
+use crate::place::signals::limit::LimitUpdate;
 use crate::place::work::{EngineWork, IncarnationHash};
 use serde::{Deserialize, Serialize};
 use sillpin_core::{BoxId, ModelId, TargetId, Tokens, WeightVersion, ZoneId};
--- a/crates/sillpin-gateway/src/peers/digest.rs
+++ b/crates/sillpin-gateway/src/peers/digest.rs
@@ -214,7 +214,7 @@
             retirements.wake(self.awake.slept());
             retirements.update(&view, fullness, Instant::now());
         }
-        self.loads.words(|words| words.wake(self.awake.slept()));
+        self.loads.signals(|words| words.wake(self.awake.slept()));
         if large {
             return;
         }
@@ -241,7 +241,7 @@
         let from = self.me.id.clone();
         let replaced = self
             .loads
-            .words(|words| words.replaced.told(Instant::now()));
+            .signals(|words| words.replaced.told(Instant::now()));
         let word = WorkWord {
             from,
             work,
@@ -290,12 +290,12 @@
                 .collect(),
             clock: directory.engine_time(now, Duration::ZERO),
             work: self.loads.told(),
-            replaced: self.loads.words(|words| words.replaced.told(now)),
+            replaced: self.loads.signals(|words| words.replaced.told(now)),
             named: ages(&view.wanted, now),
             contact_ms: view.operators.in_contact(now).map(|at| millis(now - at)),
             retired: self.kept.retirements().told(now),
             fatal: self.fatal.record().told(now),
-            limits: self.loads.words(|words| words.limits.told(now)),
+            limits: self.loads.signals(|words| words.limits.told(now)),
             stopping: self.stopping.is_cancelled(),
         }
     }
--- a/crates/sillpin-gateway/src/peers/ear.rs
+++ b/crates/sillpin-gateway/src/peers/ear.rs
@@ -16,7 +16,7 @@
 use crate::kept::directory::Directory;
 use crate::metrics::BoxMetrics;
 use crate::place::Loads;
-use crate::place::words::limit::{LimitUpdate, log_limit};
+use crate::place::signals::limit::{LimitUpdate, log_limit};
 use crate::place::work::IncarnationHash;
 use sillpin_core::ZoneId;
 use sillpin_platform::KvRevision;
@@ -146,7 +146,7 @@
             Datagram::Kept(word) => self.take_word(word),
             Datagram::Work(word) => {
                 self.loads
-                    .words(|words| words.replaced.hear(&word.replaced, Instant::now()));
+                    .signals(|signals| signals.replaced.hear(&word.replaced, Instant::now()));
                 self.loads.hear(word.from, word.work);
             }
             Datagram::Report(report) => self.take_report(report).await,
@@ -164,7 +164,7 @@
         let from = digest.from.id.clone();
         self.loads.hear(from.clone(), digest.work);
         self.loads
-            .words(|words| words.replaced.hear(&digest.replaced, now));
+            .signals(|signals| signals.replaced.hear(&digest.replaced, now));
         self.fatal.hear(&digest.fatal);
         self.take_limits(&digest.limits);
         let silence = digest.targets.age_ms.map(Duration::from_millis);
@@ -190,7 +190,7 @@
         }
         let changes = self
             .loads
-            .words(|words| words.limits.hear(news, Instant::now()));
+            .signals(|signals| signals.limits.hear(news, Instant::now()));
         if changes.is_empty() {
             return;
         }
--- a/crates/sillpin-gateway/src/peers/ear/news.rs
+++ b/crates/sillpin-gateway/src/peers/ear/news.rs
@@ -54,7 +54,7 @@
         if let Some(sums) = sums {
             self.loads.apply_zone_totals(sums.work, &members);
             self.loads
-                .words(|words| words.replaced.hear(&sums.replaced, now));
+                .signals(|signals| signals.replaced.hear(&sums.replaced, now));
             self.kept.retirements().learn(&sums.retired);
             self.fatal.hear(&sums.fatal);
             self.take_limits(&sums.limits);
--- a/crates/sillpin-gateway/src/peers/spread.rs
+++ b/crates/sillpin-gateway/src/peers/spread.rs
@@ -88,7 +88,7 @@
             targets: extent(view.listed),
             retired: self.kept.retirements().applied(),
             fatal: self.fatal.record().told(now),
-            limits: self.loads.words(|words| words.limits.told(now)),
+            limits: self.loads.signals(|signals| signals.limits.told(now)),
         };
         let bulletins = self.zone_news.hub().bulletins(sums, now);
         for bulletin in bulletins {
@@ -116,14 +116,14 @@
         let work = self.loads.told();
         let silent = is_due(spread.reported, REPORT_EVERY, now);
         let fatal = self.fatal.record().found(now);
-        let limits = self.loads.words(|words| words.limits.found(now));
+        let limits = self.loads.signals(|signals| signals.limits.found(now));
         let is_quiet = spread.pending.is_empty() && fatal.is_empty() && limits.is_empty();
         if work == spread.work && is_quiet && !silent {
             return;
         }
         spread.reported = Some(now);
         spread.work = work.clone();
-        self.loads.report(work.clone());
+        self.loads.set_own_report(work.clone());
         let me = self.name;
         let hubs = self.report_to(roster, now);
         let mut pieces = chunks(std::mem::take(&mut spread.pending));
@@ -134,7 +134,7 @@
             let report = Report {
                 from: me,
                 work: work.clone(),
-                replaced: self.loads.words(|words| words.replaced.told(now)),
+                replaced: self.loads.signals(|signals| signals.replaced.told(now)),
                 operators: extent(view.operators),
                 targets: extent(view.listed),
                 retired: self.kept.retirements().applied(),
@@ -173,7 +173,7 @@
             return;
         };
         word.fatal = self.fatal.record().told(now);
-        word.limits = self.loads.words(|words| words.limits.told(now));
+        word.limits = self.loads.signals(|signals| signals.limits.told(now));
         let to = self.other_hubs(roster, now);
         self.send(socket, &Datagram::Zone(word), to).await;
     }
--- a/crates/sillpin-gateway/src/place/choose.rs
+++ b/crates/sillpin-gateway/src/place/choose.rs
@@ -219,7 +219,7 @@
             .as_ref()
             .and_then(|p| p.any_plan())
             .and_then(Plan::affinity_key);
-        let unavailable = choice.loads.words(|words| words.unavailable(choice.now));
+        let unavailable = choice.loads.signals(|signals| signals.unavailable(choice.now));
         Self {
             peer_work: match choice.prompt {
                 Some(_) => choice.loads.peer_work(choice.now),
--- a/crates/sillpin-gateway/src/place/index.rs
+++ b/crates/sillpin-gateway/src/place/index.rs
@@ -79,12 +79,12 @@
 impl TargetIndex {
     /// Builds the index of all targets that are ready.
     pub fn new(targets: &HashMap<TargetId, Arc<TargetEntry>>) -> Self {
-        Self::without(targets, &Evacuations::default())
+        Self::without_evacuated_zones(targets, &Evacuations::default())
     }
 
     /// Builds the index of all ready targets outside evacuated zones. All choices of targets use
     /// this index, so no request of any kind is sent to an evacuated zone.
-    pub fn without(
+    pub fn without_evacuated_zones(
         targets: &HashMap<TargetId, Arc<TargetEntry>>,
         evacuations: &Evacuations,
     ) -> Self {
--- a/crates/sillpin-gateway/src/place/limits.rs
+++ b/crates/sillpin-gateway/src/place/limits.rs
@@ -2,7 +2,7 @@
 
 use super::shared_limit::{Admission, ShareGroup, SharedLimit, SharedLimits};
 use super::slow_start::{self, SlowStart};
-use super::words::{TargetSignals, limit};
+use super::signals::{TargetSignals, limit};
 use super::work::IncarnationHash;
 use crate::config::WarmUp;
 use crate::control::TargetEntry;
@@ -31,7 +31,7 @@
     /// Targets that have restarted recently.
     pub slow_start: SlowStart,
     /// Signals that targets sent in their responses.
-    pub words: TargetSignals,
+    pub signals: TargetSignals,
     shared: SharedLimits,
 }
 
@@ -39,7 +39,7 @@
     fn default() -> Self {
         Self {
             slow_start: SlowStart::default(),
-            words: TargetSignals::default(),
+            signals: TargetSignals::default(),
             shared: SharedLimits::new(slow_start::PERIOD.max(limit::MAX_PERIOD)),
         }
     }
@@ -65,7 +65,7 @@
     pub fn has_any(&self, limit_context: &LimitContext<'_>) -> bool {
         let cold = limit_context.warm_up.is_some()
             && (!limit_context.cold.is_empty() || self.slow_start.has_any());
-        cold || !self.words.limits.is_empty()
+        cold || !self.signals.limits.is_empty()
     }
 
     /// Returns whether a target is limited.
@@ -109,7 +109,7 @@
         now: Instant,
     ) -> [Option<SharedLimit>; 2] {
         let cold = self.cold_limit(limit_context, target, now);
-        let limits = &self.words.limits;
+        let limits = &self.signals.limits;
         let named = match limits.is_empty() {
             true => None,
             false => limits.limit(IncarnationHash::of(target), now),
@@ -135,8 +135,8 @@
     }
 
     /// Removes targets that are not listed, and requests that no longer count.
-    pub fn follow(&mut self, is_listed: impl Fn(&TargetId) -> bool, now: Instant) {
-        self.slow_start.follow(&is_listed);
-        self.shared.follow(is_listed, now);
+    pub fn retain_listed(&mut self, is_listed: impl Fn(&TargetId) -> bool, now: Instant) {
+        self.slow_start.retain_listed(&is_listed);
+        self.shared.retain_listed(is_listed, now);
     }
 }
--- a/crates/sillpin-gateway/src/place/load.rs
+++ b/crates/sillpin-gateway/src/place/load.rs
@@ -3,7 +3,7 @@
 use super::hold_time::HoldTime;
 use super::limits::Limits;
 use super::standing::{Queue, StandingQueue};
-use super::words::TargetSignals;
+use super::signals::TargetSignals;
 use super::work::{EngineWork, IncarnationHash, PeerWork, TargetHash, Work};
 use crate::control::{Life, TargetEntry};
 use crate::peers::datagram::BoxHash;
@@ -172,9 +172,9 @@
     }
 
     /// Stores the work that this box reported to its hub.
-    pub fn report(&self, work: Vec<EngineWork>) {
+    pub fn set_own_report(&self, work: Vec<EngineWork>) {
         let mut peer_work = self.peer_work.lock().unwrap_or_else(|e| e.into_inner());
-        peer_work.report(work);
+        peer_work.set_own_report(work);
     }
 
     /// Stores the total work of all boxes from the hub of a large zone.
@@ -213,8 +213,8 @@
     }
 
     /// Calls `with` on the signals that targets sent. The lock is released when it returns.
-    pub fn words<T>(&self, with: impl FnOnce(&mut TargetSignals) -> T) -> T {
-        with(&mut self.limits().words)
+    pub fn signals<T>(&self, with: impl FnOnce(&mut TargetSignals) -> T) -> T {
+        with(&mut self.limits().signals)
     }
 
     /// Returns how long a token of an engine's memory is held on average, in milliseconds.
@@ -321,15 +321,15 @@
 
     /// Removes targets that are not listed and have no requests in flight, and resets the health of
     /// targets that have restarted. Requests sent to an earlier incarnation count until they end.
-    pub fn follow(&self, targets: &HashMap<TargetId, Arc<TargetEntry>>) {
+    pub fn retain_listed(&self, targets: &HashMap<TargetId, Arc<TargetEntry>>) {
         let now = Instant::now();
-        self.limits().follow(|id| targets.contains_key(id), now);
+        self.limits().retain_listed(|id| targets.contains_key(id), now);
         let lives: HashSet<IncarnationHash> = targets
             .values()
             .map(|entry| IncarnationHash::of(entry))
             .collect();
         let is_listed = |life| lives.contains(&life);
-        self.words(|words| words.follow(is_listed, now));
+        self.signals(|signals| signals.retain_listed(is_listed, now));
         let mut table = self.lock();
         table.retain(|id, load| load.in_flight > 0 || targets.contains_key(id));
         for (id, load) in table.iter_mut() {
--- a/crates/sillpin-gateway/src/place/mod.rs
+++ b/crates/sillpin-gateway/src/place/mod.rs
@@ -12,7 +12,7 @@
 //! - [`slow_start`]: limits of cold targets,
 //! - [`standing`]: the recent average queue at engines,
 //! - [`residency`]: the regions that a request may reach,
-//! - [`words`]: signals that targets send in response headers,
+//! - [`signals`]: signals that targets send in response headers,
 //! - [`work`]: work of this box and of other boxes at engines.
 
 pub mod allowed;
@@ -27,7 +27,7 @@
 pub mod shared_limit;
 pub mod slow_start;
 pub mod standing;
-pub mod words;
+pub mod signals;
 pub mod work;
 
 pub use choose::{ChoiceInputs, ChosenTarget, choose};
--- a/crates/sillpin-gateway/src/place/shared_limit.rs
+++ b/crates/sillpin-gateway/src/place/shared_limit.rs
@@ -151,7 +151,7 @@
     }
 
     /// Removes targets that are not listed, and requests that no longer count.
-    pub fn follow(&mut self, is_listed: impl Fn(&TargetId) -> bool, now: Instant) {
+    pub fn retain_listed(&mut self, is_listed: impl Fn(&TargetId) -> bool, now: Instant) {
         self.ranks.retain(|(id, _), _| is_listed(id));
         self.paced.retain(|id, _| is_listed(id));
         let max_period = self.max_period;
--- a/crates/sillpin-gateway/src/place/slow_start.rs
+++ b/crates/sillpin-gateway/src/place/slow_start.rs
@@ -31,7 +31,7 @@
     }
 
     /// Removes targets that are not listed.
-    pub fn follow(&mut self, is_listed: impl Fn(&TargetId) -> bool) {
+    pub fn retain_listed(&mut self, is_listed: impl Fn(&TargetId) -> bool) {
         self.returned.retain(|id, _| is_listed(id));
     }
 
--- a/crates/sillpin-gateway/src/place/words/backoff.rs
+++ b/crates/sillpin-gateway/src/place/words/backoff.rs
@@ -70,7 +70,7 @@
     }
 
     /// Removes backoffs that have ended.
-    pub fn follow(&mut self, now: Instant) {
+    pub fn retain_listed(&mut self, now: Instant) {
         self.until.retain(|_, until| now < *until);
         while self.until.len() > MAX_ENTRIES {
             let first = self.until.iter().min_by_key(|(_, until)| **until);
--- a/crates/sillpin-gateway/src/place/words/leaving.rs
+++ b/crates/sillpin-gateway/src/place/words/leaving.rs
@@ -46,7 +46,7 @@
     }
 
     /// Removes incarnations that have been unlisted for a while.
-    pub fn follow(&mut self, is_listed: impl Fn(IncarnationHash) -> bool, now: Instant) {
+    pub fn retain_listed(&mut self, is_listed: impl Fn(IncarnationHash) -> bool, now: Instant) {
         self.last_seen.retain(|target, seen| {
             if is_listed(*target) {
                 *seen = now;
--- a/crates/sillpin-gateway/src/place/words/limit.rs
+++ b/crates/sillpin-gateway/src/place/words/limit.rs
@@ -265,7 +265,7 @@
     }
 
     /// Removes limits of unlisted targets and limits that ended long ago.
-    pub fn follow(&mut self, is_listed: impl Fn(IncarnationHash) -> bool, now: Instant) {
+    pub fn retain_listed(&mut self, is_listed: impl Fn(IncarnationHash) -> bool, now: Instant) {
         self.known.retain(|target, known| {
             let age = now.saturating_duration_since(known.at);
             let retention = match (is_listed(*target), known.rate) {
--- a/crates/sillpin-gateway/src/place/words/mod.rs
+++ b/crates/sillpin-gateway/src/place/words/mod.rs
@@ -31,7 +31,7 @@
     /// When the request was sent.
     pub sent: Instant,
     /// Signals in the response.
-    pub words: TargetWords,
+    pub signals: TargetWords,
     /// Whether the response is a success from the target itself.
     pub success: bool,
     /// Whether the target refused the request for now.
@@ -71,7 +71,7 @@
 
 impl TargetSignals {
     /// Records the signals of a response to this box; returns the changes.
-    pub fn take(
+    pub fn record(
         &mut self,
         target: IncarnationHash,
         said: SignalObservation,
@@ -79,15 +79,15 @@
     ) -> Vec<SignalChange> {
         let observation = LimitObservation {
             sent: said.sent,
-            retry_after: said.words.limit,
+            retry_after: said.signals.limit,
             success: said.success,
         };
         let limit = self.limits.record_response(target, observation, now);
         let mut changes: Vec<SignalChange> = limit.into_iter().map(SignalChange::Limit).collect();
-        if said.words.leaving && self.leaving.record(target, now) {
+        if said.signals.leaving && self.leaving.record(target, now) {
             changes.push(SignalChange::Leaves);
         }
-        if let Some(retry_after) = said.words.retry_after.filter(|_| said.is_refusal) {
+        if let Some(retry_after) = said.signals.retry_after.filter(|_| said.is_refusal) {
             let wait = self.backoffs.record(target, retry_after, now);
             let is_readable = retry_after != RetryAfter::Unreadable;
             changes.extend(wait.map(|wait| SignalChange::BacksOff { wait, is_readable }));
@@ -130,10 +130,10 @@
     }
 
     /// Removes what has expired, and incarnations that are gone.
-    pub fn follow(&mut self, is_listed: impl Fn(IncarnationHash) -> bool, now: Instant) {
-        self.limits.follow(&is_listed, now);
-        self.leaving.follow(is_listed, now);
-        self.backoffs.follow(now);
+    pub fn retain_listed(&mut self, is_listed: impl Fn(IncarnationHash) -> bool, now: Instant) {
+        self.limits.retain_listed(&is_listed, now);
+        self.leaving.retain_listed(is_listed, now);
+        self.backoffs.retain_listed(now);
     }
 }
 
--- a/crates/sillpin-gateway/src/place/words/replaced.rs
+++ b/crates/sillpin-gateway/src/place/words/replaced.rs
@@ -26,7 +26,7 @@
 
 impl ReplacedTargets {
     /// Records that the current user of the address reported the replacement to this box.
-    pub fn find(&mut self, target: IncarnationHash, now: Instant) {
+    pub fn record_observed(&mut self, target: IncarnationHash, now: Instant) {
         self.found.insert(target, now);
         self.hear(&[target], now);
     }
--- a/crates/sillpin-gateway/src/place/work.rs
+++ b/crates/sillpin-gateway/src/place/work.rs
@@ -142,7 +142,7 @@
     }
 
     /// Stores what this box reported to its hub, which the hub includes in its totals.
-    pub fn report(&mut self, work: Vec<EngineWork>) {
+    pub fn set_own_report(&mut self, work: Vec<EngineWork>) {
         self.own_reported = work;
     }
 
--- a/crates/sillpin-gateway/tests/limited_fleet.rs
+++ b/crates/sillpin-gateway/tests/limited_fleet.rs
@@ -17,7 +17,7 @@
 use sillpin_gateway::peers::roles::SMALL_FLEET;
 use sillpin_gateway::place::limits::{LimitContext, Limits};
 use sillpin_gateway::place::shared_limit::{Admission, MEMBERSHIP_DELAY, ShareGroup};
-use sillpin_gateway::place::words::limit::{LimitObservation, LimitUpdate};
+use sillpin_gateway::place::signals::limit::{LimitObservation, LimitUpdate};
 use sillpin_gateway::place::work::IncarnationHash;
 use sillpin_gateway::settings::WarmUpRules;
 use std::collections::HashMap;
--- a/crates/sillpin-gateway/tests/lives.rs
+++ b/crates/sillpin-gateway/tests/lives.rs
@@ -168,13 +168,13 @@
     #[case] times: usize,
 ) {
     let (loads, e1) = (Loads::default(), target("e1"));
-    loads.follow(&living(100));
+    loads.retain_listed(&living(100));
     for _ in 0..times {
         loads.record_for_incarnation(&e1, Some(Life(100)), outcome);
     }
     let ticket = loads.start(&e1, Work::one(10.0, Tokens(100)));
     assert!(loads.get(&e1).in_cooldown(Instant::now()));
-    loads.follow(&living(200));
+    loads.retain_listed(&living(200));
     assert!(!loads.get(&e1).in_cooldown(Instant::now()));
     assert_eq!(loads.get(&e1).failing(), 0.0);
     assert_eq!(loads.get(&e1).in_flight, 1, "it has not ended yet");
--- a/crates/sillpin-gateway/tests/named_limit.rs
+++ b/crates/sillpin-gateway/tests/named_limit.rs
@@ -7,7 +7,7 @@
 use sillpin_core::RequestRate;
 use sillpin_gateway::control::TargetEntry;
 use sillpin_gateway::dialect::LimitWord;
-use sillpin_gateway::place::words::limit::{LimitObservation, AnnouncedLimits};
+use sillpin_gateway::place::signals::limit::{LimitObservation, AnnouncedLimits};
 use sillpin_gateway::place::work::IncarnationHash;
 use std::time::Duration;
 use tokio::time::{Instant, advance};
@@ -153,7 +153,7 @@
     limits.record_response(life("a"), naming("2"), Instant::now());
     limits.record_response(life("b"), naming("2"), Instant::now());
     advance(Duration::from_secs(60)).await;
-    limits.follow(|listed| listed == life("a"), Instant::now());
+    limits.retain_listed(|listed| listed == life("a"), Instant::now());
     assert_eq!(limits.rate(life("a")), Some(rate("2")));
     assert_eq!(limits.rate(life("b")), None);
 }
--- a/crates/sillpin-gateway/tests/place.rs
+++ b/crates/sillpin-gateway/tests/place.rs
@@ -17,7 +17,7 @@
 use sillpin_gateway::place::load::Outcome;
 use sillpin_gateway::place::parts::{Plan, PlanInputs, plan, salt};
 use sillpin_gateway::place::shared_limit::ShareGroup;
-use sillpin_gateway::place::words::limit::LimitObservation;
+use sillpin_gateway::place::signals::limit::LimitObservation;
 use sillpin_gateway::place::work::{EngineWork, IncarnationHash, TargetHash, Work};
 use sillpin_gateway::place::{ChoiceInputs, ChosenTarget, Loads, choose};
 use sillpin_gateway::settings::WarmUpRules;
@@ -390,23 +390,23 @@
     let setting = Setting::new(three());
     let hash = IncarnationHash::of(&engine("e1", "za"));
     let finder = Loads::default();
-    finder.words(|words| words.replaced.find(hash, Instant::now()));
-    let told = finder.words(|words| words.replaced.told(Instant::now()));
+    finder.signals(|signals| signals.replaced.record_observed(hash, Instant::now()));
+    let told = finder.signals(|signals| signals.replaced.told(Instant::now()));
     setting
         .loads
-        .words(|words| words.replaced.hear(&told, Instant::now()));
+        .signals(|signals| signals.replaced.hear(&told, Instant::now()));
     assert_ne!(setting.choose(None).as_deref(), Some("e1"));
     let heard = setting
         .loads
-        .words(|words| words.replaced.told(Instant::now()));
+        .signals(|signals| signals.replaced.told(Instant::now()));
     assert!(heard.is_empty(), "only who found it tells it");
     tokio::time::advance(Duration::from_secs(3)).await;
     setting
         .loads
-        .words(|words| words.replaced.hear(&told, Instant::now()));
+        .signals(|signals| signals.replaced.hear(&told, Instant::now()));
     assert!(
         finder
-            .words(|words| words.replaced.told(Instant::now()))
+            .signals(|signals| signals.replaced.told(Instant::now()))
             .is_empty()
     );
     tokio::time::advance(Duration::from_secs(4)).await;
@@ -465,7 +465,7 @@
         let now = Instant::now();
         setting
             .loads
-            .words(|words| words.limits.record_response(life, heard, now));
+            .signals(|signals| signals.limits.record_response(life, heard, now));
         let model = name("m");
         let plans = [(WeightVersion(1), plan_kept_in("za"))];
         let prompt = || PromptInputs {
--- a/crates/sillpin-gateway/tests/words.rs
+++ b/crates/sillpin-gateway/tests/words.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use sillpin_gateway::control::{Life, TargetEntry};
 use sillpin_gateway::dialect::{RetryAfter, TargetWords};
-use sillpin_gateway::place::words::{SignalChange, SignalObservation, TargetSignals};
+use sillpin_gateway::place::signals::{SignalChange, SignalObservation, TargetSignals};
 use sillpin_gateway::place::work::IncarnationHash;
 use std::time::Duration;
 use tokio::time::{Instant, advance};
@@ -24,7 +24,7 @@
 fn refusal(retry_after: RetryAfter) -> SignalObservation {
     SignalObservation {
         sent: Instant::now(),
-        words: TargetWords {
+        signals: TargetWords {
             retry_after: Some(retry_after),
             ..TargetWords::default()
         },
@@ -40,7 +40,7 @@
 fn leaving() -> SignalObservation {
     SignalObservation {
         sent: Instant::now(),
-        words: TargetWords {
+        signals: TargetWords {
             leaving: true,
             ..TargetWords::default()
         },
@@ -49,8 +49,8 @@
     }
 }
 
-fn remaining(words: &TargetSignals, target: IncarnationHash) -> Option<f64> {
-    let remaining = words.backoffs.remaining(target, Instant::now());
+fn remaining(signals: &TargetSignals, target: IncarnationHash) -> Option<f64> {
+    let remaining = signals.backoffs.remaining(target, Instant::now());
     remaining.map(|remaining| remaining.as_secs_f64())
 }
 
@@ -66,87 +66,87 @@
     #[case] said: SignalObservation,
     #[case] expected: Option<f64>,
 ) {
-    let mut words = TargetSignals::default();
+    let mut signals = TargetSignals::default();
     let target = life_of("i-1", 1);
-    words.take(target, said, Instant::now());
-    assert_eq!(remaining(&words, target), expected);
-    assert_eq!(remaining(&words, life_of("i-2", 1)), None);
-    assert_eq!(remaining(&words, life_of("i-1", 2)), None, "a new life");
+    signals.record(target, said, Instant::now());
+    assert_eq!(remaining(&signals, target), expected);
+    assert_eq!(remaining(&signals, life_of("i-2", 1)), None);
+    assert_eq!(remaining(&signals, life_of("i-1", 2)), None, "a new life");
 }
 
 #[tokio::test(start_paused = true)]
 async fn of_several_times_the_one_that_ends_last_holds() {
-    let mut words = TargetSignals::default();
+    let mut signals = TargetSignals::default();
     let target = life_of("i-1", 1);
-    let first = words.take(target, wait(3.0), Instant::now());
+    let first = signals.record(target, wait(3.0), Instant::now());
     assert_eq!(first.len(), 1);
     advance(SECOND).await;
-    assert!(words.take(target, wait(0.5), Instant::now()).is_empty());
-    assert!(words.take(target, wait(0.0), Instant::now()).is_empty());
+    assert!(signals.record(target, wait(0.5), Instant::now()).is_empty());
+    assert!(signals.record(target, wait(0.0), Instant::now()).is_empty());
     let unreadable = refusal(RetryAfter::Unreadable);
-    assert!(words.take(target, unreadable, Instant::now()).is_empty());
-    assert_eq!(remaining(&words, target), Some(2.0));
-    words.take(target, wait(4.0), Instant::now());
-    assert_eq!(remaining(&words, target), Some(4.0));
+    assert!(signals.record(target, unreadable, Instant::now()).is_empty());
+    assert_eq!(remaining(&signals, target), Some(2.0));
+    signals.record(target, wait(4.0), Instant::now());
+    assert_eq!(remaining(&signals, target), Some(4.0));
     advance(4 * SECOND).await;
-    assert_eq!(remaining(&words, target), None);
+    assert_eq!(remaining(&signals, target), None);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_time_goes_on_while_the_box_is_suspended() {
-    let mut words = TargetSignals::default();
+    let mut signals = TargetSignals::default();
     let target = life_of("i-1", 1);
-    words.take(target, wait(3.0), Instant::now());
-    words.wake(2 * SECOND);
-    assert_eq!(remaining(&words, target), Some(1.0));
-    words.wake(2 * SECOND);
-    assert_eq!(remaining(&words, target), Some(1.0), "aged once");
-    words.wake(4 * SECOND);
-    assert_eq!(remaining(&words, target), None);
+    signals.record(target, wait(3.0), Instant::now());
+    signals.wake(2 * SECOND);
+    assert_eq!(remaining(&signals, target), Some(1.0));
+    signals.wake(2 * SECOND);
+    assert_eq!(remaining(&signals, target), Some(1.0), "aged once");
+    signals.wake(4 * SECOND);
+    assert_eq!(remaining(&signals, target), None);
 }
 
 #[tokio::test(start_paused = true)]
 async fn callers_are_kept_out_until_the_first_target_takes_requests() {
-    let mut words = TargetSignals::default();
+    let mut signals = TargetSignals::default();
     let [a, b, gone] = ["i-1", "i-2", "i-3"].map(|id| life_of(id, 1));
     let now = Instant::now();
-    let kept_out = |words: &TargetSignals, targets: &[IncarnationHash]| {
-        let wait = words.shortest_backoff(targets.iter().copied(), now);
+    let kept_out = |signals: &TargetSignals, targets: &[IncarnationHash]| {
+        let wait = signals.shortest_backoff(targets.iter().copied(), now);
         wait.map(|wait| wait.as_secs_f64())
     };
-    words.take(a, wait(3.0), now);
-    assert_eq!(kept_out(&words, &[a]), Some(3.0));
-    assert_eq!(kept_out(&words, &[a, b]), None, "one takes requests");
-    assert_eq!(kept_out(&words, &[]), None);
-    words.take(b, wait(0.5), now);
-    words.take(gone, leaving(), now);
-    assert_eq!(kept_out(&words, &[a, b, gone]), Some(0.5));
-    assert_eq!(kept_out(&words, &[gone]), None);
+    signals.record(a, wait(3.0), now);
+    assert_eq!(kept_out(&signals, &[a]), Some(3.0));
+    assert_eq!(kept_out(&signals, &[a, b]), None, "one takes requests");
+    assert_eq!(kept_out(&signals, &[]), None);
+    signals.record(b, wait(0.5), now);
+    signals.record(gone, leaving(), now);
+    assert_eq!(kept_out(&signals, &[a, b, gone]), Some(0.5));
+    assert_eq!(kept_out(&signals, &[gone]), None);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_life_that_leaves_is_remembered_while_it_is_listed_and_a_while_after() {
-    let mut words = TargetSignals::default();
+    let mut signals = TargetSignals::default();
     let (gone, there) = (life_of("i-1", 1), life_of("i-2", 1));
     for target in [gone, there] {
-        let changes = words.take(target, leaving(), Instant::now());
+        let changes = signals.record(target, leaving(), Instant::now());
         assert_eq!(changes, [SignalChange::Leaves]);
-        assert!(words.take(target, leaving(), Instant::now()).is_empty());
+        assert!(signals.record(target, leaving(), Instant::now()).is_empty());
     }
-    assert!(!words.leaving.contains(life_of("i-1", 2)), "a new life");
+    assert!(!signals.leaving.contains(life_of("i-1", 2)), "a new life");
     for _ in 0..120 {
         advance(SECOND).await;
-        words.follow(|life| life == there, Instant::now());
-        let is_recent = words.leaving.contains(gone);
-        assert!(words.leaving.contains(there));
+        signals.retain_listed(|life| life == there, Instant::now());
+        let is_recent = signals.leaving.contains(gone);
+        assert!(signals.leaving.contains(there));
         if !is_recent {
             break;
         }
     }
-    assert!(!words.leaving.contains(gone));
+    assert!(!signals.leaving.contains(gone));
     // Its entry lapses in an outage, and comes back.
     advance(20 * SECOND).await;
-    words.follow(|_| false, Instant::now());
-    words.follow(|life| life == there, Instant::now());
-    assert!(words.leaving.contains(there));
+    signals.retain_listed(|_| false, Instant::now());
+    signals.retain_listed(|life| life == there, Instant::now());
+    assert!(signals.leaving.contains(there));
 }
