--- a/crates/sillpin-gateway/src/beliefs/fleet/targets.rs
+++ b/crates/sillpin-gateway/src/beliefs/fleet/targets.rs
@@ -4,7 +4,7 @@
 use super::{Fleet, LAPSE_GRACE, MASS_LAPSE, Seen};
 use crate::beliefs::Source;
 use crate::control::{Presence, Published, Served, TargetEntry};
-use crate::place::index::TargetIndex;
+use crate::placement::index::TargetIndex;
 use sillpin_core::{ModelId, TargetId, WeightVersion};
 use sillpin_platform::KvEntry;
 use sillpin_telemetry::{event, events};
--- a/crates/sillpin-gateway/src/beliefs/mod.rs
+++ b/crates/sillpin-gateway/src/beliefs/mod.rs
@@ -18,7 +18,7 @@
 pub use self::wanted::{Named, Wanted};
 use crate::config::FleetConfig;
 use crate::control::{Life, TargetEntry};
-use crate::place::index::TargetIndex;
+use crate::placement::index::TargetIndex;
 use serde::{Deserialize, Serialize};
 use sillpin_core::{BoxId, ModelId, PoolId, TargetId, WeightVersion, ZoneId};
 use sillpin_platform::{KvEntry, KvRevision, Snapshot, WatchReply};
--- a/crates/sillpin-gateway/src/beliefs/reader.rs
+++ b/crates/sillpin-gateway/src/beliefs/reader.rs
@@ -8,7 +8,7 @@
 use super::{BoxEntry, FleetHandle, FleetMsg, Reading, Source, Topic};
 use crate::peers::datagram::{News, PublishedWord};
 use crate::peers::roles::{self, SMALL_FLEET};
-use crate::place::Loads;
+use crate::placement::Loads;
 use rand::RngExt;
 use sillpin_core::BoxId;
 use sillpin_platform::{KvRevision, Platform, PlatformError, PlatformFault};
--- a/crates/sillpin-gateway/src/fatal/keep.rs
+++ b/crates/sillpin-gateway/src/fatal/keep.rs
@@ -6,7 +6,7 @@
 use super::record::KNOWN_AFTER;
 use super::{Fatal, FatalWord, RequestPrint};
 use crate::beliefs::{FleetHandle, View};
-use crate::place::work::IncarnationHash;
+use crate::placement::work::IncarnationHash;
 use serde::{Deserialize, Serialize};
 use sillpin_platform::{KvEntry, KvRevision, Platform, PlatformError, PlatformFault, StoreEra};
 use sillpin_telemetry::{event, events};
--- a/crates/sillpin-gateway/src/fatal/mod.rs
+++ b/crates/sillpin-gateway/src/fatal/mod.rs
@@ -18,7 +18,7 @@
 pub use record::{FatalWord, Record};
 pub use witness::Witness;
 
-use crate::place::work::IncarnationHash;
+use crate::placement::work::IncarnationHash;
 use sillpin_telemetry::{event, events};
 use slog::Logger;
 use std::sync::{Arc, Mutex, MutexGuard};
--- a/crates/sillpin-gateway/src/fatal/record.rs
+++ b/crates/sillpin-gateway/src/fatal/record.rs
@@ -8,7 +8,7 @@
 //! request was served, so it does not matter in which order, how often or by which way they hear it.
 
 use super::RequestPrint;
-use crate::place::work::IncarnationHash;
+use crate::placement::work::IncarnationHash;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Bound;
--- a/crates/sillpin-gateway/src/fatal/witness.rs
+++ b/crates/sillpin-gateway/src/fatal/witness.rs
@@ -7,7 +7,7 @@
 use super::{Fatal, RequestPrint};
 use crate::beliefs::FleetHandle;
 use crate::control::TargetEntry;
-use crate::place::work::IncarnationHash;
+use crate::placement::work::IncarnationHash;
 use crate::pool::{Conn, Pool, SendError};
 use rand::seq::IndexedRandom;
 use sillpin_telemetry::{event, events};
--- a/crates/sillpin-gateway/src/kept/reader.rs
+++ b/crates/sillpin-gateway/src/kept/reader.rs
@@ -7,7 +7,7 @@
 use crate::kept::directory::Position;
 use crate::peers::datagram::{KeptListing, KeptWord, MAX_CHANGES, News};
 use crate::peers::roles::{Role, SMALL_FLEET};
-use crate::place::Loads;
+use crate::placement::Loads;
 use rand::RngExt;
 use sillpin_core::BoxId;
 use sillpin_telemetry::{event, events};
--- a/crates/sillpin-gateway/src/lib.rs
+++ b/crates/sillpin-gateway/src/lib.rs
@@ -30,7 +30,7 @@
 pub mod metrics;
 pub mod ops;
 pub mod peers;
-pub mod place;
+pub mod placement;
 pub mod pool;
 pub mod reload;
 pub mod settings;
--- a/crates/sillpin-gateway/src/metrics.rs
+++ b/crates/sillpin-gateway/src/metrics.rs
@@ -1,8 +1,8 @@
 //! Counters and histograms of a box.
 
 use crate::beliefs::{FleetHandle, View};
-use crate::place::Loads;
-use crate::place::signals::TargetSignals;
+use crate::placement::Loads;
+use crate::placement::signals::TargetSignals;
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{AsyncInstrument, Counter, Histogram, Meter};
 use sillpin_platform::call::{CallCounts, Tally};
--- a/crates/sillpin-gateway/src/ops.rs
+++ b/crates/sillpin-gateway/src/ops.rs
@@ -23,7 +23,7 @@
 use crate::peers::roster::Rosters;
 use crate::peers::spread::ZoneNews;
 use crate::peers::wire::FleetKey;
-use crate::place::Loads;
+use crate::placement::Loads;
 use crate::reload::Settings;
 use crate::settings::BoxConfig;
 use crate::weights::duty::Duty;
--- a/crates/sillpin-gateway/src/peers/ear/news.rs
+++ b/crates/sillpin-gateway/src/peers/ear/news.rs
@@ -8,7 +8,7 @@
     Bulletin, KeptListing, KeptWord, LoadNews, News, PublishedWord, Report, ZoneWord,
 };
 use crate::peers::hub::behind;
-use crate::place::load::Outcome;
+use crate::placement::load::Outcome;
 use sillpin_platform::WatchReply;
 use tokio::net::UdpSocket;
 use tokio::time::Instant;
--- a/crates/sillpin-gateway/src/peers/hub.rs
+++ b/crates/sillpin-gateway/src/peers/hub.rs
@@ -11,7 +11,7 @@
 use super::datagram::{BoxHash, Bulletin, LoadNews, News, Report, Sums, ZoneWord, chunks};
 use crate::beliefs::BoxEntry;
 use crate::kept::retire::Retired;
-use crate::place::work::{EngineWork, IncarnationHash, TargetHash, Work};
+use crate::placement::work::{EngineWork, IncarnationHash, TargetHash, Work};
 use sillpin_core::ZoneId;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
--- a/crates/sillpin-gateway/src/peers/spread.rs
+++ b/crates/sillpin-gateway/src/peers/spread.rs
@@ -5,7 +5,7 @@
 use super::hub::{Hub, REPORT_EVERY, behind};
 use super::roster::{Roster, Rosters};
 use crate::beliefs::View;
-use crate::place::work::EngineWork;
+use crate::placement::work::EngineWork;
 use rand::seq::IndexedRandom;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
--- a/crates/sillpin-gateway/src/place/parts.rs
+++ b/crates/sillpin-gateway/src/place/parts.rs
@@ -7,7 +7,7 @@
 use crate::kept::retire::MAX_FETCH_TIME;
 use crate::kept::salt::SaltParts;
 use crate::kept::{Directory, Kept};
-use crate::place::residency::Residency;
+use crate::placement::residency::Residency;
 use derive_more::Display;
 use sillpin_core::{Tokens, WeightVersion, ZoneId};
 use std::collections::BTreeSet;
--- a/crates/sillpin-gateway/src/place/words/backoff.rs
+++ b/crates/sillpin-gateway/src/place/words/backoff.rs
@@ -5,7 +5,7 @@
 //! applies to this box only: a target sends one to each box.
 
 use crate::dialect::RetryAfter;
-use crate::place::work::IncarnationHash;
+use crate::placement::work::IncarnationHash;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/sillpin-gateway/src/place/words/leaving.rs
+++ b/crates/sillpin-gateway/src/place/words/leaving.rs
@@ -4,7 +4,7 @@
 //! the platform store is unreachable the entry still lists the target as ready, and entries may be
 //! read long after they were written.
 
-use crate::place::work::IncarnationHash;
+use crate::placement::work::IncarnationHash;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/sillpin-gateway/src/place/words/limit.rs
+++ b/crates/sillpin-gateway/src/place/words/limit.rs
@@ -8,8 +8,8 @@
 //! refusals may come from a proxy in front of the target.
 
 use crate::dialect::LimitWord;
-use crate::place::shared_limit::SharedLimit;
-use crate::place::work::IncarnationHash;
+use crate::placement::shared_limit::SharedLimit;
+use crate::placement::work::IncarnationHash;
 use serde::{Deserialize, Serialize};
 use sillpin_core::RequestRate;
 use sillpin_telemetry::{event, events};
--- a/crates/sillpin-gateway/src/place/words/replaced.rs
+++ b/crates/sillpin-gateway/src/place/words/replaced.rs
@@ -5,7 +5,7 @@
 //! until the target starts again, which its entry then shows. Each box that had to find out by
 //! itself would waste an attempt, so boxes inform each other.
 
-use crate::place::work::IncarnationHash;
+use crate::placement::work::IncarnationHash;
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/sillpin-gateway/src/settings.rs
+++ b/crates/sillpin-gateway/src/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of `sillpin-box`.
 
-use crate::place::residency::{ZoneRegion, ZoneRegions};
+use crate::placement::residency::{ZoneRegion, ZoneRegions};
 use sillpin_core::{BoxId, ZoneId};
 use sillpin_settings::{Faults, Key, Kind, Loaded, Schema, Section};
 use sillpin_telemetry::program::{LOG_SECTION, TRACES_SECTION};
--- a/crates/sillpin-gateway/tests/allowed.rs
+++ b/crates/sillpin-gateway/tests/allowed.rs
@@ -2,7 +2,7 @@
 
 use sillpin_core::WeightVersion;
 use sillpin_gateway::beliefs::{Named, Wanted};
-use sillpin_gateway::place::allowed::WeightsInputs;
+use sillpin_gateway::placement::allowed::WeightsInputs;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::{Instant, advance};
--- a/crates/sillpin-gateway/tests/common/mod.rs
+++ b/crates/sillpin-gateway/tests/common/mod.rs
@@ -11,7 +11,7 @@
 use sillpin_gateway::control::{
     DecodeError, Life, Presence, Published, Served, TargetEntry, WantedWeights,
 };
-use sillpin_gateway::place::residency::{Residency, ZoneRegions};
+use sillpin_gateway::placement::residency::{Residency, ZoneRegions};
 use sillpin_platform::{
     BoxLister, KvEntry, KvRevision, LeaseId, Platform, PlatformError, PlatformFault, Snapshot,
     StoreEra, WatchReply,
--- a/crates/sillpin-gateway/tests/fatal.rs
+++ b/crates/sillpin-gateway/tests/fatal.rs
@@ -10,7 +10,7 @@
 use sillpin_gateway::control::TargetEntry;
 use sillpin_gateway::fatal::record::MAX_REQUESTS;
 use sillpin_gateway::fatal::{FatalWord, Record, RequestPrint};
-use sillpin_gateway::place::work::IncarnationHash;
+use sillpin_gateway::placement::work::IncarnationHash;
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/crates/sillpin-gateway/tests/fatal_fleet.rs
+++ b/crates/sillpin-gateway/tests/fatal_fleet.rs
@@ -12,7 +12,7 @@
 use sillpin_gateway::control::TargetEntry;
 use sillpin_gateway::fatal::{FatalWord, Record, RequestPrint};
 use sillpin_gateway::peers::hub::Hub;
-use sillpin_gateway::place::work::IncarnationHash;
+use sillpin_gateway::placement::work::IncarnationHash;
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/crates/sillpin-gateway/tests/hub.rs
+++ b/crates/sillpin-gateway/tests/hub.rs
@@ -18,7 +18,7 @@
 use sillpin_gateway::peers::hub::{BULLETIN_TIME, Hub, behind};
 use sillpin_gateway::peers::spread::TELL_EVERY;
 use sillpin_gateway::peers::wire::{self, FleetKey};
-use sillpin_gateway::place::work::{EngineWork, TargetHash};
+use sillpin_gateway::placement::work::{EngineWork, TargetHash};
 use sillpin_platform::KvRevision;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/crates/sillpin-gateway/tests/kept/listing.rs
+++ b/crates/sillpin-gateway/tests/kept/listing.rs
@@ -15,7 +15,7 @@
 use sillpin_gateway::dialect::EngineTime;
 use sillpin_gateway::kept::Kept;
 use sillpin_gateway::kept::reader::{self, Readers};
-use sillpin_gateway::place::Loads;
+use sillpin_gateway::placement::Loads;
 use sillpin_platform::{KvRevision, Snapshot};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/sillpin-gateway/tests/named_limit.rs
+++ b/crates/sillpin-gateway/tests/named_limit.rs
@@ -7,8 +7,8 @@
 use sillpin_core::RequestRate;
 use sillpin_gateway::control::TargetEntry;
 use sillpin_gateway::dialect::LimitWord;
-use sillpin_gateway::place::signals::limit::{LimitObservation, AnnouncedLimits};
-use sillpin_gateway::place::work::IncarnationHash;
+use sillpin_gateway::placement::signals::limit::{LimitObservation, AnnouncedLimits};
+use sillpin_gateway::placement::work::IncarnationHash;
 use std::time::Duration;
 use tokio::time::{Instant, advance};
 
--- a/crates/sillpin-gateway/tests/parts.rs
+++ b/crates/sillpin-gateway/tests/parts.rs
@@ -9,7 +9,7 @@
 use sillpin_gateway::control::{KeptKey, KeptList};
 use sillpin_gateway::dialect::{EngineSending, EngineTime, Part, PartId, Prompt};
 use sillpin_gateway::kept::Kept;
-use sillpin_gateway::place::parts::{Plan, PlanInputs, plan, salt};
+use sillpin_gateway::placement::parts::{Plan, PlanInputs, plan, salt};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/sillpin-gateway/tests/reader.rs
+++ b/crates/sillpin-gateway/tests/reader.rs
@@ -9,7 +9,7 @@
 use sillpin_gateway::beliefs::{self, BoxEntry, FleetHandle, FleetMsg, Topic, View};
 use sillpin_gateway::config::ConfigVersion;
 use sillpin_gateway::peers::roles;
-use sillpin_gateway::place::Loads;
+use sillpin_gateway::placement::Loads;
 use sillpin_platform::{KvRevision, Platform};
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/sillpin-gateway/tests/rollout.rs
+++ b/crates/sillpin-gateway/tests/rollout.rs
@@ -12,7 +12,7 @@
     WeightsOrder,
 };
 use sillpin_gateway::kept::Kept;
-use sillpin_gateway::place::Loads;
+use sillpin_gateway::placement::Loads;
 use sillpin_gateway::weights::duty::Duty;
 use sillpin_gateway::weights::rollout::Rollout;
 use sillpin_platform::{KvRevision, Snapshot};
--- a/crates/sillpin-gateway/tests/shared_limit.rs
+++ b/crates/sillpin-gateway/tests/shared_limit.rs
@@ -7,7 +7,7 @@
 use sillpin_core::{BoxId, ZoneId};
 use sillpin_gateway::beliefs::BoxEntry;
 use sillpin_gateway::control::TargetEntry;
-use sillpin_gateway::place::shared_limit::{Admission, ShareGroup, SharedLimit, SharedLimits};
+use sillpin_gateway::placement::shared_limit::{Admission, ShareGroup, SharedLimit, SharedLimits};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/sillpin-gateway/tests/words.rs
+++ b/crates/sillpin-gateway/tests/words.rs
@@ -6,8 +6,8 @@
 use rstest::rstest;
 use sillpin_gateway::control::{Life, TargetEntry};
 use sillpin_gateway::dialect::{RetryAfter, TargetWords};
-use sillpin_gateway::place::signals::{SignalChange, SignalObservation, TargetSignals};
-use sillpin_gateway::place::work::IncarnationHash;
+use sillpin_gateway::placement::signals::{SignalChange, SignalObservation, TargetSignals};
+use sillpin_gateway::placement::work::IncarnationHash;
 use std::time::Duration;
 use tokio::time::{Instant, advance};
 
