--- a/crates/sillpin-gateway/src/place/mod.rs
+++ b/crates/sillpin-gateway/src/placement/mod.rs
@@ -17,7 +17,7 @@
 
 pub mod allowed;
 pub mod choose;
-pub mod held;
+pub mod hold_time;
 pub mod index;
 pub mod limits;
 pub mod load;
--- a/crates/sillpin-gateway/tests/held.rs
+++ b/crates/sillpin-gateway/tests/held.rs
@@ -1,7 +1,7 @@
 //! How long requests hold an engine's memory.
 
 use rstest::rstest;
-use sillpin_gateway::placement::held::HoldTime;
+use sillpin_gateway::placement::hold_time::HoldTime;
 use std::time::Duration;
 use tokio::time::Instant;
 
