--- a/crates/sillpin-gateway/src/beliefs/fleet/targets.rs
+++ b/crates/sillpin-gateway/src/beliefs/fleet/targets.rs
@@ -153,7 +153,10 @@
         self.cold.retain(|_, until| now < *until);
         self.view.cold = Arc::new(self.cold.clone());
         self.view.targets = Arc::new(self.targets.iter().map(current).collect());
-        self.view.index = Arc::new(TargetIndex::without_evacuated_zones(&self.view.targets, &self.evacuations));
+        self.view.index = Arc::new(TargetIndex::without_evacuated_zones(
+            &self.view.targets,
+            &self.evacuations,
+        ));
         self.view.entries = Arc::new(self.targets.clone());
     }
 }
--- a/crates/sillpin-gateway/src/metrics.rs
+++ b/crates/sillpin-gateway/src/metrics.rs
@@ -176,7 +176,9 @@
     meter
         .u64_observable_gauge("sillpin_backing_off_targets")
         .with_description("Targets that want no requests from this box for a while")
-        .with_callback(observe(|signals| signals.backoffs.all(Instant::now()).count()))
+        .with_callback(observe(|signals| {
+            signals.backoffs.all(Instant::now()).count()
+        }))
         .build();
 }
 
--- a/crates/sillpin-gateway/src/placement/choose.rs
+++ b/crates/sillpin-gateway/src/placement/choose.rs
@@ -8,7 +8,7 @@
 
 use super::index::{IndexedTarget, PoolTargets, TargetIndex};
 use super::limits::LimitContext;
-use super::load::{Load, Loads, LoadTable};
+use super::load::{Load, LoadTable, Loads};
 use super::parts::Plan;
 use super::residency::Residency;
 use super::shared_limit::Admission;
@@ -219,7 +219,9 @@
             .as_ref()
             .and_then(|p| p.any_plan())
             .and_then(Plan::affinity_key);
-        let unavailable = choice.loads.signals(|signals| signals.unavailable(choice.now));
+        let unavailable = choice
+            .loads
+            .signals(|signals| signals.unavailable(choice.now));
         Self {
             peer_work: match choice.prompt {
                 Some(_) => choice.loads.peer_work(choice.now),
@@ -235,7 +237,10 @@
 
     /// Returns targets in the order in which they are homes of the prompt. The order is the same at
     /// all boxes, so they all leave a busy home for the same other engine.
-    fn ranked<'t>(&self, targets: impl Iterator<Item = &'t IndexedTarget>) -> Vec<&'t IndexedTarget> {
+    fn ranked<'t>(
+        &self,
+        targets: impl Iterator<Item = &'t IndexedTarget>,
+    ) -> Vec<&'t IndexedTarget> {
         let mut targets: Vec<&IndexedTarget> = targets.collect();
         if let Some(key) = self.key {
             targets.sort_by_cached_key(|target| std::cmp::Reverse(target.home_rank(key)));
@@ -262,7 +267,10 @@
         let near_parts = near_parts.and_then(|near| self.best_of(&near, FIRST_ENGINES));
         let first = better(self.best_of(&own, FIRST_ENGINES), near_parts);
         let first = better(first, self.best_of(&self.limited_only(&own), usize::MAX));
-        if first.as_ref().is_some_and(|found| self.is_good_enough(found)) {
+        if first
+            .as_ref()
+            .is_some_and(|found| self.is_good_enough(found))
+        {
             return first;
         }
         let others = self.ranked(pool.of_other_zones(self.choice.zone));
@@ -286,8 +294,9 @@
         if !limits.has_any(limit_context) {
             return Vec::new();
         }
-        let is_limited =
-            |target: &&&IndexedTarget| limits.is_limited(limit_context, &target.entry, self.choice.now);
+        let is_limited = |target: &&&IndexedTarget| {
+            limits.is_limited(limit_context, &target.entry, self.choice.now)
+        };
         targets.iter().filter(is_limited).copied().collect()
     }
 
--- a/crates/sillpin-gateway/src/placement/limits.rs
+++ b/crates/sillpin-gateway/src/placement/limits.rs
@@ -1,8 +1,8 @@
 //! Applies the limits of targets to requests of this box.
 
 use super::shared_limit::{Admission, ShareGroup, SharedLimit, SharedLimits};
-use super::slow_start::{self, SlowStart};
 use super::signals::{TargetSignals, limit};
+use super::slow_start::{self, SlowStart};
 use super::work::IncarnationHash;
 use crate::config::WarmUp;
 use crate::control::TargetEntry;
@@ -54,7 +54,10 @@
         admission: Admission,
         now: Instant,
     ) -> bool {
-        let mut limits = self.applicable(limit_context, target, now).into_iter().flatten();
+        let mut limits = self
+            .applicable(limit_context, target, now)
+            .into_iter()
+            .flatten();
         limits.all(|limit| {
             self.shared
                 .admits(&limit_context.share_group, target, limit, admission, now)
@@ -88,7 +91,10 @@
         target: &TargetEntry,
         now: Instant,
     ) -> Option<Duration> {
-        let limits = self.applicable(limit_context, target, now).into_iter().flatten();
+        let limits = self
+            .applicable(limit_context, target, now)
+            .into_iter()
+            .flatten();
         let waits = limits.filter_map(|limit| {
             let free = self
                 .shared
@@ -125,7 +131,9 @@
     ) -> Option<SharedLimit> {
         let warm_up = limit_context.warm_up?;
         let announced_until = limit_context.cold.get(&target.id).copied();
-        let is_cold = self.slow_start.is_cold(&target.id, announced_until, warm_up, now);
+        let is_cold = self
+            .slow_start
+            .is_cold(&target.id, announced_until, warm_up, now);
         is_cold.then(|| slow_start::limit(warm_up, limit_context.rules))
     }
 
--- a/crates/sillpin-gateway/src/placement/load.rs
+++ b/crates/sillpin-gateway/src/placement/load.rs
@@ -2,8 +2,8 @@
 
 use super::hold_time::HoldTime;
 use super::limits::Limits;
-use super::standing::{Queue, StandingQueue};
 use super::signals::TargetSignals;
+use super::standing::{Queue, StandingQueue};
 use super::work::{EngineWork, IncarnationHash, PeerWork, TargetHash, Work};
 use crate::control::{Life, TargetEntry};
 use crate::peers::datagram::BoxHash;
@@ -219,7 +219,10 @@
 
     /// Returns how long a token of an engine's memory is held on average, in milliseconds.
     pub fn memory_hold_ms(&self) -> f64 {
-        self.hold_time.lock().unwrap_or_else(|e| e.into_inner()).ms()
+        self.hold_time
+            .lock()
+            .unwrap_or_else(|e| e.into_inner())
+            .ms()
     }
 
     /// Records the queue of a chosen engine and returns the recent average, in milliseconds.
@@ -253,7 +256,9 @@
     pub fn looks_partitioned(&self, zone: &ZoneId, now: Instant) -> bool {
         let zones = self.zones.lock().unwrap_or_else(|e| e.into_inner());
         let reachability = zones.get(zone);
-        reachability.is_some_and(|r| r.failures >= MIN_ZONE_FAILURES && now - r.last_failure < PARTITION_AVOIDANCE)
+        reachability.is_some_and(|r| {
+            r.failures >= MIN_ZONE_FAILURES && now - r.last_failure < PARTITION_AVOIDANCE
+        })
     }
 
     /// Returns the load and health of a target.
@@ -323,7 +328,8 @@
     /// targets that have restarted. Requests sent to an earlier incarnation count until they end.
     pub fn retain_listed(&self, targets: &HashMap<TargetId, Arc<TargetEntry>>) {
         let now = Instant::now();
-        self.limits().retain_listed(|id| targets.contains_key(id), now);
+        self.limits()
+            .retain_listed(|id| targets.contains_key(id), now);
         let lives: HashSet<IncarnationHash> = targets
             .values()
             .map(|entry| IncarnationHash::of(entry))
--- a/crates/sillpin-gateway/src/placement/mod.rs
+++ b/crates/sillpin-gateway/src/placement/mod.rs
@@ -4,7 +4,7 @@
 //! - [`choose`]: the choice among the targets of a pool,
 //! - [`allowed`]: the weights versions on which a prompt may run,
 //! - [`index`]: targets by pool and zone,
-//! - [`held`]: how long requests hold an engine's memory,
+//! - [`hold_time`]: how long requests hold an engine's memory,
 //! - [`probe`]: probes of unreachable targets,
 //! - [`parts`]: where the parts of a prompt are fetched from and stored,
 //! - [`limits`]: the limits that apply at a target,
@@ -25,9 +25,9 @@
 pub mod probe;
 pub mod residency;
 pub mod shared_limit;
+pub mod signals;
 pub mod slow_start;
 pub mod standing;
-pub mod signals;
 pub mod work;
 
 pub use choose::{ChoiceInputs, ChosenTarget, choose};
--- a/crates/sillpin-gateway/src/placement/shared_limit.rs
+++ b/crates/sillpin-gateway/src/placement/shared_limit.rs
@@ -242,7 +242,8 @@
         let first = || {
             let others = share_group.others.iter();
             let near = others.filter(|other| other.zone == *share_group.zone);
-            let interval = UNKNOWN_SHARE_INTERVAL.max(UNKNOWN_SHARE_INTERVAL_PER_BOX * near.count() as u32);
+            let interval =
+                UNKNOWN_SHARE_INTERVAL.max(UNKNOWN_SHARE_INTERVAL_PER_BOX * near.count() as u32);
             let from = now + interval.mul_f64(rand::rng().random());
             PacedSending { interval, from }
         };
@@ -250,7 +251,12 @@
     }
 
     /// Returns this box's rank among those that share a limit of a target, cached.
-    fn share_rank(&mut self, share_group: &ShareGroup<'_>, target: &TargetEntry, strict: bool) -> ShareRank {
+    fn share_rank(
+        &mut self,
+        share_group: &ShareGroup<'_>,
+        target: &TargetEntry,
+        strict: bool,
+    ) -> ShareRank {
         if !Arc::ptr_eq(&self.others, share_group.others) {
             self.others = share_group.others.clone();
             self.ranks.clear();
--- a/crates/sillpin-gateway/src/placement/signals/limit.rs
+++ b/crates/sillpin-gateway/src/placement/signals/limit.rs
@@ -301,7 +301,8 @@
     /// Returns the limits to send to other boxes: recent changes, and some of the others in
     /// rotation.
     pub fn told(&mut self, now: Instant) -> Vec<LimitUpdate> {
-        let is_recent = |known: &TargetLimit| now.saturating_duration_since(known.changed_at) < RECENT_CHANGE;
+        let is_recent =
+            |known: &TargetLimit| now.saturating_duration_since(known.changed_at) < RECENT_CHANGE;
         let recent = self.known.iter().filter(|(_, known)| is_recent(known));
         let mut updates: Vec<LimitUpdate> = recent
             .take(RECENT_PER_MESSAGE)
@@ -314,7 +315,10 @@
             .map(|(target, known)| known.update(*target, now))
             .collect();
         let has_more = others.len() == OTHERS_PER_MESSAGE;
-        self.last_sent = others.last().map(|update| update.target).filter(|_| has_more);
+        self.last_sent = others
+            .last()
+            .map(|update| update.target)
+            .filter(|_| has_more);
         for update in others {
             if !updates.iter().any(|sent| sent.target == update.target) {
                 updates.push(update);
--- a/crates/sillpin-gateway/src/placement/signals/mod.rs
+++ b/crates/sillpin-gateway/src/placement/signals/mod.rs
@@ -15,7 +15,7 @@
 
 use self::backoff::Backoffs;
 use self::leaving::LeavingTargets;
-use self::limit::{LimitObservation, LimitChange, AnnouncedLimits, log_limit};
+use self::limit::{AnnouncedLimits, LimitChange, LimitObservation, log_limit};
 use self::replaced::ReplacedTargets;
 use super::work::IncarnationHash;
 use crate::dialect::{RetryAfter, TargetWords};
--- a/crates/sillpin-gateway/src/placement/signals/replaced.rs
+++ b/crates/sillpin-gateway/src/placement/signals/replaced.rs
@@ -47,7 +47,10 @@
 
     /// Returns all targets that are known to be replaced.
     pub fn known(&self, now: Instant) -> HashSet<IncarnationHash> {
-        let known = self.expires_at.iter().filter(|(_, expires_at)| now < **expires_at);
+        let known = self
+            .expires_at
+            .iter()
+            .filter(|(_, expires_at)| now < **expires_at);
         known.map(|(target, _)| *target).collect()
     }
 }
--- a/crates/sillpin-gateway/src/placement/slow_start.rs
+++ b/crates/sillpin-gateway/src/placement/slow_start.rs
@@ -45,7 +45,8 @@
         now: Instant,
     ) -> bool {
         let returned = self.returned.get(target);
-        announced_until.is_some_and(|until| now < until) || returned.is_some_and(|at| now < *at + warm_up.time)
+        announced_until.is_some_and(|until| now < until)
+            || returned.is_some_and(|at| now < *at + warm_up.time)
     }
 }
 
--- a/crates/sillpin-gateway/src/placement/work.rs
+++ b/crates/sillpin-gateway/src/placement/work.rs
@@ -137,7 +137,8 @@
 impl PeerWork {
     /// Stores the work that a box reported.
     pub fn hear(&mut self, from: BoxId, work: Vec<EngineWork>, now: Instant) {
-        self.box_reports.retain(|_, report| now - report.at < REPORT_LIFETIME);
+        self.box_reports
+            .retain(|_, report| now - report.at < REPORT_LIFETIME);
         self.box_reports.insert(from, BoxReport { at: now, work });
     }
 
@@ -172,7 +173,9 @@
         let report = self.box_reports.get(from);
         let direct = report.is_some_and(|report| now - report.at < REPORT_LIFETIME);
         let hub_report = self.hub_report(now);
-        direct || hub_report.is_some_and(|hub_report| hub_report.members.contains(&BoxHash::anywhere(from)))
+        direct
+            || hub_report
+                .is_some_and(|hub_report| hub_report.members.contains(&BoxHash::anywhere(from)))
     }
 
     /// Returns whether the last message from a hub is recent enough for the hub to be considered
@@ -195,7 +198,10 @@
         if let Some(hub_report) = self.hub_report(now) {
             return hub_report.sums.clone();
         }
-        let fresh = self.box_reports.values().filter(|report| now - report.at < REPORT_LIFETIME);
+        let fresh = self
+            .box_reports
+            .values()
+            .filter(|report| now - report.at < REPORT_LIFETIME);
         let mut sums: HashMap<TargetHash, Work> = HashMap::new();
         for engine in fresh.flat_map(|report| &report.work) {
             sums.entry(engine.0).or_default().add(engine.work());
--- a/crates/sillpin-gateway/tests/limited_fleet.rs
+++ b/crates/sillpin-gateway/tests/limited_fleet.rs
@@ -280,12 +280,12 @@
         let due = self.answers.extract_if(.., |answer| answer.step <= step);
         for answer in due.collect::<Vec<_>>() {
             let one = &mut self.fleet.boxes[answer.to];
-            let word = answer
+            let announced = answer
                 .named
                 .map(|rate| LimitWord::Rate(rate.try_into().unwrap()));
             let heard = LimitObservation {
                 sent: answer.sent,
-                word,
+                announced,
                 success: true,
             };
             let life = IncarnationHash::of(&self.targets[answer.target]);
--- a/crates/sillpin-gateway/tests/named_limit.rs
+++ b/crates/sillpin-gateway/tests/named_limit.rs
@@ -7,7 +7,7 @@
 use sillpin_core::RequestRate;
 use sillpin_gateway::control::TargetEntry;
 use sillpin_gateway::dialect::LimitWord;
-use sillpin_gateway::placement::signals::limit::{LimitObservation, AnnouncedLimits};
+use sillpin_gateway::placement::signals::limit::{AnnouncedLimits, LimitObservation};
 use sillpin_gateway::placement::work::IncarnationHash;
 use std::time::Duration;
 use tokio::time::{Instant, advance};
@@ -78,10 +78,18 @@
     advance(Duration::from_millis(10)).await;
     let now = Instant::now();
     // An answer that was overtaken, and a failure that something before the target may have made.
-    assert_eq!(limits.record_response(life("a"), silent(before, true), now), None);
-    assert_eq!(limits.record_response(life("a"), silent(now, false), now), None);
+    assert_eq!(
+        limits.record_response(life("a"), silent(before, true), now),
+        None
+    );
+    assert_eq!(
+        limits.record_response(life("a"), silent(now, false), now),
+        None
+    );
     assert_eq!(limits.rate(life("a")), Some(rate("2")));
-    let ended = limits.record_response(life("a"), silent(now, true), now).unwrap();
+    let ended = limits
+        .record_response(life("a"), silent(now, true), now)
+        .unwrap();
     assert_eq!((ended.rate, ended.before), (None, Some(rate("2"))));
     assert_eq!(limits.rate(life("a")), None);
 }
--- a/crates/sillpin-gateway/tests/place.rs
+++ b/crates/sillpin-gateway/tests/place.rs
@@ -375,7 +375,10 @@
     let small = setting.loads.start(&target("e1"), work(25_000));
     assert!(has_memory(), "there is room for it");
     let mut long = setting.loads.start(&target("e1"), work(10_000));
-    assert!(has_memory(), "room comes within 75 ms, the most that it may wait");
+    assert!(
+        has_memory(),
+        "room comes within 75 ms, the most that it may wait"
+    );
     long.prefill_done();
     tokio::time::advance(Duration::from_secs(3)).await;
     drop(long);
@@ -458,7 +461,7 @@
         setting.loads.apply_zone_totals(work.collect(), &[]);
         let heard = LimitObservation {
             sent: Instant::now(),
-            word: Some(LimitWord::Rate("2".parse().unwrap())),
+            announced: Some(LimitWord::Rate("2".parse().unwrap())),
             success: true,
         };
         let life = IncarnationHash::of(&the_limited);
--- a/crates/sillpin-gateway/tests/words.rs
+++ b/crates/sillpin-gateway/tests/words.rs
@@ -84,7 +84,11 @@
     assert!(signals.record(target, wait(0.5), Instant::now()).is_empty());
     assert!(signals.record(target, wait(0.0), Instant::now()).is_empty());
     let unreadable = refusal(RetryAfter::Unreadable);
-    assert!(signals.record(target, unreadable, Instant::now()).is_empty());
+    assert!(
+        signals
+            .record(target, unreadable, Instant::now())
+            .is_empty()
+    );
     assert_eq!(remaining(&signals, target), Some(2.0));
     signals.record(target, wait(4.0), Instant::now());
     assert_eq!(remaining(&signals, target), Some(4.0));
