--- a/crates/sillpin-policy/src/admission.rs
+++ b/crates/sillpin-policy/src/admission.rs
@@ -107,9 +107,9 @@
     pub fn take(&mut self, ticket: Ticket) -> Option<T> {
         let waiting = self.waiting.remove(&ticket)?;
         let rank = usize::from(ticket.class.rank());
-        let reached = self.first_start(ticket.class).unwrap_or(ticket.start);
-        let reached = reached.min(ticket.start);
-        self.virtual_time[rank] = self.virtual_time[rank].max(reached);
+        let new_time = self.first_start(ticket.class).unwrap_or(ticket.start);
+        let new_time = new_time.min(ticket.start);
+        self.virtual_time[rank] = self.virtual_time[rank].max(new_time);
         self.cost[rank] -= waiting.cost.0;
         if self.waiting.is_empty() {
             self.finish.clear();
@@ -135,8 +135,8 @@
         let waiting = self.waiting.remove(&ticket)?;
         let rank = usize::from(ticket.class.rank());
         self.cost[rank] -= waiting.cost.0;
-        let unused = (ticket.class, waiting.org);
-        if let Some(finish) = self.finish.get_mut(&unused) {
+        let org_key = (ticket.class, waiting.org);
+        if let Some(finish) = self.finish.get_mut(&org_key) {
             *finish = finish.saturating_sub(waiting.spacing);
         }
         Some(waiting.item)
--- a/crates/sillpin-policy/src/keeping.rs
+++ b/crates/sillpin-policy/src/keeping.rs
@@ -12,7 +12,7 @@
 const GAP_BUCKETS: usize = 24;
 
 /// Number of observed prompts from which the estimate is used instead of [`PRIOR_CHANCE`].
-const MIN_COUNT: u32 = 20;
+const MIN_OBSERVATIONS: u32 = 20;
 
 /// Probability of a return while there are too few observations.
 const PRIOR_CHANCE: f64 = 0.5;
@@ -45,8 +45,8 @@
 
     /// Halves all counts when one gets large, so that the estimate follows changes of the traffic.
     fn age(&mut self) {
-        const MOST: u32 = 1 << 16;
-        if self.first_seen < MOST && self.returned.iter().all(|n| *n < MOST) {
+        const MAX_COUNT: u32 = 1 << 16;
+        if self.first_seen < MAX_COUNT && self.returned.iter().all(|n| *n < MAX_COUNT) {
             return;
         }
         self.first_seen /= 2;
@@ -59,12 +59,12 @@
     pub fn chance_of_return(&self, gap: Duration) -> f64 {
         let returned: u32 = self.returned.iter().sum();
         let seen = returned + self.first_seen;
-        if seen < MIN_COUNT {
+        if seen < MIN_OBSERVATIONS {
             return PRIOR_CHANCE;
         }
-        let later: u32 = self.returned[bucket(gap)..].iter().sum();
-        let earlier = returned - later;
-        f64::from(later) / f64::from((seen - earlier).max(1))
+        let returned_later: u32 = self.returned[bucket(gap)..].iter().sum();
+        let returned_earlier = returned - returned_later;
+        f64::from(returned_later) / f64::from((seen - returned_earlier).max(1))
     }
 }
 
--- a/crates/sillpin-policy/src/overload.rs
+++ b/crates/sillpin-policy/src/overload.rs
@@ -19,12 +19,12 @@
 /// A request with less work of its own than this is judged by the current queue alone, however long
 /// its caller has waited: refusing it frees almost no capacity, and targets start it between the
 /// chunks of longer prefills.
-const SHORT: Duration = Duration::from_millis(20);
+const SHORT_REQUEST: Duration = Duration::from_millis(20);
 
 /// While the average queue at targets is shorter than this, they are not overloaded, whatever queue
 /// a single request meets; and a request that meets a shorter queue delays no other. Both are
 /// served rather than refused, even if they are late.
-const LEAST_QUEUE: Duration = Duration::from_millis(20);
+const MIN_QUEUE: Duration = Duration::from_millis(20);
 
 /// Besides the queue that a box knows of, a request waits this many times the recent average queue:
 /// for memory, for parts that are fetched, and behind what other boxes sent in the last 0.1 s. This
@@ -35,8 +35,8 @@
 /// A request is refused if it would start later than its latency objective times a factor that is
 /// drawn evenly between these two. Drawing makes boxes that see the same queue refuse a part of the
 /// requests, rather than all and none in turns.
-const LEAST_AIMS: f64 = 0.7;
-const MOST_AIMS: f64 = 1.0;
+const MIN_OBJECTIVE_FACTOR: f64 = 0.7;
+const MAX_OBJECTIVE_FACTOR: f64 = 1.0;
 
 /// Estimates for one request at the target that could start it soonest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -57,17 +57,17 @@
     /// Returns by how much the request would be late if it is to be refused, or `None` if it is to
     /// be served. `draw` is a random number from 0 to 1.
     pub fn lateness_if_refused(&self, draw: f64) -> Option<Duration> {
-        if self.standing < LEAST_QUEUE || self.queue < LEAST_QUEUE {
+        if self.standing < MIN_QUEUE || self.queue < MIN_QUEUE {
             return None;
         }
-        let besides = match self.own < SHORT {
+        let other_wait = match self.own < SHORT_REQUEST {
             true => Duration::ZERO,
             false => self.waited + self.standing.mul_f64(STANDING_FACTOR),
         };
-        let begins = besides + self.queue + self.own.mul_f64(PREFILL_FACTOR);
-        let bound = self
+        let start = other_wait + self.queue + self.own.mul_f64(PREFILL_FACTOR);
+        let latest_start = self
             .latency_objective
-            .mul_f64(LEAST_AIMS + (MOST_AIMS - LEAST_AIMS) * draw);
-        begins.checked_sub(bound).filter(|late| !late.is_zero())
+            .mul_f64(MIN_OBJECTIVE_FACTOR + (MAX_OBJECTIVE_FACTOR - MIN_OBJECTIVE_FACTOR) * draw);
+        start.checked_sub(latest_start).filter(|late| !late.is_zero())
     }
 }
--- a/crates/sillpin-policy/src/placement.rs
+++ b/crates/sillpin-policy/src/placement.rs
@@ -95,7 +95,7 @@
 /// Added to the cost of a candidate that is not a home, in percent of the time to compute the whole
 /// prompt: a prompt that no engine holds is sent to its home, where it is found again even if hints
 /// are lost.
-const STRAY_PERCENT: f64 = 10.0;
+const NON_HOME_PERCENT: f64 = 10.0;
 
 /// Returns the candidates of a request by increasing cost; empty if there are none.
 pub fn rank<R: Rng>(
@@ -197,7 +197,7 @@
         + f64::from(policy.link_weight) * fetch.as_secs_f64();
     if reason != Reason::Home {
         let whole = (candidate.block_time * req.blocks).as_secs_f64();
-        cost += f64::from(policy.first_token_weight) * whole * STRAY_PERCENT / 100.0;
+        cost += f64::from(policy.first_token_weight) * whole * NON_HOME_PERCENT / 100.0;
     }
     Scored {
         index,
--- a/crates/sillpin-policy/src/rendezvous.rs
+++ b/crates/sillpin-policy/src/rendezvous.rs
@@ -46,9 +46,9 @@
     let mut best: Vec<(f64, usize)> = Vec::with_capacity(count + 1);
     for (index, hash, weight) in candidates {
         let score = score(key, hash, weight);
-        let place = best.partition_point(|(other, _)| *other >= score);
-        if place < count {
-            best.insert(place, (score, index));
+        let position = best.partition_point(|(other, _)| *other >= score);
+        if position < count {
+            best.insert(position, (score, index));
             best.truncate(count);
         }
     }
