--- a/crates/sillpin-entry/src/place/placer.rs
+++ b/crates/sillpin-entry/src/place/placer.rs
@@ -6,7 +6,7 @@
 use rand::rngs::SmallRng;
 use rand::{SeedableRng, rng};
 use sillpin_core::{LoadReport, PoolId, TargetId, TargetKind, WeightVersion, ZoneId};
-use sillpin_policy::placement::{self, Candidate, Holding, Kept, Scored};
+use sillpin_policy::placement::{self, Candidate, HeldBlocks, Kept, Scored};
 use sillpin_rpc::directory::KeptObject;
 use sillpin_rpc::records::CandidateRecord;
 use std::collections::HashMap;
@@ -165,8 +165,8 @@
                 .position(|i| engines[*i].target.entry.id == *id)
         };
         let hinted = req.hints.holders.iter();
-        let holders: Vec<(usize, Holding)> = hinted
-            .filter_map(|(id, blocks)| Some((place_of(id)?, Holding { blocks: *blocks })))
+        let holders: Vec<(usize, HeldBlocks)> = hinted
+            .filter_map(|(id, blocks)| Some((place_of(id)?, HeldBlocks { blocks: *blocks })))
             .collect();
         self.turn += 1;
         let request = placement::Request {
--- a/crates/sillpin-policy/benches/placement.rs
+++ b/crates/sillpin-policy/benches/placement.rs
@@ -8,7 +8,7 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use sillpin_policy::placement::{Candidate, Holding, Kept, Request, rank};
+use sillpin_policy::placement::{Candidate, HeldBlocks, Kept, Request, rank};
 use sillpin_policy::rendezvous::CandidateHash;
 use sillpin_policy::set::PlacementPolicy;
 use std::hint::black_box;
@@ -30,7 +30,7 @@
     let mut group = c.benchmark_group("placement");
     for count in [18, 100, 600] {
         let candidates = candidates(count);
-        let holders = [(3, Holding { blocks: 8 }), (7, Holding { blocks: 4 })];
+        let holders = [(3, HeldBlocks { blocks: 8 }), (7, HeldBlocks { blocks: 4 })];
         group.bench_with_input(BenchmarkId::from_parameter(count), &count, |b, _| {
             let mut home = 0u64;
             b.iter(|| {
--- a/crates/sillpin-policy/src/placement.rs
+++ b/crates/sillpin-policy/src/placement.rs
@@ -28,7 +28,7 @@
 
 /// The request's blocks that an engine holds, according to a hint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Holding {
+pub struct HeldBlocks {
     /// Number of leading blocks that the engine holds.
     pub blocks: u32,
 }
@@ -50,7 +50,7 @@
     /// Number of blocks of the prompt, including an incomplete last one.
     pub blocks: u32,
     /// Engines that hold leading blocks, by index into the candidates.
-    pub holders: &'a [(usize, Holding)],
+    pub holders: &'a [(usize, HeldBlocks)],
     /// Blocks in stores.
     pub kept: Kept,
     /// Number of the request, for [`PlacementKind::RoundRobin`].
--- a/crates/sillpin-policy/tests/policy.rs
+++ b/crates/sillpin-policy/tests/policy.rs
@@ -8,7 +8,7 @@
 use sillpin_policy::arms::{ArmShare, arm_for};
 use sillpin_policy::guard::{ArmSample, Breach, Guard};
 use sillpin_policy::keeping::ReturnGaps;
-use sillpin_policy::placement::{Candidate, Holding, Kept, Reason, Request, rank};
+use sillpin_policy::placement::{Candidate, HeldBlocks, Kept, Reason, Request, rank};
 use sillpin_policy::rendezvous::{CandidateHash, top};
 use sillpin_policy::set::{PlacementKind, PlacementPolicy};
 use std::time::Duration;
@@ -26,7 +26,7 @@
     names.map(candidate).collect()
 }
 
-fn request(home: u64, blocks: u32, holders: &[(usize, Holding)]) -> Request<'_> {
+fn request(home: u64, blocks: u32, holders: &[(usize, HeldBlocks)]) -> Request<'_> {
     Request {
         home,
         blocks,
@@ -77,7 +77,7 @@
     let home = winner(7, 20, |_| 1.0);
     let holder = (home + 1) % 20;
     all[holder].wait = Duration::from_millis(holder_wait_ms);
-    let holders = [(holder, Holding { blocks: held })];
+    let holders = [(holder, HeldBlocks { blocks: held })];
     let req = request(7, 10, &holders);
     let ranked = rank(&policy, &all, &req, &mut ChaCha8Rng::seed_from_u64(1));
     assert_eq!(ranked[0].reason, expected);
