--- a/crates/sillpin-gateway/src/placement/allowed.rs
+++ b/crates/sillpin-gateway/src/placement/allowed.rs
@@ -60,10 +60,10 @@
     pub fn allowed(&self) -> AllowedWeights {
         let any = WeightVersion(0);
         let Some(wanted) = self.wanted else {
-            return self.since(any, "none wanted");
+            return self.since(any, "no version was requested");
         };
         let Some(in_contact) = self.in_contact else {
-            return self.since(any, "store silent");
+            return self.since(any, "the platform store is unreachable");
         };
         let by = |version: &WeightVersion, margin| {
             let until = self.usable_until(wanted, *version);
@@ -79,7 +79,7 @@
         // While the store was unreachable no box could make engines load new weights.
         let newest = served().next_back();
         match newest.filter(|_| self.now + LAST_MARGIN < in_contact + self.limit) {
-            Some(newest) => self.since(*newest, "the store has just come back"),
+            Some(newest) => self.since(*newest, "the platform store has just recovered"),
             None => self.since(
                 wanted.newest().version,
                 "no engine serves weights that may be used",
--- a/crates/sillpin-gateway/tests/allowed.rs
+++ b/crates/sillpin-gateway/tests/allowed.rs
@@ -1,4 +1,4 @@
-//! Which weights a prompt may run on, as versions are named one after the other.
+//! Tests of the weights on which a prompt may run while operators request new versions.
 
 use sillpin_core::WeightVersion;
 use sillpin_gateway::beliefs::{Named, Wanted};
@@ -7,14 +7,14 @@
 use std::time::Duration;
 use tokio::time::{Instant, advance};
 
-/// No request begins on weights that were replaced longer ago.
+/// No request starts on weights that were replaced longer ago.
 const LIMIT: Duration = Duration::from_secs(10);
 
 fn version(number: u64) -> WeightVersion {
     WeightVersion(number)
 }
 
-fn named(number: u64) -> Named {
+fn requested(number: u64) -> Named {
     Named {
         version: version(number),
         since: Instant::now(),
@@ -22,14 +22,15 @@
     }
 }
 
-/// The oldest weights that a box in touch with the store may use, with one engine for each entry of `served`.
+/// Returns the oldest weights that a box in contact with the store may use, with one engine for
+/// each entry of `served`.
 fn oldest(wanted: &Wanted, served: &[u64]) -> u64 {
     let long_ago = Instant::now() - Duration::from_secs(3_600);
-    oldest_in_touch_since(Some(long_ago), wanted, served)
+    oldest_in_contact_since(Some(long_ago), wanted, served)
 }
 
-/// The same for a box that has been in touch with the store since a moment, or is not.
-fn oldest_in_touch_since(in_contact: Option<Instant>, wanted: &Wanted, served: &[u64]) -> u64 {
+/// The same for a box that has been in contact with the store since `in_contact`, or is not.
+fn oldest_in_contact_since(in_contact: Option<Instant>, wanted: &Wanted, served: &[u64]) -> u64 {
     let now = Instant::now();
     let mut serving = BTreeMap::new();
     for number in served {
@@ -46,44 +47,44 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_later_version_leaves_the_time_of_an_earlier_one_alone() {
-    let mut wanted = Wanted::new(named(1));
+async fn a_later_version_does_not_change_the_age_of_an_earlier_one() {
+    let mut wanted = Wanted::new(requested(1));
     advance(Duration::from_secs(60)).await;
-    wanted.note(named(2), Instant::now());
+    wanted.note(requested(2), Instant::now());
     advance(Duration::from_secs(4)).await;
-    wanted.note(named(3), Instant::now());
+    wanted.note(requested(3), Instant::now());
     advance(Duration::from_millis(3_400)).await;
     assert_eq!(
         oldest(&wanted, &[1, 2, 3]),
         1,
-        "version 2 was named 7.4 s ago"
+        "version 2 was requested 7.4 s ago"
     );
     advance(Duration::from_millis(200)).await;
     assert_eq!(
         oldest(&wanted, &[1, 2, 3]),
         2,
-        "version 2 was named 7.6 s ago"
+        "version 2 was requested 7.6 s ago"
     );
     advance(Duration::from_secs(4)).await;
     assert_eq!(
         oldest(&wanted, &[1, 2, 3]),
         3,
-        "version 3 was named 7.6 s ago"
+        "version 3 was requested 7.6 s ago"
     );
 }
 
 #[tokio::test(start_paused = true)]
 async fn of_two_times_for_one_version_the_earlier_counts() {
     let start = Instant::now();
-    let mut wanted = Wanted::new(named(1));
+    let mut wanted = Wanted::new(requested(1));
     advance(Duration::from_secs(5)).await;
-    assert!(wanted.note(named(2), Instant::now()));
+    assert!(wanted.note(requested(2), Instant::now()));
     let earlier = Named {
         since: start + Duration::from_secs(1),
-        ..named(2)
+        ..requested(2)
     };
     assert!(wanted.note(earlier, Instant::now()));
-    assert!(!wanted.note(named(2), Instant::now()));
+    assert!(!wanted.note(requested(2), Instant::now()));
     assert_eq!(wanted.find(version(2)), Some(&earlier));
     let unwitnessed = Named {
         since: start,
@@ -98,71 +99,71 @@
     assert_eq!(
         wanted.find(version(2)),
         Some(&merged),
-        "a box had read it by then"
+        "a box had read it by that time"
     );
 }
 
-/// After the loss of all boxes nobody knows when weights were named that the store says are wanted.
+/// If all boxes were lost, none knows when the desired weights in the store were requested.
 #[tokio::test(start_paused = true)]
-async fn weights_that_nobody_saw_being_named_are_judged_by_how_many_engines_serve_them() {
+async fn the_age_of_unwitnessed_weights_is_judged_by_the_engines_that_serve_them() {
     let mut wanted = Wanted::new(Named {
         witnessed: false,
-        ..named(2)
+        ..requested(2)
     });
     assert_eq!(
         oldest(&wanted, &[1, 1, 1, 2]),
         1,
-        "they may have been named just now"
+        "they may have been requested just now"
     );
     assert_eq!(
         oldest(&wanted, &[1, 1, 2, 2]),
         2,
-        "they were named seconds ago"
+        "they were requested seconds ago"
     );
     advance(Duration::from_millis(7_600)).await;
     assert_eq!(oldest(&wanted, &[1, 1, 1, 2]), 2);
     let seen = Named {
         since: Instant::now() - Duration::from_secs(8),
-        ..named(2)
+        ..requested(2)
     };
     assert!(
         wanted.note(seen, Instant::now()),
-        "a box that saw it turns up"
+        "a box that witnessed it is found"
     );
     assert_eq!(oldest(&wanted, &[1, 1, 1, 2]), 2);
 }
 
 #[tokio::test(start_paused = true)]
-async fn once_a_box_that_saw_it_is_found_the_number_of_engines_does_not_matter() {
+async fn a_witnessed_age_overrides_the_number_of_engines() {
     let mut wanted = Wanted::new(Named {
         witnessed: false,
-        ..named(2)
+        ..requested(2)
     });
     assert_eq!(oldest(&wanted, &[1, 1, 2, 2]), 2);
     let seen = Named {
         since: Instant::now() - Duration::from_secs(1),
-        ..named(2)
+        ..requested(2)
     };
     assert!(wanted.note(seen, Instant::now()));
     assert_eq!(
         oldest(&wanted, &[1, 1, 2, 2]),
         1,
-        "it was named a second ago"
+        "it was requested a second ago"
     );
 }
 
 #[tokio::test(start_paused = true)]
-async fn versions_of_long_ago_are_forgotten_but_not_that_older_weights_were_replaced() {
-    let mut wanted = Wanted::new(named(1));
+async fn old_versions_are_removed_but_their_replacement_is_not_forgotten() {
+    let mut wanted = Wanted::new(requested(1));
     for number in 2..200 {
         advance(Duration::from_secs(60)).await;
-        wanted.note(named(number), Instant::now());
+        wanted.note(requested(number), Instant::now());
     }
     let ages: Vec<Duration> = wanted
         .newer(version(1))
         .map(|n| n.since.elapsed())
         .collect();
-    assert!(ages.len() < 16, "boxes tell each other all of them");
+    assert!(ages.len() < 16, "boxes send each other all of them");
     assert_eq!(
         ages[0],
         Duration::from_secs(600),
@@ -171,18 +172,18 @@
     assert_eq!(
         oldest(&wanted, &[1, 198, 199]),
         198,
-        "version 199 was named just now"
+        "version 199 was requested just now"
     );
 }
 
-/// All engines served version 2 when versions 3 and 4 were named, and their loads were held up.
+/// All engines served version 2 when versions 3 and 4 were requested, and their loads were delayed.
 #[tokio::test(start_paused = true)]
-async fn without_newer_engines_the_newest_are_used_to_the_end_of_their_time_and_no_longer() {
-    let mut wanted = Wanted::new(named(2));
+async fn without_newer_engines_the_newest_weights_are_used_until_their_limit() {
+    let mut wanted = Wanted::new(requested(2));
     advance(Duration::from_secs(60)).await;
-    wanted.note(named(3), Instant::now());
+    wanted.note(requested(3), Instant::now());
     advance(Duration::from_secs(1)).await;
-    wanted.note(named(4), Instant::now());
+    wanted.note(requested(4), Instant::now());
     advance(Duration::from_secs(7)).await;
     assert_eq!(
         oldest(&wanted, &[2, 2, 3]),
@@ -209,51 +210,53 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn weights_are_not_to_blame_for_the_time_without_the_store() {
-    let mut wanted = Wanted::new(named(1));
+async fn time_without_the_store_does_not_count() {
+    let mut wanted = Wanted::new(requested(1));
     advance(Duration::from_secs(60)).await;
-    wanted.note(named(2), Instant::now());
+    wanted.note(requested(2), Instant::now());
     advance(Duration::from_secs(20)).await;
     assert_eq!(
-        oldest_in_touch_since(None, &wanted, &[1, 1, 2]),
+        oldest_in_contact_since(None, &wanted, &[1, 1, 2]),
         0,
-        "out of touch"
+        "out of contact"
     );
     let back = Some(Instant::now());
     advance(Duration::from_secs(1)).await;
     assert_eq!(
-        oldest_in_touch_since(back, &wanted, &[1, 1]),
+        oldest_in_contact_since(back, &wanted, &[1, 1]),
         1,
-        "nobody could load them"
+        "no box could load newer ones"
     );
     assert_eq!(
-        oldest_in_touch_since(back, &wanted, &[1, 1, 2]),
+        oldest_in_contact_since(back, &wanted, &[1, 1, 2]),
         2,
-        "somebody could"
+        "newer ones were loaded"
     );
     advance(Duration::from_secs(9)).await;
     assert_eq!(
-        oldest_in_touch_since(back, &wanted, &[1, 1]),
+        oldest_in_contact_since(back, &wanted, &[1, 1]),
         2,
-        "there was time enough"
+        "there was enough time"
     );
 }
 
-/// A box had started a moment after version 2 was named, so it knew that for 7 s; no box that had seen the naming was left. Then another, frozen until
-/// then, found version 2 and said that it saw it being named just now. The first box believed it, and used version 1 for seven more seconds.
+/// A box that started just after version 2 was requested had known it for 7 s, and no box that
+/// witnessed the request was left. Then another box, frozen until then, found version 2 and
+/// reported that it was requested just now. The first box believed this and used version 1 for
+/// seven more seconds.
 #[tokio::test(start_paused = true)]
-async fn what_a_box_has_known_for_long_was_not_named_just_now() {
+async fn a_version_known_for_long_is_not_taken_as_new() {
     let mut wanted = Wanted::new(Named {
         witnessed: false,
-        ..named(2)
+        ..requested(2)
     });
     advance(Duration::from_secs(7)).await;
-    wanted.note(named(2), Instant::now());
+    wanted.note(requested(2), Instant::now());
     let since = wanted.newest().since;
     assert_eq!(
         since.elapsed(),
         Duration::from_secs(7),
-        "it was in the store by then"
+        "it was in the store by that time"
     );
     advance(Duration::from_secs(1)).await;
     assert_eq!(
@@ -263,13 +266,14 @@
     );
 }
 
-/// The store was away and has come back; a prompt was sent to the newest weights that are served just before the time after that was over. It waits
-/// at its engine: nobody knew until when it could begin, and the box looked again after up to a second.
+/// After an outage of the store, a prompt was sent to the newest served weights just before the
+/// time allowed after the outage was over. It waited at its engine without a known limit, and the
+/// box checked it only up to a second later.
 #[tokio::test(start_paused = true)]
-async fn a_prompt_sent_after_the_stores_return_is_taken_back_in_time_too() {
-    let mut wanted = Wanted::new(named(1));
+async fn a_prompt_sent_after_an_outage_is_withdrawn_in_time() {
+    let mut wanted = Wanted::new(requested(1));
     advance(Duration::from_secs(60)).await;
-    wanted.note(named(2), Instant::now());
+    wanted.note(requested(2), Instant::now());
     advance(Duration::from_secs(20)).await;
     let back = Instant::now();
     advance(Duration::from_millis(8_900)).await;
@@ -289,14 +293,15 @@
     );
 }
 
-/// No engine served the newest weights. Boxes sent prompts to the older ones up to the very moment at which they took them back: on a day of our own
-/// 16 prompts were sent 4 to 84 ms before. They were lost, since they may have run; refused at once their callers would have come again.
+/// No engine served the newest weights. Boxes sent prompts to older ones until the moment at which
+/// they withdrew them: on one of our test days 16 prompts were sent 4 to 84 ms before. They were lost,
+/// since they may have run; refused immediately, their callers would have sent them again.
 #[tokio::test(start_paused = true)]
-async fn a_prompt_that_may_be_sent_has_time_to_begin() {
-    const LEAST: Duration = Duration::from_millis(200);
-    let mut wanted = Wanted::new(named(1));
+async fn a_prompt_that_may_be_sent_has_time_to_start() {
+    const MIN_TIME: Duration = Duration::from_millis(200);
+    let mut wanted = Wanted::new(requested(1));
     advance(Duration::from_secs(60)).await;
-    wanted.note(named(2), Instant::now());
+    wanted.note(requested(2), Instant::now());
     let serving = BTreeMap::from([(version(1), 2)]);
     for _ in 0..200 {
         let weights = WeightsInputs {
@@ -310,37 +315,38 @@
             let latest_start = weights.latest_start(version(1)).unwrap();
             let left = latest_start - Instant::now();
             let age = wanted.newest().since.elapsed();
-            assert!(left >= LEAST, "{left:?} after {age:?}");
+            assert!(left >= MIN_TIME, "{left:?} after {age:?}");
         }
         advance(Duration::from_millis(50)).await;
     }
 }
 
-/// Prompts waited at an engine with old weights while the store was away. It came back, and another engine had newer weights: the prompts were taken back
-/// within a second and lost, although the time without the store does not count and they had ten more seconds to begin.
+/// Prompts waited at an engine with old weights during an outage of the store. When it ended and
+/// another engine had newer weights, the prompts were withdrawn within a second and lost, although
+/// time without the store does not count and they had ten more seconds to start.
 #[tokio::test(start_paused = true)]
-async fn the_stores_return_takes_back_no_prompt_that_was_sent_without_it() {
-    let mut wanted = Wanted::new(named(1));
+async fn the_end_of_an_outage_withdraws_no_prompt_sent_during_it() {
+    let mut wanted = Wanted::new(requested(1));
     advance(Duration::from_secs(60)).await;
-    wanted.note(named(2), Instant::now());
+    wanted.note(requested(2), Instant::now());
     advance(Duration::from_secs(20)).await;
     let serving = BTreeMap::from([(version(1), 1), (version(2), 1)]);
-    let away = WeightsInputs {
+    let in_outage = WeightsInputs {
         wanted: Some(&wanted),
         serving: &serving,
         limit: LIMIT,
         in_contact: None,
         now: Instant::now(),
     };
-    assert_eq!(away.allowed().oldest, version(0), "it may be sent");
-    assert_eq!(away.latest_start(version(1)), None);
+    assert_eq!(in_outage.allowed().oldest, version(0), "it may be sent");
+    assert_eq!(in_outage.latest_start(version(1)), None);
     let back = WeightsInputs {
         in_contact: Some(Instant::now()),
-        ..away
+        ..in_outage
     };
     let latest_start = back.latest_start(version(1));
     assert!(
         latest_start.is_none_or(|at| at > Instant::now()),
-        "it is taken back at once: {latest_start:?}"
+        "it is withdrawn immediately: {latest_start:?}"
     );
 }
--- a/crates/sillpin-gateway/tests/common/engines.rs
+++ b/crates/sillpin-gateway/tests/common/engines.rs
@@ -1,4 +1,5 @@
-//! A zone of engines that read prompts one after the other, behind boxes that hear of each other's work late.
+//! Simulates a zone of engines that prefill prompts one by one, and boxes that learn of each
+//! other's work late.
 
 use super::{anywhere, engine, name, target};
 use rand::rngs::StdRng;
@@ -20,36 +21,36 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a prompt takes to be read.
-pub const PROMPT_MS: f64 = 100.0;
+/// Time to prefill a prompt, in milliseconds.
+pub const PREFILL_MS: f64 = 100.0;
 
 pub const PROMPT: Tokens = Tokens(9_000);
-pub const ROOM: Tokens = Tokens(40_000);
-pub const AIM: Duration = Duration::from_millis(500);
+pub const MEMORY: Tokens = Tokens(40_000);
+pub const LATENCY_OBJECTIVE: Duration = Duration::from_millis(500);
 
-/// Generating takes this long after the prompt, and holds its memory.
-pub const GENERATED: Duration = Duration::from_millis(60);
+/// Time to generate the response after the prefill, during which the prompt's memory is held.
+pub const GENERATION: Duration = Duration::from_millis(60);
 
-/// How late boxes hear of each other's work.
+/// Delay with which boxes learn of each other's work.
 #[derive(Debug, Clone, Copy)]
-pub struct Lag {
-    /// They hear so often.
+pub struct ReportDelay {
+    /// Interval between reports.
     pub every: Duration,
-    /// And each time what it was that long ago.
+    /// Age of a report when it arrives.
     pub late: Duration,
-    /// Whether they choose as boxes of a large fleet, who know that they hear late.
+    /// Whether boxes choose as in a large fleet, where reports are known to be late.
     pub is_known: bool,
 }
 
-/// Each box tells all others.
-pub const SMALL: Lag = Lag {
+/// Each box sends its work to all others.
+pub const DIRECT: ReportDelay = ReportDelay {
     every: Duration::from_millis(60),
     late: Duration::from_millis(5),
     is_known: false,
 };
 
-/// Hubs tell them.
-pub const LARGE: Lag = Lag {
+/// Hubs send the totals to all boxes.
+pub const THROUGH_HUBS: ReportDelay = ReportDelay {
     every: Duration::from_millis(150),
     late: Duration::from_millis(150),
     is_known: true,
@@ -58,65 +59,66 @@
 pub const STEP: Duration = Duration::from_millis(5);
 
 /// A prompt at an engine.
-struct Running {
+struct QueuedPrompt {
     sent: Instant,
-    /// When its caller gives it up.
-    until: Instant,
-    left_ms: f64,
-    ticket: InFlightGuard,
+    /// When its caller gives up.
+    expires_at: Instant,
+    remaining_ms: f64,
+    guard: InFlightGuard,
 }
 
 #[derive(Default)]
 struct Engine {
-    queue: VecDeque<Running>,
+    queue: VecDeque<QueuedPrompt>,
     generating: Vec<(Instant, InFlightGuard)>,
     held: usize,
 }
 
 impl Engine {
-    /// Reads prompts for a step, one after the other, as long as its memory has room; gives how long each that began had waited.
+    /// Prefills prompts for one step, one by one, while there is memory. Returns the waits of the
+    /// prompts that started.
     fn step(&mut self, now: Instant) -> Vec<Duration> {
-        self.generating.retain(|(until, _)| now < *until);
-        self.queue.retain(|running| now < running.until);
-        let room = (ROOM.0 / PROMPT.0) as usize;
+        self.generating.retain(|(expires_at, _)| now < *expires_at);
+        self.queue.retain(|prompt| now < prompt.expires_at);
+        let room = (MEMORY.0 / PROMPT.0) as usize;
         let mut ms = STEP.as_secs_f64() * 1000.0;
-        let mut began = Vec::new();
-        while let Some(running) = self.queue.front_mut() {
+        let mut started = Vec::new();
+        while let Some(prompt) = self.queue.front_mut() {
             if ms <= 0.0 || self.generating.len() >= room {
                 break;
             }
-            let read = running.left_ms.min(ms);
-            running.left_ms -= read;
-            ms -= read;
-            if running.left_ms > 0.0 {
+            let prefilled_ms = prompt.remaining_ms.min(ms);
+            prompt.remaining_ms -= prefilled_ms;
+            ms -= prefilled_ms;
+            if prompt.remaining_ms > 0.0 {
                 break;
             }
-            if let Some(mut done) = self.queue.pop_front() {
-                done.ticket.prefill_done();
-                began.push(now - done.sent);
-                self.generating.push((now + GENERATED, done.ticket));
+            if let Some(mut finished) = self.queue.pop_front() {
+                finished.guard.prefill_done();
+                started.push(now - finished.sent);
+                self.generating.push((now + GENERATION, finished.guard));
             }
         }
         self.held = self.generating.len();
-        began
+        started
     }
 }
 
-/// The zone.
+/// A zone with its boxes and engines.
 pub struct Zone {
     index: TargetIndex,
     boxes: Vec<Loads>,
     members: Vec<BoxHash>,
     engines: BTreeMap<TargetId, Engine>,
-    told: VecDeque<(Instant, Vec<EngineWork>)>,
-    tell: Instant,
+    reports: VecDeque<(Instant, Vec<EngineWork>)>,
+    next_report: Instant,
     rng: StdRng,
-    lag: Lag,
+    delay: ReportDelay,
 }
 
 impl Zone {
-    /// So many boxes before so many engines.
-    pub fn new(seed: u64, boxes: usize, engines: usize, lag: Lag) -> Self {
+    /// Creates a zone with the given numbers of boxes and engines.
+    pub fn new(seed: u64, boxes: usize, engines: usize, delay: ReportDelay) -> Self {
         let entries = (0..engines).map(|index| engine(&format!("e-{index}"), "za"));
         let targets: HashMap<TargetId, Arc<TargetEntry>> =
             entries.map(|e| (e.id.clone(), Arc::new(e))).collect();
@@ -126,25 +128,29 @@
             boxes: (0..boxes).map(|_| Loads::default()).collect(),
             members: (0..boxes).map(name_of).collect(),
             engines: BTreeMap::new(),
-            told: VecDeque::new(),
-            tell: Instant::now(),
+            reports: VecDeque::new(),
+            next_report: Instant::now(),
             rng: StdRng::seed_from_u64(seed),
-            lag,
+            delay,
         }
     }
 
-    /// Plays a step of engines and of what boxes hear of each other, as hubs tell them; how long each prompt that began had waited.
+    /// Simulates one step of the engines and of the reports from hubs. Returns the waits of the
+    /// prompts that started.
     pub fn step(&mut self) -> Vec<Duration> {
         let now = Instant::now();
         let engines = self.engines.values_mut();
         let waits = engines.flat_map(|engine| engine.step(now)).collect();
-        if now >= self.tell {
-            self.tell = now + self.lag.every;
-            self.told.push_back((now + self.lag.late, self.total()));
-            self.boxes.iter().for_each(|of| of.report(of.told()));
+        if now >= self.next_report {
+            self.next_report = now + self.delay.every;
+            self.reports
+                .push_back((now + self.delay.late, self.total()));
+            self.boxes
+                .iter()
+                .for_each(|of| of.set_own_report(of.told()));
         }
-        while self.told.front().is_some_and(|(at, _)| *at <= now) {
-            let Some((_, work)) = self.told.pop_front() else {
+        while self.reports.front().is_some_and(|(at, _)| *at <= now) {
+            let Some((_, work)) = self.reports.pop_front() else {
                 break;
             };
             let boxes = self.boxes.iter();
@@ -153,15 +159,18 @@
         waits
     }
 
-    /// A box drawn by lot, and the engine that it chooses for a prompt.
+    /// Returns a random box and the engine that it chooses for a prompt.
     pub fn place(&mut self) -> (usize, ChosenTarget) {
         let at = self.rng.random_range(0..self.boxes.len());
-        let plans = [(WeightVersion(1), plan_of(self.rng.random()))];
+        let plans = [(
+            WeightVersion(1),
+            plan_without_stored_parts(self.rng.random()),
+        )];
         let (pool, zone): (PoolId, ZoneId) = (name("llm"), name("za"));
         let model = name("m");
         let choice = ChoiceInputs {
             targets: &self.index,
-            reported_late: self.lag.is_known,
+            reported_late: self.delay.is_known,
             loads: &self.boxes[at],
             pool: &pool,
             zone: &zone,
@@ -171,8 +180,8 @@
             prompt: Some(PromptInputs {
                 model: &model,
                 tokens: PROMPT,
-                latency_objective: AIM,
-                room: ROOM,
+                latency_objective: LATENCY_OBJECTIVE,
+                room: MEMORY,
                 wanted: None,
                 oldest: WeightVersion(0),
                 plans: &plans,
@@ -184,33 +193,34 @@
         (at, choose(&choice).unwrap())
     }
 
-    /// A number from 0 to 1.
+    /// Returns a random number from 0 to 1.
     pub fn draw(&mut self) -> f64 {
         self.rng.random()
     }
 
-    /// What a prompt meets at the engine that a box chose for it, and what has stood at those that it chose of late, in milliseconds.
-    pub fn meets(&self, (at, chosen): &(usize, ChosenTarget)) -> (f64, f64) {
-        let queue = Queue::heard(chosen.queue_ms, self.lag.is_known);
+    /// Returns the queue expected at the engine that a box chose, and the average queue at the
+    /// engines that the box chose recently, in milliseconds.
+    pub fn queues(&self, (at, chosen): &(usize, ChosenTarget)) -> (f64, f64) {
+        let queue = Queue::reported(chosen.queue_ms, self.delay.is_known);
         let standing_ms = self.boxes[*at].record_queue(queue, Instant::now());
         (queue.met_ms, standing_ms)
     }
 
-    /// Sends a prompt to the engine that was chosen for it; its caller gives it up after `patience`.
-    pub fn send(&mut self, (at, chosen): (usize, ChosenTarget), patience: Duration) {
+    /// Sends a prompt to the engine that was chosen for it; its caller gives up after `timeout`.
+    pub fn send(&mut self, (at, chosen): (usize, ChosenTarget), timeout: Duration) {
         let now = Instant::now();
-        let work = Work::one(PROMPT_MS, PROMPT);
-        let running = Running {
+        let work = Work::one(PREFILL_MS, PROMPT);
+        let prompt = QueuedPrompt {
             sent: now,
-            until: now + patience,
-            left_ms: PROMPT_MS,
-            ticket: self.boxes[at].start(&chosen.target.id, work),
+            expires_at: now + timeout,
+            remaining_ms: PREFILL_MS,
+            guard: self.boxes[at].start(&chosen.target.id, work),
         };
         let engine = self.engines.entry(chosen.target.id.clone()).or_default();
-        engine.queue.push_back(running);
+        engine.queue.push_back(prompt);
     }
 
-    /// Work of all boxes at each engine.
+    /// Returns the work of all boxes at each engine.
     fn total(&self) -> Vec<EngineWork> {
         let of = |id: TargetId| {
             let mut sum = Work::default();
@@ -228,8 +238,8 @@
     }
 }
 
-/// A prompt whose last shared part is named by `key`, and which no store keeps.
-fn plan_of(key: u64) -> Plan {
+/// Returns the plan of a prompt whose last shared part is `key`, with no part in a store.
+fn plan_without_stored_parts(key: u64) -> Plan {
     let part = |id: String, tokens| Part {
         id: PartId(id),
         tokens: Tokens(tokens),
@@ -245,7 +255,7 @@
     };
     let engine = EngineSpec {
         slots: 24,
-        room: ROOM,
+        room: MEMORY,
         token_bytes: 18_432,
         models: vec![name("m")],
     };
--- a/crates/sillpin-gateway/tests/held.rs
+++ b/crates/sillpin-gateway/tests/held.rs
@@ -1,4 +1,4 @@
-//! How long requests hold an engine's memory.
+//! Tests of the estimate of how long requests hold an engine's memory.
 
 use rstest::rstest;
 use sillpin_gateway::placement::hold_time::HoldTime;
@@ -10,7 +10,7 @@
 #[case::a_slow_engine(&[2_000; 40], 2_000.0, 70.0)]
 #[case::twice_as_fast(&[1_000; 40], 1_000.0, 50.0)]
 #[tokio::test(start_paused = true)]
-async fn how_long_memory_is_held_is_learnt(
+async fn the_mean_hold_time_follows_the_samples(
     #[case] held: &[u64],
     #[case] expected: f64,
     #[case] within: f64,
@@ -25,7 +25,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn how_long_memory_was_held_is_unlearnt_when_it_changes() {
+async fn old_samples_lose_their_weight() {
     let mut mean = HoldTime::default();
     for ms in [2_000; 200].into_iter().chain([500; 200]) {
         tokio::time::advance(Duration::from_millis(100)).await;
--- a/crates/sillpin-gateway/tests/limited_fleet.rs
+++ b/crates/sillpin-gateway/tests/limited_fleet.rs
@@ -1,6 +1,8 @@
-//! Targets in need in whole fleets: a third of them name what they take of all boxes together, and another limit later. Boxes hear it from answers and from
-//! each other by the ways that small and large zones have, and lose some of what they are told; some start anew, end or are cut off, so that their
-//! views of who shares a limit diverge. Counted is what reaches each target from all boxes.
+//! Tests of limits in whole fleets: a third of the targets announce a limit for all boxes together,
+//! and a different one later. Boxes learn of it from responses and from each other, in the ways of
+//! small and large zones, and lose some messages. Some boxes restart, stop or are partitioned, so
+//! their views of who shares a limit diverge. The test counts the requests that arrive at each
+//! target from all boxes.
 
 mod common;
 
@@ -27,43 +29,45 @@
 
 const ZONES: usize = 3;
 
-/// What reaches a target in so long is counted.
+/// Period over which requests at a target are counted.
 const PERIOD: Duration = Duration::from_secs(4);
 
-/// Requests a second for each target, as long as none is limited.
+/// Requests a second for each target while none is limited.
 const DEMAND: f64 = 5.0;
 
-/// Limits that every third target names one after the other, and from when.
-const NAMED: [(u64, f64); 3] = [(3, 4.0), (14, 1.5), (24, 0.0)];
+/// The limits that every third target announces one after the other, with the second from which
+/// each applies.
+const ANNOUNCED: [(u64, f64); 3] = [(3, 4.0), (14, 1.5), (24, 0.0)];
 
-/// How long the play lasts, and when trouble begins and cuts end.
+/// Length of a simulation, and the seconds at which faults are injected and partitions end.
 const LENGTH: Duration = Duration::from_secs(34);
-const TROUBLE: [u64; 2] = [8, 18];
-const CUTS_END: u64 = 13;
+const FAULTS: [u64; 2] = [8, 18];
+const PARTITIONS_END: u64 = 13;
 
-/// A box that ended is known to others up to so long after: its lease has to lapse.
-const FORGOTTEN_AFTER_MS: u64 = 10_000;
+/// Longest time after its end for which a box is known to others, in milliseconds: its lease has to
+/// lapse.
+const REMOVED_AFTER_MS: u64 = 10_000;
 
-/// Answers come so many steps after the requests, one by one.
-const ANSWER_STEPS: std::ops::Range<usize> = 1..4;
+/// Number of steps from a request to its response.
+const RESPONSE_STEPS: std::ops::Range<usize> = 1..4;
 
-/// What becomes of some boxes while targets are limited.
+/// What happens to some boxes while targets are limited.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Trouble {
+enum Fault {
     None,
-    /// A third of the boxes neither hears nor is heard for a while.
-    CutOff,
-    /// Half of the boxes start anew, and know nothing.
-    StartAnew,
-    /// The hubs end and do not come back; in a small fleet, a third of the boxes.
+    /// A third of the boxes neither sends nor receives messages for a while.
+    Partition,
+    /// Half of the boxes restart without their state.
+    Restart,
+    /// The hubs stop for good; in a small fleet, a third of the boxes.
     HubsEnd,
 }
 
-/// Whether boxes tell each other, and whether they keep limits at all.
+/// What is disabled: nothing, messages between boxes, or limits altogether.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Off {
+enum Disabled {
     Nothing,
-    Telling,
+    Messages,
     Limits,
 }
 
@@ -71,35 +75,35 @@
     type Word = LimitUpdate;
 
     fn found(&mut self, now: Instant) -> Vec<LimitUpdate> {
-        self.words.limits.found(now)
+        self.signals.limits.found(now)
     }
 
     fn told(&mut self, now: Instant) -> Vec<LimitUpdate> {
-        self.words.limits.told(now)
+        self.signals.limits.told(now)
     }
 
-    fn hear(&mut self, words: &[LimitUpdate], now: Instant) {
-        self.words.limits.hear(words, now);
+    fn hear(&mut self, updates: &[LimitUpdate], now: Instant) {
+        self.signals.limits.hear(updates, now);
     }
 }
 
-/// An answer on its way to a box.
-struct Answer {
+/// A response in transit to a box.
+struct Response {
     step: usize,
     to: usize,
     target: usize,
     sent: Instant,
-    named: Option<f64>,
+    announced_limit: Option<f64>,
 }
 
-struct Play {
+struct Simulation {
     fleet: Fleet<Limits>,
     targets: Vec<TargetEntry>,
     zones: Vec<ZoneId>,
     entries: Vec<BoxEntry>,
     ended: HashMap<usize, Instant>,
     others: Vec<Arc<Vec<BoxEntry>>>,
-    answers: Vec<Answer>,
+    responses: Vec<Response>,
     arrived: Vec<Vec<Instant>>,
     refused: usize,
     began: Instant,
@@ -109,14 +113,14 @@
     target.is_multiple_of(3)
 }
 
-/// The limit that targets in need name at a time of the play.
-fn named(elapsed: Duration) -> Option<f64> {
+/// Returns the limit that limited targets announce at a time of the simulation.
+fn announced_limit(elapsed: Duration) -> Option<f64> {
     let begun = |from: u64| elapsed >= Duration::from_secs(from);
-    let last = NAMED.iter().rev().find(|(from, _)| begun(*from));
+    let last = ANNOUNCED.iter().rev().find(|(from, _)| begun(*from));
     last.map(|(_, rate)| *rate)
 }
 
-impl Play {
+impl Simulation {
     fn new(boxes: usize, targets: usize, seed: u64) -> Self {
         let fleet: Fleet<Limits> = Fleet::new(boxes, ZONES, seed);
         let entry = |index: usize| BoxEntry {
@@ -126,7 +130,7 @@
             gossip: ([127, 0, 0, 1], 2).into(),
             link_mbps: 0,
         };
-        // Zones in threes, so that each has limited targets.
+        // Three targets per zone in turn, so that each zone has limited targets.
         let target =
             |index: usize| engine(&format!("e-{index}"), &format!("z{}", index / 3 % ZONES));
         Self {
@@ -136,15 +140,16 @@
             entries: (0..boxes).map(entry).collect(),
             ended: HashMap::new(),
             others: vec![Arc::default(); boxes],
-            answers: Vec::new(),
+            responses: Vec::new(),
             arrived: vec![Vec::new(); targets],
             refused: 0,
             began: Instant::now(),
         }
     }
 
-    /// What boxes believe of each other: one that ended is forgotten at times that differ from box to box.
-    fn look_around(&mut self) {
+    /// Updates the boxes that each box knows: one that stopped is removed at different times by
+    /// each.
+    fn update_views(&mut self) {
         let now = Instant::now();
         for of in 0..self.entries.len() {
             let is_known = |other: &usize| {
@@ -152,7 +157,7 @@
                     self.entries[of].id.as_str(),
                     self.entries[*other].id.as_str(),
                 );
-                let late = Duration::from_millis(pair % FORGOTTEN_AFTER_MS);
+                let late = Duration::from_millis(pair % REMOVED_AFTER_MS);
                 let ended = self.ended.get(other);
                 *other != of && ended.is_none_or(|at| now < *at + late)
             };
@@ -164,21 +169,21 @@
         }
     }
 
-    fn strike(&mut self, trouble: Trouble) {
+    fn inject(&mut self, fault: Fault) {
         let (step, now) = (self.fleet.step, Instant::now());
         let is_large = self.fleet.is_large();
         for (index, one) in self.fleet.boxes.iter_mut().enumerate() {
-            match trouble {
-                Trouble::None => {}
-                Trouble::CutOff => one.cut = index % 3 == 0,
-                Trouble::StartAnew if index % 2 == 0 => {
+            match fault {
+                Fault::None => {}
+                Fault::Partition => one.cut = index % 3 == 0,
+                Fault::Restart if index % 2 == 0 => {
                     let (name, zone) = (one.name, one.zone);
                     *one = OneBox::new(zone, 0, step);
                     one.name = name;
                     one.hub = sillpin_gateway::peers::hub::Hub::new(name);
                 }
-                Trouble::StartAnew => {}
-                Trouble::HubsEnd => {
+                Fault::Restart => {}
+                Fault::HubsEnd => {
                     let ends = match is_large {
                         true => one.hub.is_active(),
                         false => index % 3 == 1,
@@ -192,23 +197,24 @@
         }
     }
 
-    /// Boxes send what their callers ask for in one step.
-    fn send_all(&mut self, off: Off) {
+    /// Sends the requests of all callers in one step.
+    fn send_all(&mut self, disabled: Disabled) {
         let all = DEMAND * self.targets.len() as f64 * STEP.as_secs_f64();
-        let living: Vec<usize> = (0..self.entries.len())
+        let running: Vec<usize> = (0..self.entries.len())
             .filter(|at| !self.fleet.boxes[*at].dead)
             .collect();
         for _ in 0..all as usize {
-            let from = *living.choose(&mut self.fleet.rng).unwrap();
-            if !self.send(from, off) {
+            let from = *running.choose(&mut self.fleet.rng).unwrap();
+            if !self.send(from, disabled) {
                 self.refused += 1;
             }
         }
     }
 
-    /// Targets in the order in which a box takes them: those that get little look free. A box of a small fleet looks at all, one of a large fleet at two
-    /// of its zone first.
-    fn look(&mut self, from: usize) -> Vec<usize> {
+    /// Returns targets in the order in which a box tries them: limited ones first, since they look
+    /// idle. A box of a small fleet considers all targets, one of a large fleet first two of its
+    /// zone.
+    fn candidates(&mut self, from: usize) -> Vec<usize> {
         let all: Vec<usize> = (0..self.targets.len()).collect();
         let zone = &self.entries[from].zone;
         let near: Vec<usize> = all
@@ -221,18 +227,19 @@
             false => (2, 4),
         };
         let from_near = near.sample(&mut self.fleet.rng, first.min(near.len()));
-        let mut looked: Vec<usize> = from_near.copied().collect();
-        looked.sort_by_key(|target| !is_limited(*target));
-        let later = all.sample(&mut self.fleet.rng, then.max(first - looked.len()));
-        looked.extend(later.copied());
-        looked
+        let mut considered: Vec<usize> = from_near.copied().collect();
+        considered.sort_by_key(|target| !is_limited(*target));
+        let later = all.sample(&mut self.fleet.rng, then.max(first - considered.len()));
+        considered.extend(later.copied());
+        considered
     }
 
-    /// Sends one request to one of the targets that are looked at.
-    fn send(&mut self, from: usize, off: Off) -> bool {
+    /// Sends one request to the first considered target that admits it; returns whether there was
+    /// one.
+    fn send(&mut self, from: usize, disabled: Disabled) -> bool {
         let now = Instant::now();
         let cold = HashMap::<TargetId, Instant>::new();
-        let looked = self.look(from);
+        let considered = self.candidates(from);
         let one = &mut self.fleet.boxes[from];
         let started = STEP * (self.fleet.step - one.began) as u32;
         let limit_context = LimitContext {
@@ -254,49 +261,52 @@
         };
         let mut admits = |target: &usize| {
             let entry = &self.targets[*target];
-            off == Off::Limits
+            disabled == Disabled::Limits
                 || one
                     .memory
                     .admits(&limit_context, entry, Admission::OwnShare, now)
         };
-        let Some(target) = looked.into_iter().find(|target| admits(target)) else {
+        let Some(target) = considered.into_iter().find(|target| admits(target)) else {
             return false;
         };
         one.memory.record_sent(&self.targets[target].id, now);
         let opened = Duration::from_millis(self.fleet.rng.random_range(0..=60));
         self.arrived[target].push(now + opened);
-        self.answers.push(Answer {
-            step: self.fleet.step + self.fleet.rng.random_range(ANSWER_STEPS),
+        self.responses.push(Response {
+            step: self.fleet.step + self.fleet.rng.random_range(RESPONSE_STEPS),
             to: from,
             target,
             sent: now,
-            named: named(self.began.elapsed()).filter(|_| is_limited(target)),
+            announced_limit: announced_limit(self.began.elapsed()).filter(|_| is_limited(target)),
         });
         true
     }
 
-    fn take_answers(&mut self) {
+    fn record_responses(&mut self) {
         let step = self.fleet.step;
-        let due = self.answers.extract_if(.., |answer| answer.step <= step);
-        for answer in due.collect::<Vec<_>>() {
-            let one = &mut self.fleet.boxes[answer.to];
-            let announced = answer
-                .named
+        let due = self
+            .responses
+            .extract_if(.., |response| response.step <= step);
+        for response in due.collect::<Vec<_>>() {
+            let one = &mut self.fleet.boxes[response.to];
+            let announced = response
+                .announced_limit
                 .map(|rate| LimitWord::Rate(rate.try_into().unwrap()));
-            let heard = LimitObservation {
-                sent: answer.sent,
+            let observation = LimitObservation {
+                sent: response.sent,
                 announced,
                 success: true,
             };
-            let life = IncarnationHash::of(&self.targets[answer.target]);
+            let life = IncarnationHash::of(&self.targets[response.target]);
             one.memory
-                .words
+                .signals
                 .limits
-                .record_response(life, heard, Instant::now());
+                .record_response(life, observation, Instant::now());
         }
     }
 
-    /// Requests beyond what targets in need bear, in the worst period that began when boxes had to know: summed over all boxes.
+    /// Returns by how many requests limited targets were overloaded in the worst period that began
+    /// after boxes had to know the limit, summed over all boxes.
     fn excess(&self, contact: Duration) -> f64 {
         let limited = (0..self.targets.len()).filter(|at| is_limited(*at));
         let worst = limited.map(|target| {
@@ -304,7 +314,7 @@
             moments.sort_unstable();
             let after = |from: &Instant| {
                 let elapsed = *from - self.began;
-                let least = named(elapsed.checked_sub(contact)?)?;
+                let least = announced_limit(elapsed.checked_sub(contact)?)?;
                 let until = moments.iter().filter(|at| *at >= from);
                 let count = until.take_while(|at| **at - *from <= PERIOD).count();
                 Some(count as f64 - (least * 1.5 * PERIOD.as_secs_f64() + 5.0))
@@ -314,11 +324,12 @@
         worst.fold(f64::MIN, f64::max)
     }
 
-    /// What reached targets in need while they named the first limit and all had to know it, as a part of that limit.
+    /// Returns the share of the first limit that was used from when all boxes had to know it until
+    /// the next.
     fn used(&self, contact: Duration) -> f64 {
-        let (from, rate) = NAMED[0];
+        let (from, rate) = ANNOUNCED[0];
         let from = Duration::from_secs(from) + contact;
-        let until = Duration::from_secs(NAMED[1].0);
+        let until = Duration::from_secs(ANNOUNCED[1].0);
         let counts = |at: &&Instant| (from..until).contains(&(**at - self.began));
         let limited = (0..self.targets.len()).filter(|at| is_limited(*at));
         let (mut count, mut targets) = (0, 0);
@@ -330,59 +341,69 @@
     }
 }
 
-async fn play(boxes: usize, targets: usize, trouble: Trouble, off: Off, seed: u64) -> Play {
-    let mut play = Play::new(boxes, targets, seed);
-    // Hubs are found before traffic begins.
+async fn simulate(
+    boxes: usize,
+    targets: usize,
+    fault: Fault,
+    disabled: Disabled,
+    seed: u64,
+) -> Simulation {
+    let mut simulation = Simulation::new(boxes, targets, seed);
+    // Boxes find the hubs before traffic begins.
     for _ in 0..20 {
-        play.fleet.round().await;
+        simulation.fleet.round().await;
     }
-    play.began = Instant::now();
-    play.look_around();
+    simulation.began = Instant::now();
+    simulation.update_views();
     let steps = |seconds: u64| (seconds * 1_000 / STEP.as_millis() as u64) as usize;
     let count = (LENGTH.as_millis() / STEP.as_millis()) as usize;
     for step in 0..count {
-        if TROUBLE.map(steps).contains(&step) {
-            play.strike(trouble);
+        if FAULTS.map(steps).contains(&step) {
+            simulation.inject(fault);
         }
-        if step == steps(CUTS_END) {
-            play.fleet.boxes.iter_mut().for_each(|one| one.cut = false);
+        if step == steps(PARTITIONS_END) {
+            simulation
+                .fleet
+                .boxes
+                .iter_mut()
+                .for_each(|one| one.cut = false);
         }
-        if !play.ended.is_empty() && step % 4 == 0 {
-            play.look_around();
+        if !simulation.ended.is_empty() && step % 4 == 0 {
+            simulation.update_views();
         }
-        match off {
-            Off::Telling => {
+        match disabled {
+            Disabled::Messages => {
                 tokio::time::advance(STEP).await;
-                play.fleet.step += 1;
+                simulation.fleet.step += 1;
             }
-            _ => play.fleet.round().await,
+            _ => simulation.fleet.round().await,
         }
-        play.take_answers();
-        play.send_all(off);
+        simulation.record_responses();
+        simulation.send_all(disabled);
     }
-    play
+    simulation
 }
 
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn a_fleet_sends_targets_in_need_no_more_than_they_bear(
+async fn a_fleet_does_not_overload_limited_targets(
     #[values((7, 18, 3_000), (71, 60, 4_000), (295, 255, 5_000))] fleet: (usize, usize, u64),
-    #[values(Trouble::None, Trouble::CutOff, Trouble::StartAnew, Trouble::HubsEnd)]
-    trouble: Trouble,
+    #[values(Fault::None, Fault::Partition, Fault::Restart, Fault::HubsEnd)] fault: Fault,
     #[values(1, 2)] seed: u64,
 ) {
     let (boxes, targets, contact) = fleet;
     let contact = Duration::from_millis(contact);
-    let play = play(boxes, targets, trouble, Off::Nothing, seed).await;
-    let (excess, used) = (play.excess(contact), play.used(contact));
+    let simulation = simulate(boxes, targets, fault, Disabled::Nothing, seed).await;
+    let (excess, used) = (simulation.excess(contact), simulation.used(contact));
     println!(
         "excess {excess:.1}, used {used:.2}, refused {}",
-        play.refused
+        simulation.refused
     );
-    assert!(excess <= 0.0, "{excess} more than borne");
-    // Boxes of large fleets look at few targets each, and those that have a part often look elsewhere.
-    if trouble == Trouble::None && boxes <= SMALL_FLEET {
-        assert!(used > 0.6, "{used} of the limit: too careful");
+    assert!(excess <= 0.0, "{excess} requests beyond capacity");
+    // Boxes of large fleets consider few targets each, and those that have a share often choose
+    // others.
+    if fault == Fault::None && boxes <= SMALL_FLEET {
+        assert!(used > 0.6, "{used} of the limit used: too little");
     }
 }
 
@@ -391,20 +412,24 @@
 #[case(71, 60, 4_000)]
 #[case(295, 255, 5_000)]
 #[tokio::test(start_paused = true)]
-async fn without_limits_every_fleet_sends_targets_in_need_too_much(
+async fn without_limits_every_fleet_overloads_these_targets(
     #[case] boxes: usize,
     #[case] targets: usize,
     #[case] contact: u64,
 ) {
-    let play = play(boxes, targets, Trouble::None, Off::Limits, 1).await;
-    let excess = play.excess(Duration::from_millis(contact));
-    assert!(excess > 0.0, "the checker sees nothing: {excess}");
+    let simulation = simulate(boxes, targets, Fault::None, Disabled::Limits, 1).await;
+    let excess = simulation.excess(Duration::from_millis(contact));
+    assert!(excess > 0.0, "the test does not cause overload: {excess}");
 }
 
-/// Each box hears of a limit from answers to itself alone: most send a request or two before.
+/// Each box learns of a limit only from responses to its own requests, and most send one or two
+/// before.
 #[tokio::test(start_paused = true)]
-async fn without_telling_each_other_boxes_of_a_large_fleet_send_targets_in_need_too_much() {
-    let play = play(295, 255, Trouble::None, Off::Telling, 1).await;
-    let excess = play.excess(Duration::from_millis(5_000));
-    assert!(excess > 0.0, "telling gains nothing: {excess}");
+async fn without_messages_between_boxes_a_large_fleet_overloads_limited_targets() {
+    let simulation = simulate(295, 255, Fault::None, Disabled::Messages, 1).await;
+    let excess = simulation.excess(Duration::from_millis(5_000));
+    assert!(
+        excess > 0.0,
+        "messages between boxes make no difference: {excess}"
+    );
 }
--- a/crates/sillpin-gateway/tests/named_limit.rs
+++ b/crates/sillpin-gateway/tests/named_limit.rs
@@ -1,4 +1,4 @@
-//! What a box knows of limits that targets name.
+//! Tests of the limits that targets announce.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, advance};
 
-fn life(id: &str) -> IncarnationHash {
+fn incarnation(id: &str) -> IncarnationHash {
     IncarnationHash::of(&TargetEntry {
         id: name(id),
         ..engine("i", "za")
@@ -23,8 +23,8 @@
     text.parse().unwrap()
 }
 
-/// An answer to a request that was sent just now.
-fn naming(text: &str) -> LimitObservation {
+/// A response with a limit to a request that was sent just now.
+fn announcing(text: &str) -> LimitObservation {
     LimitObservation {
         sent: Instant::now(),
         announced: Some(LimitWord::Rate(rate(text))),
@@ -32,7 +32,7 @@
     }
 }
 
-fn silent(sent: Instant, success: bool) -> LimitObservation {
+fn without_limit(sent: Instant, success: bool) -> LimitObservation {
     LimitObservation {
         sent,
         announced: None,
@@ -52,82 +52,87 @@
 #[case("1,8", None)]
 #[case("two", None)]
 fn rates_are_decimal_numbers(#[case] text: &str, #[case] per_s: Option<f64>) {
-    let read = text.parse::<RequestRate>().ok();
-    assert_eq!(read.map(RequestRate::per_s), per_s);
+    let parsed = text.parse::<RequestRate>().ok();
+    assert_eq!(parsed.map(RequestRate::per_s), per_s);
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_last_limit_named_holds_whether_it_fell_or_rose() {
+async fn the_latest_limit_applies_whether_lower_or_higher() {
     let mut limits = AnnouncedLimits::default();
     for text in ["4", "1.5", "9", "0"] {
         advance(Duration::from_millis(100)).await;
-        let change = limits.record_response(life("a"), naming(text), Instant::now());
+        let change = limits.record_response(incarnation("a"), announcing(text), Instant::now());
         assert_eq!(change.unwrap().rate, Some(rate(text)));
-        assert_eq!(limits.rate(life("a")), Some(rate(text)));
+        assert_eq!(limits.rate(incarnation("a")), Some(rate(text)));
     }
-    assert_eq!(limits.rate(life("b")), None);
+    assert_eq!(limits.rate(incarnation("b")), None);
     assert_eq!(limits.count(), 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_limit_ends_by_a_success_without_one_whose_request_was_sent_later() {
+async fn only_a_success_of_a_later_request_ends_a_limit() {
     let mut limits = AnnouncedLimits::default();
     let before = Instant::now();
     advance(Duration::from_millis(10)).await;
-    limits.record_response(life("a"), naming("2"), Instant::now());
+    limits.record_response(incarnation("a"), announcing("2"), Instant::now());
     advance(Duration::from_millis(10)).await;
     let now = Instant::now();
-    // An answer that was overtaken, and a failure that something before the target may have made.
+    // A response that was overtaken, and an error that may come from a proxy in front of the
+    // target.
     assert_eq!(
-        limits.record_response(life("a"), silent(before, true), now),
+        limits.record_response(incarnation("a"), without_limit(before, true), now),
         None
     );
     assert_eq!(
-        limits.record_response(life("a"), silent(now, false), now),
+        limits.record_response(incarnation("a"), without_limit(now, false), now),
         None
     );
-    assert_eq!(limits.rate(life("a")), Some(rate("2")));
-    let ended = limits
-        .record_response(life("a"), silent(now, true), now)
+    assert_eq!(limits.rate(incarnation("a")), Some(rate("2")));
+    let end = limits
+        .record_response(incarnation("a"), without_limit(now, true), now)
         .unwrap();
-    assert_eq!((ended.rate, ended.before), (None, Some(rate("2"))));
-    assert_eq!(limits.rate(life("a")), None);
+    assert_eq!((end.rate, end.before), (None, Some(rate("2"))));
+    assert_eq!(limits.rate(incarnation("a")), None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_limit_that_cannot_be_read_keeps_what_was_known_and_else_is_taken_for_a_small_one() {
+async fn an_unreadable_limit_keeps_the_known_one_or_counts_as_low() {
     let mut limits = AnnouncedLimits::default();
     let unreadable = || LimitObservation {
         announced: Some(LimitWord::Unreadable),
-        ..silent(Instant::now(), true)
+        ..without_limit(Instant::now(), true)
     };
-    limits.record_response(life("a"), naming("6"), Instant::now());
-    let change = limits.record_response(life("a"), unreadable(), Instant::now());
+    limits.record_response(incarnation("a"), announcing("6"), Instant::now());
+    let change = limits.record_response(incarnation("a"), unreadable(), Instant::now());
     assert!(change.unwrap().unreadable);
-    assert_eq!(limits.rate(life("a")), Some(rate("6")));
-    // Said once, not with each answer.
+    assert_eq!(limits.rate(incarnation("a")), Some(rate("6")));
+    // The change is returned once, not with each response.
     assert_eq!(
-        limits.record_response(life("a"), unreadable(), Instant::now()),
+        limits.record_response(incarnation("a"), unreadable(), Instant::now()),
         None
     );
-    limits.record_response(life("b"), unreadable(), Instant::now());
-    assert_eq!(limits.rate(life("b")), Some(rate("1")));
+    limits.record_response(incarnation("b"), unreadable(), Instant::now());
+    assert_eq!(limits.rate(incarnation("b")), Some(rate("1")));
 }
 
 #[tokio::test(start_paused = true)]
-async fn of_two_words_the_later_one_holds_in_whatever_order_they_come() {
+async fn the_later_observation_wins_in_any_order() {
     let (mut one, mut other) = (AnnouncedLimits::default(), AnnouncedLimits::default());
-    one.record_response(life("a"), naming("2"), Instant::now());
-    let named = one.told(Instant::now());
+    one.record_response(incarnation("a"), announcing("2"), Instant::now());
+    let announced = one.updates(Instant::now());
     advance(Duration::from_millis(50)).await;
     let sent = Instant::now();
-    one.record_response(life("a"), silent(sent, true), sent);
-    let ended = one.told(Instant::now());
-    // The end first, then the naming, told with its age.
-    other.record_response(life("a"), naming("2"), sent - Duration::from_millis(40));
-    other.hear(&ended, sent);
-    assert_eq!(other.rate(life("a")), None);
-    let late: Vec<_> = named
+    one.record_response(incarnation("a"), without_limit(sent, true), sent);
+    let end = one.updates(Instant::now());
+    // The end arrives first, then the limit, with its age.
+    other.record_response(
+        incarnation("a"),
+        announcing("2"),
+        sent - Duration::from_millis(40),
+    );
+    other.hear(&end, sent);
+    assert_eq!(other.rate(incarnation("a")), None);
+    let late: Vec<_> = announced
         .into_iter()
         .map(|mut one| {
             one.age_ms += 50;
@@ -135,49 +140,54 @@
         })
         .collect();
     other.hear(&late, sent);
-    assert_eq!(other.rate(life("a")), None);
+    assert_eq!(other.rate(incarnation("a")), None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_a_box_knew_before_it_was_suspended_is_older_than_what_others_tell() {
+async fn observations_age_while_the_box_is_suspended() {
     let (mut one, mut other) = (AnnouncedLimits::default(), AnnouncedLimits::default());
-    one.record_response(life("a"), naming("2"), Instant::now());
+    one.record_response(incarnation("a"), announcing("2"), Instant::now());
     advance(Duration::from_secs(1)).await;
-    // The other box saw the end five seconds before this one woke: this one had stood still for ten.
-    other.record_response(life("a"), naming("2"), Instant::now());
+    // The other box saw the end five seconds before this one, which had been suspended for ten,
+    // resumed.
+    other.record_response(incarnation("a"), announcing("2"), Instant::now());
     let sent = Instant::now() + Duration::from_millis(1);
-    other.record_response(life("a"), silent(sent, true), sent);
-    let mut told = other.told(sent);
-    told[0].age_ms = 5_000;
+    other.record_response(incarnation("a"), without_limit(sent, true), sent);
+    let mut updates = other.updates(sent);
+    updates[0].age_ms = 5_000;
     one.age(Duration::from_secs(10));
     advance(Duration::from_secs(6)).await;
-    one.hear(&told, Instant::now());
-    assert_eq!(one.rate(life("a")), None);
+    one.hear(&updates, Instant::now());
+    assert_eq!(one.rate(incarnation("a")), None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn limits_of_targets_that_are_gone_are_forgotten() {
+async fn limits_of_unlisted_targets_are_removed() {
     let mut limits = AnnouncedLimits::default();
-    limits.record_response(life("a"), naming("2"), Instant::now());
-    limits.record_response(life("b"), naming("2"), Instant::now());
+    limits.record_response(incarnation("a"), announcing("2"), Instant::now());
+    limits.record_response(incarnation("b"), announcing("2"), Instant::now());
     advance(Duration::from_secs(60)).await;
-    limits.retain_listed(|listed| listed == life("a"), Instant::now());
-    assert_eq!(limits.rate(life("a")), Some(rate("2")));
-    assert_eq!(limits.rate(life("b")), None);
+    limits.retain_listed(|listed| listed == incarnation("a"), Instant::now());
+    assert_eq!(limits.rate(incarnation("a")), Some(rate("2")));
+    assert_eq!(limits.rate(incarnation("b")), None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn many_limits_are_told_in_turn_within_what_a_datagram_holds() {
+async fn all_limits_are_sent_in_rotation_within_the_size_of_a_datagram() {
     let mut limits = AnnouncedLimits::default();
     for index in 0..300 {
-        limits.record_response(life(&format!("t{index}")), naming("2"), Instant::now());
+        limits.record_response(
+            incarnation(&format!("t{index}")),
+            announcing("2"),
+            Instant::now(),
+        );
     }
     advance(Duration::from_secs(60)).await;
     let mut other = AnnouncedLimits::default();
     for _ in 0..300 / 16 + 1 {
-        let word = limits.told(Instant::now());
-        assert!(word.len() <= 72);
-        other.hear(&word, Instant::now());
+        let updates = limits.updates(Instant::now());
+        assert!(updates.len() <= 72);
+        other.hear(&updates, Instant::now());
     }
     assert_eq!(other.count(), 300);
 }
@@ -192,25 +202,29 @@
 #[case("50", 152, 4_000)]
 #[tokio::test(start_paused = true)]
 async fn a_limit_is_shared_as_whole_requests_with_a_reserve(
-    #[case] named: &str,
+    #[case] announced: &str,
     #[case] total: u32,
     #[case] period_ms: u128,
 ) {
     let mut limits = AnnouncedLimits::default();
-    limits.record_response(life("a"), naming(named), Instant::now());
-    let limit = limits.limit(life("a"), Instant::now()).unwrap();
+    limits.record_response(incarnation("a"), announcing(announced), Instant::now());
+    let limit = limits.limit(incarnation("a"), Instant::now()).unwrap();
     assert_eq!((limit.total, limit.period.as_millis()), (total, period_ms));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_limit_that_ended_is_lifted_step_by_step() {
+async fn an_ended_limit_is_lifted_in_steps() {
     let mut limits = AnnouncedLimits::default();
-    limits.record_response(life("a"), naming("2"), Instant::now());
+    limits.record_response(incarnation("a"), announcing("2"), Instant::now());
     advance(Duration::from_millis(10)).await;
-    limits.record_response(life("a"), silent(Instant::now(), true), Instant::now());
+    limits.record_response(
+        incarnation("a"),
+        without_limit(Instant::now(), true),
+        Instant::now(),
+    );
     let mut wholes = Vec::new();
     for _ in 0..4 {
-        let limit = limits.limit(life("a"), Instant::now());
+        let limit = limits.limit(incarnation("a"), Instant::now());
         wholes.push(limit.map(|limit| limit.total));
         advance(Duration::from_secs(2)).await;
     }
--- a/crates/sillpin-gateway/tests/overload.rs
+++ b/crates/sillpin-gateway/tests/overload.rs
@@ -1,88 +1,99 @@
-//! What callers get from engines that are asked for more than they can read.
+//! Tests of what engines serve if more prompts are sent than they can prefill.
 //!
-//! On a day on which twice as many users came for ten seconds, a third fewer prompts were served in time than of half as many, and nothing was refused: each
-//! waited behind those before it until its caller left.
+//! On a day on which twice as many users came for ten seconds, a third fewer prompts were served in
+//! time than with half as many users, and none was refused: each waited behind earlier ones until
+//! its caller gave up.
 
 mod common;
 
-use common::engines::{AIM, LARGE, Lag, PROMPT_MS, SMALL, STEP, Zone};
+use common::engines::{
+    DIRECT, LATENCY_OBJECTIVE, PREFILL_MS, ReportDelay, STEP, THROUGH_HUBS, Zone,
+};
 use rstest::rstest;
 use sillpin_policy::overload::StartEstimate;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Boxes, engines and how late boxes hear of each other.
-type Fleet = (usize, usize, Lag);
+/// Numbers of boxes and of engines, and the delay of reports between boxes.
+type Fleet = (usize, usize, ReportDelay);
 
-const SMALL_FLEET: Fleet = (9, 18, SMALL);
-const LARGE_ZONE: Fleet = (60, 51, LARGE);
+const SMALL_FLEET: Fleet = (9, 18, DIRECT);
+const LARGE_ZONE: Fleet = (60, 51, THROUGH_HUBS);
 
-/// The load that engines can just serve, as a part of what they can read.
+/// The load that engines can just serve, as a part of their prefill capacity.
 const SERVED: f64 = 0.8;
 
 const LENGTH: Duration = Duration::from_secs(10);
 
-/// Callers give a prompt up after so long, and come back once after a refusal.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Time after which callers give up. After a refusal they retry once.
+const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Waits after which callers come back, as parts of what they are told.
-const SPREAD: [f64; 4] = [0.6, 0.9, 1.1, 1.4];
+/// Times after which callers retry, as multiples of the time in the refusal.
+const RETRY_FACTORS: [f64; 4] = [0.6, 0.9, 1.1, 1.4];
 
-/// A caller who comes back.
-struct Back {
+/// A caller that will retry.
+struct Retry {
     at: Instant,
     first: Instant,
 }
 
 #[derive(Debug, Default)]
 struct Outcome {
-    asked: usize,
+    requested: usize,
     in_time: usize,
     refused: usize,
 }
 
-/// Plays `load` times what the engines can read.
-async fn play((boxes, engines, lag): Fleet, load: f64, refuses: bool, seed: u64) -> Outcome {
-    let mut zone = Zone::new(seed, boxes, engines, lag);
+/// Simulates a load of `load` times the engines' prefill capacity.
+async fn simulate(
+    (boxes, engines, delay): Fleet,
+    load: f64,
+    may_refuse: bool,
+    seed: u64,
+) -> Outcome {
+    let mut zone = Zone::new(seed, boxes, engines, delay);
     let mut outcome = Outcome::default();
-    let mut back: Vec<Back> = Vec::new();
-    let began = Instant::now();
-    let most_per_s = engines as f64 * 1000.0 / PROMPT_MS;
+    let mut retries: Vec<Retry> = Vec::new();
+    let started = Instant::now();
+    let max_per_s = engines as f64 * 1000.0 / PREFILL_MS;
     let mut due = 0.0;
-    while began.elapsed() < LENGTH {
+    while started.elapsed() < LENGTH {
         let waits = zone.step();
-        outcome.in_time += waits.iter().filter(|wait| **wait <= AIM).count();
+        outcome.in_time += waits
+            .iter()
+            .filter(|wait| **wait <= LATENCY_OBJECTIVE)
+            .count();
         let now = Instant::now();
-        let mut callers: Vec<Instant> = back
+        let mut callers: Vec<Instant> = retries
             .extract_if(.., |caller| caller.at <= now)
             .map(|caller| caller.first)
             .collect();
-        due += load * most_per_s * STEP.as_secs_f64();
+        due += load * max_per_s * STEP.as_secs_f64();
         while due >= 1.0 {
             due -= 1.0;
-            outcome.asked += 1;
+            outcome.requested += 1;
             callers.push(now);
         }
         for first in callers {
-            let placed = zone.place();
+            let chosen = zone.place();
             let millis = |ms: f64| Duration::from_secs_f64(ms.max(0.0) / 1000.0);
-            let (queue_ms, standing_ms) = zone.meets(&placed);
+            let (queue_ms, standing_ms) = zone.queues(&chosen);
             let expected = StartEstimate {
                 waited: now - first,
-                latency_objective: AIM,
+                latency_objective: LATENCY_OBJECTIVE,
                 queue: millis(queue_ms),
                 standing: millis(standing_ms),
-                own: millis(PROMPT_MS),
+                own: millis(PREFILL_MS),
             };
             match expected
                 .lateness_if_refused(zone.draw())
-                .filter(|_| refuses)
+                .filter(|_| may_refuse)
             {
-                None => zone.send(placed, PATIENCE),
+                None => zone.send(chosen, TIMEOUT),
                 Some(late) if first == now => {
-                    let spread = SPREAD[outcome.asked % SPREAD.len()];
-                    let at = now + late.max(Duration::from_millis(200)).mul_f64(spread);
-                    back.push(Back { at, first });
+                    let factor = RETRY_FACTORS[outcome.requested % RETRY_FACTORS.len()];
+                    let at = now + late.max(Duration::from_millis(200)).mul_f64(factor);
+                    retries.push(Retry { at, first });
                 }
                 Some(_) => outcome.refused += 1,
             }
@@ -92,18 +103,19 @@
     outcome
 }
 
-/// What is served in time at what the engines can just serve, at `load`, and at `load` without refusals.
+/// Returns the outcomes at the load that engines can just serve, at `load`, and at `load` without
+/// refusals.
 async fn compare(fleet: Fleet, load: f64, seed: u64) -> [Outcome; 3] {
-    let served = play(fleet, SERVED, true, seed).await;
-    let more = play(fleet, load, true, seed).await;
-    let waiting = play(fleet, load, false, seed).await;
-    println!("at what can be served {served:?}, at {load} {more:?}, without refusing {waiting:?}");
+    let served = simulate(fleet, SERVED, true, seed).await;
+    let more = simulate(fleet, load, true, seed).await;
+    let waiting = simulate(fleet, load, false, seed).await;
+    println!("below capacity {served:?}, at load {load} {more:?}, without refusals {waiting:?}");
     [served, more, waiting]
 }
 
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn what_is_served_in_time_does_not_fall_as_more_is_asked(
+async fn what_is_served_in_time_does_not_fall_under_overload(
     #[values(1.0, 1.5, 2.0, 3.0, 6.0)] load: f64,
     #[values(1, 2, 3)] seed: u64,
 ) {
@@ -123,28 +135,28 @@
     assert!(more.in_time as f64 >= least, "{more:?} after {served:?}");
 }
 
-/// Without refusals the engines work for callers who have left or are late.
+/// Without refusals the engines work for callers that have given up or are late.
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn without_refusals_the_more_is_asked_the_less_is_served(
+async fn without_refusals_overload_reduces_what_is_served(
     #[values(SMALL_FLEET, LARGE_ZONE)] fleet: Fleet,
     #[values(1.5, 2.0, 3.0)] load: f64,
 ) {
     let [served, more, waiting] = compare(fleet, load, 1).await;
     assert!(
         waiting.in_time * 2 < served.in_time,
-        "the case is void: {waiting:?}"
+        "the test does not cause overload: {waiting:?}"
     );
     assert!(more.in_time > waiting.in_time * 2, "{more:?}, {waiting:?}");
 }
 
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn at_what_can_be_served_hardly_anything_is_refused(
+async fn hardly_any_request_is_refused_below_capacity(
     #[values(SMALL_FLEET, LARGE_ZONE)] fleet: Fleet,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    let served = play(fleet, SERVED, true, seed).await;
+    let served = simulate(fleet, SERVED, true, seed).await;
     println!("{served:?}");
-    assert!(served.refused * 100 <= served.asked, "{served:?}");
+    assert!(served.refused * 100 <= served.requested, "{served:?}");
 }
--- a/crates/sillpin-gateway/tests/parts.rs
+++ b/crates/sillpin-gateway/tests/parts.rs
@@ -1,4 +1,4 @@
-//! Where the parts of a prompt come from and go to.
+//! Tests of where the parts of a prompt are fetched from and stored.
 
 mod common;
 
@@ -16,7 +16,7 @@
 
 const VERSION: WeightVersion = WeightVersion(1);
 
-/// A shared part that others follow, the last shared part, and the request's own.
+/// Returns a prompt of a first shared part, the last shared part, and a part of its own.
 fn prompt() -> Prompt {
     let part = |id: &str, tokens| Part {
         id: PartId(id.to_owned()),
@@ -30,7 +30,7 @@
     }
 }
 
-/// Two stores that are alike, in two zones.
+/// Returns two equal stores in two zones.
 fn stores() -> Vec<StoreSpec> {
     vec![
         store("s-a", 7, "za", 1_000_000, 1),
@@ -38,7 +38,8 @@
     ]
 }
 
-/// A plan made while the stores hold `session` as said, and what an engine in `zone` is told.
+/// Returns a plan made while the given stores hold `session`, and the instructions for an engine in
+/// `zone`.
 fn sending(in_a: bool, in_b: bool, zone: &str) -> (Plan, EngineSending) {
     let (prompt, stores, kept) = (prompt(), stores(), Kept::default());
     let now = Instant::now();
@@ -81,7 +82,7 @@
     (plan, sending)
 }
 
-/// Time that a fetch gets.
+/// Time allowed for a fetch.
 const FETCH_TIME: Duration = Duration::from_millis(700);
 
 fn port(addr: Option<SocketAddr>) -> Option<u16> {
@@ -101,7 +102,7 @@
 ) {
     let (_, sending) = sending(in_a, in_b, zone);
     assert_eq!(port(sending.fetch[1]), from);
-    assert_eq!(sending.save[1], None, "it is kept already");
+    assert_eq!(sending.save[1], None, "it is stored already");
 }
 
 #[rstest]
@@ -115,7 +116,7 @@
     assert_eq!(
         saved,
         [Some(at), Some(at), None],
-        "the last is nobody else's"
+        "no other request shares the last part"
     );
     assert_eq!(plan.describe(&sending), "first:100:save,session:500:save");
 }
--- a/crates/sillpin-gateway/tests/place.rs
+++ b/crates/sillpin-gateway/tests/place.rs
@@ -1,4 +1,4 @@
-//! Choices among targets, retry budgets, whole events.
+//! Tests of the choice among targets.
 
 mod common;
 
@@ -41,7 +41,7 @@
     ])
 }
 
-struct Setting {
+struct Fixture {
     targets: Targets,
     loads: Loads,
     tried: Vec<TargetId>,
@@ -50,7 +50,7 @@
     reported_late: bool,
 }
 
-impl Setting {
+impl Fixture {
     fn new(targets: Targets) -> Self {
         Self {
             targets,
@@ -105,16 +105,16 @@
 
 #[tokio::test(start_paused = true)]
 async fn the_own_zone_is_preferred_until_it_is_busy() {
-    let setting = Setting::new(three());
-    assert_eq!(setting.choose(None).as_deref(), Some("e1"));
+    let fixture = Fixture::new(three());
+    assert_eq!(fixture.choose(None).as_deref(), Some("e1"));
     let _busy: Vec<_> = (0..3)
         .map(|_| {
-            setting
+            fixture
                 .loads
                 .start(&target("e1"), Work::one(0.0, Tokens(0)))
         })
         .collect();
-    assert_ne!(setting.choose(None).as_deref(), Some("e1"));
+    assert_ne!(fixture.choose(None).as_deref(), Some("e1"));
 }
 
 #[tokio::test(start_paused = true)]
@@ -122,144 +122,148 @@
     let mut leaving = engine("e2", "za");
     leaving.presence = Presence::Leaving;
     let entries = vec![engine("e1", "za"), leaving, engine("e3", "za")];
-    let mut setting = Setting::new(targets(entries));
-    setting.tried = vec![target("e1")];
-    assert_eq!(setting.choose(None).as_deref(), Some("e3"));
-    setting.max_in_flight = 1;
-    let _full = setting
+    let mut fixture = Fixture::new(targets(entries));
+    fixture.tried = vec![target("e1")];
+    assert_eq!(fixture.choose(None).as_deref(), Some("e3"));
+    fixture.max_in_flight = 1;
+    let _full = fixture
         .loads
         .start(&target("e3"), Work::one(0.0, Tokens(0)));
-    assert_eq!(setting.choose(None), None);
+    assert_eq!(fixture.choose(None), None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_target_out_of_reach_rests_until_it_can_be_reached() {
-    let setting = Setting::new(three());
-    setting.loads.record(&target("e1"), Outcome::Unreachable);
+async fn an_unreachable_target_is_in_cooldown_until_reachable() {
+    let fixture = Fixture::new(three());
+    fixture.loads.record(&target("e1"), Outcome::Unreachable);
     tokio::time::advance(Duration::from_secs(3)).await;
-    assert_ne!(setting.choose(None).as_deref(), Some("e1"));
-    setting.loads.record(&target("e1"), Outcome::Reachable);
-    assert_eq!(setting.choose(None).as_deref(), Some("e1"));
+    assert_ne!(fixture.choose(None).as_deref(), Some("e1"));
+    fixture.loads.record(&target("e1"), Outcome::Reachable);
+    assert_eq!(fixture.choose(None).as_deref(), Some("e1"));
 }
 
-/// An engine was out of reach for a moment and then ordered to load weights. A try at its address succeeded while it loaded, and
-/// with that it no longer counted as loading: prompts went to it and were refused.
+/// A loading engine that became reachable again was no longer treated as loading: prompts were sent
+/// to it and refused.
 #[tokio::test(start_paused = true)]
-async fn an_engine_that_loads_is_passed_over_though_it_can_be_reached() {
-    let setting = Setting::new(three());
-    setting.loads.record(&target("e1"), Outcome::Unreachable);
-    setting.loads.record(&target("e1"), Outcome::Loading);
+async fn a_loading_engine_stays_in_cooldown_when_it_becomes_reachable() {
+    let fixture = Fixture::new(three());
+    fixture.loads.record(&target("e1"), Outcome::Unreachable);
+    fixture.loads.record(&target("e1"), Outcome::Loading);
     tokio::time::advance(Duration::from_millis(400)).await;
-    setting.loads.record(&target("e1"), Outcome::Reachable);
-    assert_ne!(setting.choose(None).as_deref(), Some("e1"));
-    setting.loads.record(&target("e1"), Outcome::Loaded);
-    assert_eq!(setting.choose(None).as_deref(), Some("e1"));
+    fixture.loads.record(&target("e1"), Outcome::Reachable);
+    assert_ne!(fixture.choose(None).as_deref(), Some("e1"));
+    fixture.loads.record(&target("e1"), Outcome::Loaded);
+    assert_eq!(fixture.choose(None).as_deref(), Some("e1"));
 }
 
-/// Another box said that an engine had loaded its weights, and this box, which could not reach that engine, tried it with
-/// requests again.
+/// An engine that another box reported as loaded, but that this box could not reach, got requests
+/// again.
 #[tokio::test(start_paused = true)]
-async fn an_engine_that_has_loaded_is_passed_over_until_it_can_be_reached() {
-    let setting = Setting::new(three());
-    setting.loads.record(&target("e1"), Outcome::Loading);
-    setting.loads.record(&target("e1"), Outcome::Unreachable);
-    setting.loads.record(&target("e1"), Outcome::Loaded);
-    assert_ne!(setting.choose(None).as_deref(), Some("e1"));
-    setting.loads.record(&target("e1"), Outcome::Reachable);
-    assert_eq!(setting.choose(None).as_deref(), Some("e1"));
+async fn a_loaded_engine_stays_in_cooldown_until_it_is_reachable() {
+    let fixture = Fixture::new(three());
+    fixture.loads.record(&target("e1"), Outcome::Loading);
+    fixture.loads.record(&target("e1"), Outcome::Unreachable);
+    fixture.loads.record(&target("e1"), Outcome::Loaded);
+    assert_ne!(fixture.choose(None).as_deref(), Some("e1"));
+    fixture.loads.record(&target("e1"), Outcome::Reachable);
+    assert_eq!(fixture.choose(None).as_deref(), Some("e1"));
 }
 
-/// A plain target that failed request after request can be reached all the time: that is no reason to try it sooner.
+/// A target without a model that fails its requests is reachable all the time, which must not end
+/// its cooldown.
 #[tokio::test(start_paused = true)]
-async fn a_failing_target_rests_though_it_can_be_reached() {
-    let setting = Setting::new(three());
+async fn a_failing_target_stays_in_cooldown_when_it_becomes_reachable() {
+    let fixture = Fixture::new(three());
     for _ in 0..10 {
-        setting.loads.record(&target("e1"), Outcome::Failed);
+        fixture.loads.record(&target("e1"), Outcome::Failed);
     }
-    setting.loads.record(&target("e1"), Outcome::Unreachable);
-    setting.loads.record(&target("e1"), Outcome::Reachable);
-    let load = setting.loads.get(&target("e1"));
+    fixture.loads.record(&target("e1"), Outcome::Unreachable);
+    fixture.loads.record(&target("e1"), Outcome::Reachable);
+    let load = fixture.loads.get(&target("e1"));
     assert!(load.in_cooldown(Instant::now()));
 }
 
-/// On a day with a zone cut off, requests went from one silent target of that zone to the next, a third of a
-/// second each, until they were given up.
+/// With a zone partitioned, requests went from one unreachable target of that zone to the next, a
+/// third of a second each, until they failed.
 #[tokio::test(start_paused = true)]
-async fn a_zone_that_looks_cut_off_is_left_alone_until_something_answers_there() {
+async fn a_zone_that_looks_partitioned_is_avoided_until_a_target_responds() {
     let mut entries = vec![engine("b1", "zb"), engine("b2", "zb"), engine("b3", "zb")];
     entries.push(engine("a1", "za"));
-    let setting = Setting::new(targets(entries));
+    let fixture = Fixture::new(targets(entries));
     let _busy: Vec<_> = (0..6)
         .map(|_| {
-            setting
+            fixture
                 .loads
                 .start(&target("a1"), Work::one(0.0, Tokens(0)))
         })
         .collect();
-    let chosen = || setting.choose(None).unwrap();
-    assert!(chosen().starts_with('b'), "the own target is busy");
-    setting.loads.record_reachability(&name("zb"), false);
+    let chosen = || fixture.choose(None).unwrap();
     assert!(
         chosen().starts_with('b'),
-        "one target out of reach is no cut"
+        "the target of the own zone is busy"
     );
-    setting.loads.record_reachability(&name("zb"), false);
+    fixture.loads.record_reachability(&name("zb"), false);
+    assert!(
+        chosen().starts_with('b'),
+        "one unreachable target is no partition"
+    );
+    fixture.loads.record_reachability(&name("zb"), false);
     assert_eq!(chosen(), "a1");
-    setting.loads.record_reachability(&name("zb"), true);
+    fixture.loads.record_reachability(&name("zb"), true);
     assert!(chosen().starts_with('b'));
 }
 
-/// With 59 boxes, engines that loaded weights on the order of a holder cut off from the others refused 470
-/// requests in nine seconds: each box came back every quarter of a second.
+/// With 59 boxes, engines that loaded weights on the order of a partitioned leader refused 470
+/// requests in nine seconds: each box tried again every quarter of a second.
 #[tokio::test(start_paused = true)]
-async fn a_target_that_keeps_refusing_rests_longer_each_time() {
-    let setting = Setting::new(three());
+async fn repeated_refusals_lengthen_the_cooldown() {
+    let fixture = Fixture::new(three());
     let mut refusals = 0;
     for _ in 0..20 {
-        if setting.choose(None).as_deref() == Some("e1") {
-            setting.loads.record(&target("e1"), Outcome::Refused);
+        if fixture.choose(None).as_deref() == Some("e1") {
+            fixture.loads.record(&target("e1"), Outcome::Refused);
             refusals += 1;
         }
         tokio::time::advance(Duration::from_millis(100)).await;
     }
     assert_eq!(refusals, 4, "in two seconds: at 0, 0.3, 0.8 and 1.8 s");
     tokio::time::advance(Duration::from_secs(1)).await;
-    setting.loads.record(&target("e1"), Outcome::Served);
-    setting.loads.record(&target("e1"), Outcome::Refused);
+    fixture.loads.record(&target("e1"), Outcome::Served);
+    fixture.loads.record(&target("e1"), Outcome::Refused);
     tokio::time::advance(Duration::from_millis(260)).await;
     assert_eq!(
-        setting.choose(None).as_deref(),
+        fixture.choose(None).as_deref(),
         Some("e1"),
-        "it served in between"
+        "it served a request in between"
     );
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_last_target_is_used_even_if_it_rests() {
-    let setting = Setting::new(targets(vec![engine("e1", "za")]));
-    setting.loads.record(&target("e1"), Outcome::Unreachable);
-    assert_eq!(setting.choose(None).as_deref(), Some("e1"));
+async fn the_only_target_is_used_even_in_cooldown() {
+    let fixture = Fixture::new(targets(vec![engine("e1", "za")]));
+    fixture.loads.record(&target("e1"), Outcome::Unreachable);
+    assert_eq!(fixture.choose(None).as_deref(), Some("e1"));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_target_that_fails_half_of_its_requests_gets_less() {
-    let setting = Setting::new(three());
+    let fixture = Fixture::new(three());
     for i in 0..20 {
         let outcome = if i % 2 == 0 {
             Outcome::Failed
         } else {
             Outcome::Served
         };
-        setting.loads.record(&target("e1"), outcome);
+        fixture.loads.record(&target("e1"), outcome);
     }
-    assert_ne!(setting.choose(None).as_deref(), Some("e1"));
+    assert_ne!(fixture.choose(None).as_deref(), Some("e1"));
 }
 
 #[tokio::test(start_paused = true)]
-async fn requests_of_weights_replaced_too_long_ago_go_to_new_ones_only() {
+async fn prompts_go_only_to_engines_with_allowed_weights() {
     let mut newer = engine("e2", "zb");
     newer.served[0].version = WeightVersion(2);
-    let mut setting = Setting::new(targets(vec![engine("e1", "za"), newer]));
+    let mut fixture = Fixture::new(targets(vec![engine("e1", "za"), newer]));
     let model = name("m");
     let prompt = |oldest| PromptInputs {
         model: &model,
@@ -272,20 +276,20 @@
     };
     let _busy: Vec<_> = (0..9)
         .map(|_| {
-            setting
+            fixture
                 .loads
                 .start(&target("e2"), Work::one(50.0, Tokens(0)))
         })
         .collect();
-    assert_eq!(setting.choose(Some(prompt(0))).as_deref(), Some("e1"));
-    assert_eq!(setting.choose(Some(prompt(2))).as_deref(), Some("e2"));
-    setting.tried = vec![target("e2")];
-    assert_eq!(setting.choose(Some(prompt(2))), None);
+    assert_eq!(fixture.choose(Some(prompt(0))).as_deref(), Some("e1"));
+    assert_eq!(fixture.choose(Some(prompt(2))).as_deref(), Some("e2"));
+    fixture.tried = vec![target("e2")];
+    assert_eq!(fixture.choose(Some(prompt(2))), None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn other_boxes_prompt_work_counts_for_a_while() {
-    let setting = Setting::new(three());
+async fn the_work_of_other_boxes_counts_until_it_expires() {
+    let fixture = Fixture::new(three());
     let model = name("m");
     let prompt = || PromptInputs {
         model: &model,
@@ -297,13 +301,13 @@
         plans: &[],
     };
     let work = vec![EngineWork(TargetHash::of(&target("e1")), 500, 9_000, 1)];
-    setting.loads.hear(name("box-2"), work);
-    assert_ne!(setting.choose(Some(prompt())).as_deref(), Some("e1"));
+    fixture.loads.hear(name("box-2"), work);
+    assert_ne!(fixture.choose(Some(prompt())).as_deref(), Some("e1"));
     tokio::time::advance(Duration::from_secs(2)).await;
-    assert_eq!(setting.choose(Some(prompt())).as_deref(), Some("e1"));
+    assert_eq!(fixture.choose(Some(prompt())).as_deref(), Some("e1"));
 }
 
-/// A prompt of 9,000 tokens for engines with memory for 41,000.
+/// Returns a prompt of 9,000 tokens for engines with memory for 41,000.
 fn long_prompt(model: &ModelId) -> PromptInputs<'_> {
     PromptInputs {
         model,
@@ -317,33 +321,33 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_engine_without_room_in_its_memory_is_left_alone() {
-    let setting = Setting::new(targets(vec![engine("e1", "za"), engine("e2", "zb")]));
+async fn an_engine_without_free_memory_is_avoided() {
+    let fixture = Fixture::new(targets(vec![engine("e1", "za"), engine("e2", "zb")]));
     let model = name("m");
-    let chosen = || setting.choose(Some(long_prompt(&model)));
-    let tokens_at_e1 = |tokens| vec![EngineWork(TargetHash::of(&target("e1")), 0, tokens, 1)];
-    setting.loads.hear(name("box-2"), tokens_at_e1(20_000));
+    let chosen = || fixture.choose(Some(long_prompt(&model)));
+    let memory_at_e1 = |tokens| vec![EngineWork(TargetHash::of(&target("e1")), 0, tokens, 1)];
+    fixture.loads.hear(name("box-2"), memory_at_e1(20_000));
     assert_eq!(
         chosen().as_deref(),
         Some("e1"),
-        "there is room for one more"
+        "there is memory for one more"
     );
-    setting.loads.hear(name("box-2"), tokens_at_e1(37_000));
+    fixture.loads.hear(name("box-2"), memory_at_e1(37_000));
     assert_eq!(chosen().as_deref(), Some("e2"));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_long_body_stays_in_its_zone_unless_the_queue_is_long() {
-    let mut setting = Setting::new(targets(vec![engine("e1", "za"), engine("e2", "zb")]));
+    let mut fixture = Fixture::new(targets(vec![engine("e1", "za"), engine("e2", "zb")]));
     let model = name("m");
     let queue_at_e1 = |ms| vec![EngineWork(TargetHash::of(&target("e1")), ms, 0, 0)];
-    setting.loads.hear(name("box-2"), queue_at_e1(20));
-    let chosen = |setting: &Setting| setting.choose(Some(long_prompt(&model)));
-    assert_eq!(chosen(&setting).as_deref(), Some("e2"), "a short body");
-    setting.body_len = 18_000;
-    assert_eq!(chosen(&setting).as_deref(), Some("e1"));
-    setting.loads.hear(name("box-2"), queue_at_e1(60));
-    assert_eq!(chosen(&setting).as_deref(), Some("e2"));
+    fixture.loads.hear(name("box-2"), queue_at_e1(20));
+    let chosen = |fixture: &Fixture| fixture.choose(Some(long_prompt(&model)));
+    assert_eq!(chosen(&fixture).as_deref(), Some("e2"), "a short body");
+    fixture.body_len = 18_000;
+    assert_eq!(chosen(&fixture).as_deref(), Some("e1"));
+    fixture.loads.hear(name("box-2"), queue_at_e1(60));
+    assert_eq!(chosen(&fixture).as_deref(), Some("e2"));
 }
 
 #[rstest]
@@ -351,145 +355,153 @@
 #[case(1, 6)]
 #[case(4, 9)]
 #[case(5, 9)]
-fn late_requests_go_behind_all_in_time_and_keep_their_order(#[case] own: u8, #[case] late: u8) {
+fn demoted_priorities_come_after_all_others_and_keep_their_order(
+    #[case] own: u8,
+    #[case] late: u8,
+) {
     assert_eq!(Priority(own).behind(), Priority(late));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_ticket_ends_with_its_request() {
+async fn a_dropped_guard_ends_its_request() {
     let loads = Loads::default();
-    let mut ticket = loads.start(&target("e1"), Work::one(100.0, Tokens(0)));
+    let mut guard = loads.start(&target("e1"), Work::one(100.0, Tokens(0)));
     assert_eq!(loads.get(&target("e1")).in_flight, 1);
-    ticket.prefill_done();
+    guard.prefill_done();
     assert_eq!(loads.get(&target("e1")).work.prefill_ms, 0.0);
-    drop(ticket);
+    drop(guard);
     assert_eq!(loads.get(&target("e1")).in_flight, 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_prompt_does_not_fit_while_memory_is_let_go_too_slowly() {
-    let setting = Setting::new(targets(vec![engine("e1", "za")]));
+async fn a_prompt_does_not_fit_while_memory_is_freed_too_slowly() {
+    let fixture = Fixture::new(targets(vec![engine("e1", "za")]));
     let model = name("m");
-    let has_memory = || setting.find(Some(long_prompt(&model))).unwrap().has_memory;
+    let has_memory = || fixture.find(Some(long_prompt(&model))).unwrap().has_memory;
     let work = |tokens| Work::one(0.0, Tokens(tokens));
-    let small = setting.loads.start(&target("e1"), work(25_000));
-    assert!(has_memory(), "there is room for it");
-    let mut long = setting.loads.start(&target("e1"), work(10_000));
+    let small = fixture.loads.start(&target("e1"), work(25_000));
+    assert!(has_memory(), "there is enough memory");
+    let mut long = fixture.loads.start(&target("e1"), work(10_000));
     assert!(
         has_memory(),
-        "room comes within 75 ms, the most that it may wait"
+        "memory is expected within 75 ms, the longest allowed wait"
     );
     long.prefill_done();
     tokio::time::advance(Duration::from_secs(3)).await;
     drop(long);
-    let _again = setting.loads.start(&target("e1"), work(10_000));
+    let _again = fixture.loads.start(&target("e1"), work(10_000));
     assert!(!has_memory(), "requests hold their memory for seconds");
     drop(small);
     assert!(has_memory());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_target_found_replaced_by_another_box_is_no_candidate_for_a_while() {
-    let setting = Setting::new(three());
+async fn a_target_that_another_box_found_replaced_is_avoided_for_a_while() {
+    let fixture = Fixture::new(three());
     let hash = IncarnationHash::of(&engine("e1", "za"));
-    let finder = Loads::default();
-    finder.signals(|signals| signals.replaced.record_observed(hash, Instant::now()));
-    let told = finder.signals(|signals| signals.replaced.told(Instant::now()));
-    setting
+    let observer = Loads::default();
+    observer.signals(|signals| signals.replaced.record_observed(hash, Instant::now()));
+    let told = observer.signals(|signals| signals.replaced.told(Instant::now()));
+    fixture
         .loads
         .signals(|signals| signals.replaced.hear(&told, Instant::now()));
-    assert_ne!(setting.choose(None).as_deref(), Some("e1"));
-    let heard = setting
+    assert_ne!(fixture.choose(None).as_deref(), Some("e1"));
+    let observation = fixture
         .loads
         .signals(|signals| signals.replaced.told(Instant::now()));
-    assert!(heard.is_empty(), "only who found it tells it");
+    assert!(
+        observation.is_empty(),
+        "only the box that observed it sends it"
+    );
     tokio::time::advance(Duration::from_secs(3)).await;
-    setting
+    fixture
         .loads
         .signals(|signals| signals.replaced.hear(&told, Instant::now()));
     assert!(
-        finder
+        observer
             .signals(|signals| signals.replaced.told(Instant::now()))
             .is_empty()
     );
     tokio::time::advance(Duration::from_secs(4)).await;
-    assert_eq!(setting.choose(None).as_deref(), Some("e1"));
+    assert_eq!(fixture.choose(None).as_deref(), Some("e1"));
 }
 
-/// Prompts that looked at engines of their box's zone alone fetched four parts of five from another zone. Each such fetch takes a store's link for
-/// twice as long, and with 82 in 100 of what the links carry if all stay in their zone, 13,290 fetches of a day came too late.
+/// When prompts considered only engines of their box's zone, four of five parts were fetched from
+/// another zone. Such a fetch takes a store's link for twice as long, and at 82 % of the capacity
+/// that the links have if all fetches stay in their zone, 13,290 fetches of a day were late.
 #[rstest]
 #[case::engines_alike(0, 0, "zb")]
 #[case::a_short_queue_there(0, 30, "zb")]
 #[case::a_long_queue_there(0, 900, "za")]
 #[tokio::test(start_paused = true)]
-async fn a_prompt_goes_where_its_parts_are_though_others_are_heard_late(
+async fn a_prompt_goes_to_the_zone_of_its_parts_though_loads_are_stale(
     #[case] here_ms: u32,
     #[case] there_ms: u32,
     #[case] zone: &str,
 ) {
     let engines = |zone: &'static str| (0..9).map(move |i| engine(&format!("{zone}-{i}"), zone));
-    let mut setting = Setting::new(targets(engines("za").chain(engines("zb")).collect()));
-    setting.reported_late = true;
+    let mut fixture = Fixture::new(targets(engines("za").chain(engines("zb")).collect()));
+    fixture.reported_late = true;
     let work = |zone: &'static str, ms: u32| {
         engines(zone).map(move |e| EngineWork(TargetHash::of(&e.id), ms, 100, 1))
     };
     let told = work("za", here_ms).chain(work("zb", there_ms)).collect();
-    setting.loads.apply_zone_totals(told, &[]);
+    fixture.loads.apply_zone_totals(told, &[]);
     let model = name("m");
-    let plans = [(WeightVersion(1), plan_kept_in("zb"))];
+    let plans = [(WeightVersion(1), plan_stored_in("zb"))];
     let prompt = PromptInputs {
         plans: &plans,
         ..long_prompt(&model)
     };
-    let chosen = setting.find(Some(prompt)).unwrap();
+    let chosen = fixture.find(Some(prompt)).unwrap();
     assert_eq!(chosen.target.zone, name(zone));
     assert!(chosen.candidates <= 4 || here_ms + there_ms > 500);
 }
 
-/// A day on which engines were replaced by cold ones in series went worse since cold engines had a limit. The likely cause, which the day's figures bear out and no
-/// trace has shown: a box with a part of what such an engine may get looked at two others for most prompts, so that the part went unused.
+/// After limits for cold engines were introduced, a day on which engines were replaced by cold ones
+/// in series got worse. The likely cause, which fits that day's figures but was not seen in a
+/// trace: a box with a share of such an engine considered two others for most prompts, so its share
+/// went unused.
 #[tokio::test(start_paused = true)]
-async fn a_box_that_hears_late_looks_at_each_limited_engine_of_which_it_has_a_part() {
+async fn a_box_with_stale_loads_considers_each_limited_engine_that_it_has_a_share_of() {
     for limited in 0..9 {
         let engines = || (0..9).map(|i| engine(&format!("za-{i}"), "za"));
-        let mut setting = Setting::new(targets(engines().collect()));
-        setting.reported_late = true;
-        let the_limited = engines().nth(limited).unwrap();
-        let busy = engines().filter(|e| e.id != the_limited.id);
+        let mut fixture = Fixture::new(targets(engines().collect()));
+        fixture.reported_late = true;
+        let limited_engine = engines().nth(limited).unwrap();
+        let busy = engines().filter(|e| e.id != limited_engine.id);
         let work = busy.map(|e| EngineWork(TargetHash::of(&e.id), 200, 100, 1));
-        setting.loads.apply_zone_totals(work.collect(), &[]);
-        let heard = LimitObservation {
+        fixture.loads.apply_zone_totals(work.collect(), &[]);
+        let observation = LimitObservation {
             sent: Instant::now(),
             announced: Some(LimitWord::Rate("2".parse().unwrap())),
             success: true,
         };
-        let life = IncarnationHash::of(&the_limited);
+        let incarnation = IncarnationHash::of(&limited_engine);
         let now = Instant::now();
-        setting
-            .loads
-            .signals(|signals| signals.limits.record_response(life, heard, now));
+        fixture.loads.signals(|signals| {
+            signals
+                .limits
+                .record_response(incarnation, observation, now)
+        });
         let model = name("m");
-        let plans = [(WeightVersion(1), plan_kept_in("za"))];
+        let plans = [(WeightVersion(1), plan_stored_in("za"))];
         let prompt = || PromptInputs {
             plans: &plans,
             ..long_prompt(&model)
         };
         for _ in 0..8 {
-            let chosen = setting.find(Some(prompt())).unwrap();
-            assert_eq!(chosen.target.id, the_limited.id);
-            setting.loads.limits().record_sent(&the_limited.id, now);
+            let chosen = fixture.find(Some(prompt())).unwrap();
+            assert_eq!(chosen.target.id, limited_engine.id);
+            fixture.loads.limits().record_sent(&limited_engine.id, now);
         }
-        let chosen = setting.find(Some(prompt())).unwrap();
-        assert_ne!(
-            chosen.target.id, the_limited.id,
-            "it has got all that it may"
-        );
+        let chosen = fixture.find(Some(prompt())).unwrap();
+        assert_ne!(chosen.target.id, limited_engine.id, "its share is used up");
     }
 }
 
-/// A prompt whose shared part a store of `zone` holds.
-fn plan_kept_in(zone: &str) -> Plan {
+/// Returns the plan of a prompt whose shared part is in a store of `zone`.
+fn plan_stored_in(zone: &str) -> Plan {
     let part = |id: &str, tokens| Part {
         id: PartId(id.to_owned()),
         tokens: Tokens(tokens),
--- a/crates/sillpin-gateway/tests/residency.rs
+++ b/crates/sillpin-gateway/tests/residency.rs
@@ -1,4 +1,4 @@
-//! Requests that must not leave their regions: neither they nor what is kept of their prompts.
+//! Tests that requests, and the stored parts of their prompts, do not leave their regions.
 
 mod common;
 
@@ -32,7 +32,7 @@
 #[case::none_named(&[], &[], "za zb zc zd ze")]
 #[case::the_routes(&["west"], &[], "zc")]
 #[case::the_organisations(&[], &["east", "west"], "za zb zc")]
-#[case::both_bind(&["east", "north"], &["east", "west"], "za zb")]
+#[case::both_apply(&["east", "north"], &["east", "west"], "za zb")]
 #[case::none_left(&["north"], &["west"], "")]
 #[case::no_such_region(&["south"], &[], "")]
 fn zones_are_allowed_by_their_region(
@@ -60,7 +60,8 @@
     assert!(text.parse::<ZoneRegion>().is_err());
 }
 
-/// The only engine of the region is too busy to be anyone's choice, and is chosen all the same; without one there is none.
+/// The only engine of the region is the busiest of all, and is chosen nevertheless; if there is
+/// none, no engine is chosen.
 #[rstest]
 #[case::a_busy_one(&["west"], Some("e-zc"))]
 #[case::none(&["south"], None)]
@@ -102,9 +103,10 @@
     assert_eq!(found.as_deref(), chosen);
 }
 
-/// A part is neither fetched from a store of another region nor saved there, though that store holds it and has the most room.
+/// A part is neither fetched from a store of another region nor saved there, though that store
+/// holds it and has the most free capacity.
 #[tokio::test(start_paused = true)]
-async fn what_is_kept_of_a_prompt_stays_in_its_regions() {
+async fn stored_parts_stay_in_the_regions_of_their_prompt() {
     let now = Instant::now();
     let (near, far) = (
         store("near", 7, "za", 10_000, 1),
--- a/crates/sillpin-gateway/tests/shared_limit.rs
+++ b/crates/sillpin-gateway/tests/shared_limit.rs
@@ -1,4 +1,4 @@
-//! How boxes divide what one target may get of all of them.
+//! Tests of the division of a target's limit among boxes.
 
 mod common;
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// Boxes of zones `z0`, `z1` and so on, so many in each.
+/// Returns boxes of zones `z0`, `z1` and so on, with the given number in each.
 fn boxes(zones: &[usize]) -> Vec<BoxEntry> {
     let of_zone = |(zone, count): (usize, &usize)| {
         let one = move |index| BoxEntry {
@@ -37,7 +37,8 @@
     zones.iter().enumerate().flat_map(of_zone).collect()
 }
 
-/// What each box sends to a target at once, in the order of the boxes.
+/// Returns how many requests each box may send to a target at one moment, in the order of the
+/// boxes.
 fn sent(
     all: &[BoxEntry],
     pool_zones: &[ZoneId],
@@ -71,7 +72,7 @@
 
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn parts_add_up_to_the_limit_in_the_targets_zone(
+async fn shares_add_up_to_the_limit_in_the_targets_zone(
     #[values(1, 3, 7, 25, 59)] near: usize,
     #[values(1, 7, 152)] total: u32,
     #[values(true, false)] strict: bool,
@@ -89,7 +90,7 @@
     assert!(most.unwrap() - least.unwrap() <= 1);
 }
 
-/// Nobody else would serve the callers of a zone without targets.
+/// No other box would serve the callers of a zone without targets.
 #[tokio::test(start_paused = true)]
 async fn boxes_of_zones_without_a_target_share_limits_that_are_not_strict() {
     let all = boxes(&[3, 3, 3]);
@@ -108,9 +109,10 @@
     assert_eq!(sent, [2; 6]);
 }
 
-/// While the platform's store is away all boxes are out of touch, and each knows the others as before.
+/// While the platform store is unreachable all boxes are out of contact, and still know the same
+/// others.
 #[tokio::test(start_paused = true)]
-async fn a_box_out_of_touch_goes_on_with_the_boxes_that_it_knew_unless_the_limit_is_strict() {
+async fn a_box_out_of_contact_uses_the_boxes_that_it_knew_unless_the_limit_is_strict() {
     let all = boxes(&[3]);
     let zones: Vec<ZoneId> = vec![name("z0")];
     let target = engine("e", "z0");
@@ -121,7 +123,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_box_knows_when_its_part_is_free_again() {
+async fn a_box_may_send_again_when_its_share_is_free() {
     let all = boxes(&[2]);
     let others = Arc::new(vec![all[1].clone()]);
     let zones: Vec<ZoneId> = vec![name("z0")];
@@ -136,7 +138,7 @@
     };
     let (target, limit) = (engine("e", "z0"), limit(4, false));
     let mut shared = SharedLimits::new(PERIOD);
-    let began = Instant::now();
+    let start = Instant::now();
     for _ in 0..2 {
         shared.record_sent(&target.id, Instant::now());
         tokio::time::advance(Duration::from_secs(1)).await;
@@ -144,7 +146,7 @@
     let now = Instant::now();
     assert!(!shared.admits(&share_group, &target, limit, Admission::OwnShare, now));
     let free = shared.free_at(&share_group, &target, limit, now).unwrap();
-    assert!(free >= began + PERIOD && free < began + PERIOD + Duration::from_millis(200));
+    assert!(free >= start + PERIOD && free < start + PERIOD + Duration::from_millis(200));
     tokio::time::advance(free - now).await;
     assert!(shared.admits(&share_group, &target, limit, Admission::OwnShare, free));
 }
--- a/crates/sillpin-gateway/tests/slow_start.rs
+++ b/crates/sillpin-gateway/tests/slow_start.rs
@@ -1,7 +1,8 @@
-//! What whole fleets send to cold targets.
+//! Tests of what a whole fleet sends to cold targets.
 //!
-//! A target that has just started bears 11 requests a second and falls over well above that, and looked free to every box. On a day on which many users
-//! came at once just after a zone had been evacuated, 71 boxes together sent single targets more than 21 in a second.
+//! A target that has just started can handle 11 requests a second and fails well above that, but
+//! looks idle to every box. On a day on which many users came just after the evacuation of a zone,
+//! 71 boxes together sent single targets more than 21 requests in a second.
 
 mod common;
 
@@ -34,57 +35,59 @@
     slack: 5.0,
 };
 
-/// Requests that may arrive at one cold target in any second.
-const MOST: usize = 21;
+/// Maximum number of requests that may arrive at one cold target in any second.
+const MAX_PER_SECOND: usize = 21;
 
 const STEP: Duration = Duration::from_millis(20);
 
-/// Boxes hear of each other every so many steps.
-const HEAR_STEPS: u32 = 10;
+/// Number of steps between two updates of what boxes know of each other.
+const VIEW_STEPS: u32 = 10;
 const SECOND: Duration = Duration::from_secs(1);
 
-/// All targets stay cold for as long as the play lasts.
+/// Length of a simulation; all targets stay cold.
 const LENGTH: Duration = Duration::from_secs(12);
 
-/// A request goes out up to so many milliseconds after its target was chosen: a connection has to be opened.
+/// Longest time from the choice of a target to the request, in milliseconds: a connection has to be
+/// opened.
 const OPENING_MS: u64 = 60;
 
-/// A box is known to others up to so long after its start: part of the datagrams gets lost.
-const HEARD_AFTER_MS: std::ops::Range<u64> = 10..2_500;
+/// Time after its start at which a box is known to others: some datagrams get lost.
+const DISCOVERED_AFTER_MS: std::ops::Range<u64> = 10..2_500;
 
-/// A box that ended is known to others up to so long after: its lease has to lapse.
-const FORGOTTEN_AFTER_MS: std::ops::Range<u64> = 0..10_000;
+/// Time after its end at which a box is removed by others: its lease has to lapse.
+const REMOVED_AFTER_MS: std::ops::Range<u64> = 0..10_000;
 
-/// What becomes of some boxes while the targets are cold.
+/// What happens to some boxes while the targets are cold.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Trouble {
+enum Fault {
     None,
-    /// Half of the boxes start anew in the same moment, under their names.
-    StartAnew,
-    /// Half of the boxes end, and others come in their place under new names.
+    /// Half of the boxes restart at the same moment with their ids.
+    Restart,
+    /// Half of the boxes stop, and others replace them with new ids.
     Replaced,
-    /// A third of the boxes hears nothing any more, and half of the others end.
-    CutOff,
-    /// All boxes start anew, none knows another.
-    AllStart,
-    /// Nine of ten boxes are told to stop in the same moment, and go on with what their callers have open.
+    /// A third of the boxes no longer receives anything, and half of the others stop.
+    Partition,
+    /// All boxes restart, and none knows another.
+    RestartAll,
+    /// Nine of ten boxes begin to stop at the same moment, and go on with their callers' open
+    /// connections.
     Stop,
 }
 
-/// One box, and what it believes of others.
-struct OneBox {
+/// A box, with the others that it knows.
+struct SimulatedBox {
     entry: BoxEntry,
-    began: Instant,
-    ended: Option<Instant>,
-    cut_since: Option<Instant>,
-    stopping: Option<Instant>,
+    started_at: Instant,
+    ended_at: Option<Instant>,
+    partitioned_at: Option<Instant>,
+    stopping_at: Option<Instant>,
     others: Arc<Vec<BoxEntry>>,
     state: Limits,
 }
 
 struct Fleet {
-    boxes: Vec<OneBox>,
-    /// When each box, by its index, knows of the start and of the end of each other.
+    boxes: Vec<SimulatedBox>,
+    /// When each box, by its index, learns of the start and the end of each other.
     lags: HashMap<(usize, usize), (Duration, Duration)>,
     rng: StdRng,
 }
@@ -101,12 +104,12 @@
 
 impl Fleet {
     fn new(count: usize, seed: u64, long_ago: Instant) -> Self {
-        let one = |index| OneBox {
+        let one = |index| SimulatedBox {
             entry: box_entry(index % ZONES, &format!("b-{index}")),
-            began: long_ago,
-            ended: None,
-            cut_since: None,
-            stopping: None,
+            started_at: long_ago,
+            ended_at: None,
+            partitioned_at: None,
+            stopping_at: None,
             others: Arc::default(),
             state: Limits::default(),
         };
@@ -117,63 +120,61 @@
         }
     }
 
-    fn some(&mut self, part: f64) -> Vec<usize> {
+    fn sample(&mut self, part: f64) -> Vec<usize> {
         let all: Vec<usize> = (0..self.boxes.len()).collect();
         let count = (all.len() as f64 * part) as usize;
         all.sample(&mut self.rng, count).copied().collect()
     }
 
-    fn strike(&mut self, trouble: Trouble, now: Instant) {
-        let half = self.some(0.5);
-        match trouble {
-            Trouble::None => {}
-            Trouble::StartAnew => half.iter().for_each(|index| self.start_anew(*index, now)),
-            Trouble::AllStart => {
-                (0..self.boxes.len()).for_each(|index| self.start_anew(index, now))
-            }
-            Trouble::Replaced => {
+    fn inject(&mut self, fault: Fault, now: Instant) {
+        let half = self.sample(0.5);
+        match fault {
+            Fault::None => {}
+            Fault::Restart => half.iter().for_each(|index| self.restart(*index, now)),
+            Fault::RestartAll => (0..self.boxes.len()).for_each(|index| self.restart(index, now)),
+            Fault::Replaced => {
                 for index in half {
-                    self.boxes[index].ended = Some(now);
+                    self.boxes[index].ended_at = Some(now);
                     let entry = box_entry(index % ZONES, &format!("n-{index}"));
-                    self.boxes.push(OneBox {
+                    self.boxes.push(SimulatedBox {
                         entry,
-                        began: now,
-                        ended: None,
-                        cut_since: None,
-                        stopping: None,
+                        started_at: now,
+                        ended_at: None,
+                        partitioned_at: None,
+                        stopping_at: None,
                         others: Arc::default(),
                         state: Limits::default(),
                     });
                 }
             }
-            Trouble::Stop => {
-                for index in self.some(0.9) {
-                    self.boxes[index].stopping = Some(now);
+            Fault::Stop => {
+                for index in self.sample(0.9) {
+                    self.boxes[index].stopping_at = Some(now);
                 }
             }
-            Trouble::CutOff => {
-                for index in self.some(0.33) {
-                    self.boxes[index].cut_since = Some(now);
+            Fault::Partition => {
+                for index in self.sample(0.33) {
+                    self.boxes[index].partitioned_at = Some(now);
                 }
                 for index in half {
-                    if self.boxes[index].cut_since.is_none() {
-                        self.boxes[index].ended = Some(now);
+                    if self.boxes[index].partitioned_at.is_none() {
+                        self.boxes[index].ended_at = Some(now);
                     }
                 }
             }
         }
     }
 
-    fn start_anew(&mut self, index: usize, now: Instant) {
+    fn restart(&mut self, index: usize, now: Instant) {
         let one = &mut self.boxes[index];
-        one.began = now;
+        one.started_at = now;
         one.state = Limits::default();
         one.others = Arc::default();
     }
 
-    /// What a box knows of the others by now.
-    fn learn(&mut self, of: usize, now: Instant) {
-        if self.boxes[of].cut_since.is_some() {
+    /// Updates the boxes that a box knows.
+    fn update_view(&mut self, of: usize, now: Instant) {
+        if self.boxes[of].partitioned_at.is_some() {
             return;
         }
         let mut known = Vec::new();
@@ -181,14 +182,15 @@
             let rng = &mut self.rng;
             let (start, end) = *self.lags.entry((of, other)).or_insert_with(|| {
                 let mut ms = |range| Duration::from_millis(rng.random_range(range));
-                (ms(HEARD_AFTER_MS), ms(FORGOTTEN_AFTER_MS))
+                (ms(DISCOVERED_AFTER_MS), ms(REMOVED_AFTER_MS))
             });
             let one = &self.boxes[other];
-            // Whoever started later has to hear of all; the others know of it once they heard it.
-            let from = one.began.max(self.boxes[of].began) + start;
-            // A box that stops tells so; half of the words are as late as those of starts.
-            let stops = one.stopping.is_some_and(|at| now >= at + start / 2);
-            let is_known = now >= from && !stops && one.ended.is_none_or(|at| now < at + end);
+            // A box learns of all others after its own start, and of later ones after theirs.
+            let from = one.started_at.max(self.boxes[of].started_at) + start;
+            // A box that stops announces it; half of the announcements are as late as those of
+            // starts.
+            let stops = one.stopping_at.is_some_and(|at| now >= at + start / 2);
+            let is_known = now >= from && !stops && one.ended_at.is_none_or(|at| now < at + end);
             if other != of && is_known {
                 known.push(one.entry.clone());
             }
@@ -204,36 +206,37 @@
     (0..count).map(one).collect()
 }
 
-/// Every box sends to every cold target as soon as it may. The most that arrive at one target in any second, and how many arrive at all.
-async fn play(count: usize, trouble: Trouble, seed: u64, is_limited: bool) -> (usize, usize) {
+/// Every box sends to every cold target as soon as it may. Returns the maximum number of requests
+/// that arrive at one target in any second, and the number of all requests.
+async fn simulate(count: usize, fault: Fault, seed: u64, is_limited: bool) -> (usize, usize) {
     let targets = cold_targets(ZONES);
     tokio::time::advance(Duration::from_secs(60)).await;
-    let began = Instant::now();
-    let mut fleet = Fleet::new(count, seed, began - Duration::from_secs(60));
-    let strikes = began + Duration::from_secs(4);
+    let started_at = Instant::now();
+    let mut fleet = Fleet::new(count, seed, started_at - Duration::from_secs(60));
+    let fault_at = started_at + Duration::from_secs(4);
     let cold: HashMap<TargetId, Instant> = targets
         .iter()
-        .map(|target| (target.id.clone(), began + LENGTH * 2))
+        .map(|target| (target.id.clone(), started_at + LENGTH * 2))
         .collect();
     let mut sent: HashMap<TargetId, Vec<Instant>> = HashMap::new();
-    let (mut struck, mut step) = (false, 0u32);
-    while began.elapsed() < LENGTH {
+    let (mut is_injected, mut step) = (false, 0u32);
+    while started_at.elapsed() < LENGTH {
         let now = Instant::now();
-        if now >= strikes && !struck {
-            struck = true;
-            fleet.strike(trouble, now);
+        if now >= fault_at && !is_injected {
+            is_injected = true;
+            fleet.inject(fault, now);
         }
         for of in 0..fleet.boxes.len() {
-            if fleet.boxes[of].ended.is_some() {
+            if fleet.boxes[of].ended_at.is_some() {
                 continue;
             }
-            if step.is_multiple_of(HEAR_STEPS) {
-                fleet.learn(of, now);
+            if step.is_multiple_of(VIEW_STEPS) {
+                fleet.update_view(of, now);
             }
             let one = &mut fleet.boxes[of];
             let (others, zone): (_, ZoneId) = (one.others.clone(), one.entry.zone.clone());
             let in_contact = one
-                .cut_since
+                .partitioned_at
                 .is_none_or(|at| now < at + Duration::from_secs(3));
             let limit_context = LimitContext {
                 cold: &cold,
@@ -243,19 +246,20 @@
                     me: &one.entry.id,
                     zone: &zone,
                     others: &others,
-                    is_membership_known: now >= one.began + MEMBERSHIP_DELAY,
-                    is_stopping: one.stopping.is_some(),
+                    is_membership_known: now >= one.started_at + MEMBERSHIP_DELAY,
+                    is_stopping: one.stopping_at.is_some(),
                     is_in_contact: in_contact,
                     pool_zones: &[],
                 },
             };
             for target in &targets {
-                let admits =
-                    |state: &mut Limits, how| state.admits(&limit_context, target, how, now);
-                let lone = !limit_context.share_group.is_sure();
+                let admits = |state: &mut Limits, admission| {
+                    state.admits(&limit_context, target, admission, now)
+                };
+                let knows_no_share = !limit_context.share_group.knows_share();
                 while !is_limited
                     || admits(&mut one.state, Admission::OwnShare)
-                    || (lone && admits(&mut one.state, Admission::UnknownShare))
+                    || (knows_no_share && admits(&mut one.state, Admission::UnknownShare))
                 {
                     one.state.record_sent(&target.id, now);
                     let opened = Duration::from_millis(fleet.rng.random_range(0..=OPENING_MS));
@@ -276,7 +280,7 @@
     (most.unwrap_or_default(), all)
 }
 
-/// The most of these moments that lie in any one second.
+/// Returns the maximum number of these moments in any one second.
 fn most_in_a_second(moments: &mut [Instant]) -> usize {
     moments.sort_unstable();
     let mut first = 0;
@@ -292,31 +296,37 @@
 
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn a_fleet_sends_a_cold_target_no_more_than_it_bears(
+async fn a_fleet_does_not_overload_cold_targets(
     #[values(7, 71, 295)] boxes: usize,
     #[values(
-        Trouble::None,
-        Trouble::StartAnew,
-        Trouble::Replaced,
-        Trouble::CutOff,
-        Trouble::AllStart,
-        Trouble::Stop
+        Fault::None,
+        Fault::Restart,
+        Fault::Replaced,
+        Fault::Partition,
+        Fault::RestartAll,
+        Fault::Stop
     )]
-    trouble: Trouble,
+    fault: Fault,
     #[values(1, 2)] seed: u64,
 ) {
-    let (most, all) = play(boxes, trouble, seed, true).await;
+    let (most, all) = simulate(boxes, fault, seed, true).await;
     println!("most in a second {most}, in all {all}");
-    assert!(most <= MOST, "{most} in a second");
-    if trouble == Trouble::None {
-        let borne = LENGTH.as_secs_f64() * WARM_UP.per_s * ZONES as f64;
-        assert!(all as f64 > borne * 0.6, "{all} of {borne}: too careful");
+    assert!(most <= MAX_PER_SECOND, "{most} in a second");
+    if fault == Fault::None {
+        let capacity = LENGTH.as_secs_f64() * WARM_UP.per_s * ZONES as f64;
+        assert!(
+            all as f64 > capacity * 0.6,
+            "{all} of {capacity} requests sent: too few"
+        );
     }
 }
 
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn without_the_limit_every_fleet_overloads_cold_targets(#[values(7, 71, 295)] boxes: usize) {
-    let (most, _) = play(boxes, Trouble::None, 1, false).await;
-    assert!(most > MOST, "the checker sees nothing: {most}");
+    let (most, _) = simulate(boxes, Fault::None, 1, false).await;
+    assert!(
+        most > MAX_PER_SECOND,
+        "the test does not cause overload: {most}"
+    );
 }
--- a/crates/sillpin-gateway/tests/words.rs
+++ b/crates/sillpin-gateway/tests/words.rs
@@ -1,4 +1,4 @@
-//! What a box knows of targets by their own words.
+//! Tests of the signals that targets send in response headers.
 
 mod common;
 
@@ -13,7 +13,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn life_of(id: &str, life: u64) -> IncarnationHash {
+fn incarnation(id: &str, life: u64) -> IncarnationHash {
     IncarnationHash::of(&TargetEntry {
         id: name(id),
         life: Some(Life(life)),
@@ -33,7 +33,7 @@
     }
 }
 
-fn wait(seconds: f64) -> SignalObservation {
+fn backoff_of(seconds: f64) -> SignalObservation {
     refusal(RetryAfter::Wait(Duration::from_secs_f64(seconds)))
 }
 
@@ -55,34 +55,46 @@
 }
 
 #[rstest]
-#[case::whole(wait(3.0), Some(3.0))]
-#[case::a_fraction(wait(0.25), Some(0.25))]
-#[case::none(wait(0.0), None)]
+#[case::whole(backoff_of(3.0), Some(3.0))]
+#[case::a_fraction(backoff_of(0.25), Some(0.25))]
+#[case::none(backoff_of(0.0), None)]
 #[case::unreadable(refusal(RetryAfter::Unreadable), Some(1.0))]
 #[case::huge(refusal(RetryAfter::Wait(Duration::MAX)), Some(2_592_000.0))]
-#[case::in_a_success(SignalObservation { is_refusal: false, ..wait(3.0) }, None)]
+#[case::in_a_success(SignalObservation { is_refusal: false, ..backoff_of(3.0) }, None)]
 #[tokio::test(start_paused = true)]
-async fn a_target_wants_no_requests_for_as_long_as_its_refusal_says(
-    #[case] said: SignalObservation,
+async fn a_refusal_starts_a_backoff_of_the_requested_length(
+    #[case] observation: SignalObservation,
     #[case] expected: Option<f64>,
 ) {
     let mut signals = TargetSignals::default();
-    let target = life_of("i-1", 1);
-    signals.record(target, said, Instant::now());
+    let target = incarnation("i-1", 1);
+    signals.record(target, observation, Instant::now());
     assert_eq!(remaining(&signals, target), expected);
-    assert_eq!(remaining(&signals, life_of("i-2", 1)), None);
-    assert_eq!(remaining(&signals, life_of("i-1", 2)), None, "a new life");
+    assert_eq!(remaining(&signals, incarnation("i-2", 1)), None);
+    assert_eq!(
+        remaining(&signals, incarnation("i-1", 2)),
+        None,
+        "another incarnation"
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn of_several_times_the_one_that_ends_last_holds() {
+async fn the_backoff_that_ends_last_applies() {
     let mut signals = TargetSignals::default();
-    let target = life_of("i-1", 1);
-    let first = signals.record(target, wait(3.0), Instant::now());
+    let target = incarnation("i-1", 1);
+    let first = signals.record(target, backoff_of(3.0), Instant::now());
     assert_eq!(first.len(), 1);
     advance(SECOND).await;
-    assert!(signals.record(target, wait(0.5), Instant::now()).is_empty());
-    assert!(signals.record(target, wait(0.0), Instant::now()).is_empty());
+    assert!(
+        signals
+            .record(target, backoff_of(0.5), Instant::now())
+            .is_empty()
+    );
+    assert!(
+        signals
+            .record(target, backoff_of(0.0), Instant::now())
+            .is_empty()
+    );
     let unreadable = refusal(RetryAfter::Unreadable);
     assert!(
         signals
@@ -90,67 +102,74 @@
             .is_empty()
     );
     assert_eq!(remaining(&signals, target), Some(2.0));
-    signals.record(target, wait(4.0), Instant::now());
+    signals.record(target, backoff_of(4.0), Instant::now());
     assert_eq!(remaining(&signals, target), Some(4.0));
     advance(4 * SECOND).await;
     assert_eq!(remaining(&signals, target), None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_time_goes_on_while_the_box_is_suspended() {
+async fn a_backoff_runs_on_while_the_box_is_suspended() {
     let mut signals = TargetSignals::default();
-    let target = life_of("i-1", 1);
-    signals.record(target, wait(3.0), Instant::now());
+    let target = incarnation("i-1", 1);
+    signals.record(target, backoff_of(3.0), Instant::now());
     signals.wake(2 * SECOND);
     assert_eq!(remaining(&signals, target), Some(1.0));
     signals.wake(2 * SECOND);
-    assert_eq!(remaining(&signals, target), Some(1.0), "aged once");
+    assert_eq!(
+        remaining(&signals, target),
+        Some(1.0),
+        "shortened only once"
+    );
     signals.wake(4 * SECOND);
     assert_eq!(remaining(&signals, target), None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn callers_are_kept_out_until_the_first_target_takes_requests() {
+async fn the_shortest_backoff_of_the_remaining_targets_applies() {
     let mut signals = TargetSignals::default();
-    let [a, b, gone] = ["i-1", "i-2", "i-3"].map(|id| life_of(id, 1));
+    let [a, b, gone] = ["i-1", "i-2", "i-3"].map(|id| incarnation(id, 1));
     let now = Instant::now();
-    let kept_out = |signals: &TargetSignals, targets: &[IncarnationHash]| {
-        let wait = signals.shortest_backoff(targets.iter().copied(), now);
-        wait.map(|wait| wait.as_secs_f64())
+    let backoff = |signals: &TargetSignals, targets: &[IncarnationHash]| {
+        let left = signals.shortest_backoff(targets.iter().copied(), now);
+        left.map(|left| left.as_secs_f64())
     };
-    signals.record(a, wait(3.0), now);
-    assert_eq!(kept_out(&signals, &[a]), Some(3.0));
-    assert_eq!(kept_out(&signals, &[a, b]), None, "one takes requests");
-    assert_eq!(kept_out(&signals, &[]), None);
-    signals.record(b, wait(0.5), now);
+    signals.record(a, backoff_of(3.0), now);
+    assert_eq!(backoff(&signals, &[a]), Some(3.0));
+    assert_eq!(backoff(&signals, &[a, b]), None, "one accepts requests");
+    assert_eq!(backoff(&signals, &[]), None);
+    signals.record(b, backoff_of(0.5), now);
     signals.record(gone, leaving(), now);
-    assert_eq!(kept_out(&signals, &[a, b, gone]), Some(0.5));
-    assert_eq!(kept_out(&signals, &[gone]), None);
+    assert_eq!(backoff(&signals, &[a, b, gone]), Some(0.5));
+    assert_eq!(backoff(&signals, &[gone]), None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_life_that_leaves_is_remembered_while_it_is_listed_and_a_while_after() {
+async fn a_leaving_incarnation_is_remembered_while_listed_and_for_a_time_after() {
     let mut signals = TargetSignals::default();
-    let (gone, there) = (life_of("i-1", 1), life_of("i-2", 1));
-    for target in [gone, there] {
+    let (unlisted, listed) = (incarnation("i-1", 1), incarnation("i-2", 1));
+    for target in [unlisted, listed] {
         let changes = signals.record(target, leaving(), Instant::now());
         assert_eq!(changes, [SignalChange::Leaves]);
         assert!(signals.record(target, leaving(), Instant::now()).is_empty());
     }
-    assert!(!signals.leaving.contains(life_of("i-1", 2)), "a new life");
+    assert!(
+        !signals.leaving.contains(incarnation("i-1", 2)),
+        "another incarnation"
+    );
     for _ in 0..120 {
         advance(SECOND).await;
-        signals.retain_listed(|life| life == there, Instant::now());
-        let is_recent = signals.leaving.contains(gone);
-        assert!(signals.leaving.contains(there));
-        if !is_recent {
+        signals.retain_listed(|life| life == listed, Instant::now());
+        let is_remembered = signals.leaving.contains(unlisted);
+        assert!(signals.leaving.contains(listed));
+        if !is_remembered {
             break;
         }
     }
-    assert!(!signals.leaving.contains(gone));
-    // Its entry lapses in an outage, and comes back.
+    assert!(!signals.leaving.contains(unlisted));
+    // Its entry lapses in an outage, and is listed again.
     advance(20 * SECOND).await;
     signals.retain_listed(|_| false, Instant::now());
-    signals.retain_listed(|life| life == there, Instant::now());
-    assert!(signals.leaving.contains(there));
+    signals.retain_listed(|life| life == listed, Instant::now());
+    assert!(signals.leaving.contains(listed));
 }
--- a/crates/sillpin-policy/src/overload.rs
+++ b/crates/sillpin-policy/src/overload.rs
@@ -68,6 +68,8 @@
         let latest_start = self
             .latency_objective
             .mul_f64(MIN_OBJECTIVE_FACTOR + (MAX_OBJECTIVE_FACTOR - MIN_OBJECTIVE_FACTOR) * draw);
-        start.checked_sub(latest_start).filter(|late| !late.is_zero())
+        start
+            .checked_sub(latest_start)
+            .filter(|late| !late.is_zero())
     }
 }
--- a/crates/sillpin-policy/tests/policy.rs
+++ b/crates/sillpin-policy/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Properties of the decisions.
+//! Tests of the properties of the decisions.
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_lost_candidate_moves_only_its_own_keys() {
+fn a_removed_candidate_moves_only_its_own_keys() {
     for key in 0..KEYS {
         let before = winner(key, 10, |_| 1.0);
         let after = winner(key, 9, |_| 1.0);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn kept_blocks_are_fetched_only_when_quicker() {
+fn stored_blocks_are_fetched_only_when_quicker() {
     let all = candidates(1);
     let policy = PlacementPolicy::default();
     for (fetch_ms, fetched) in [(1, 6), (30, 0)] {
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn return_gaps_are_learnt() {
+fn return_gaps_estimate_the_chance_of_a_return() {
     let mut gaps = ReturnGaps::default();
     for _ in 0..100 {
         gaps.record_first_use();
@@ -173,16 +173,21 @@
     assert!(gaps.chance_of_return(Duration::from_secs(600)) < 0.01);
 }
 
-/// Requests in a queue, by a name and a number.
-type Named = FairQueue<(&'static str, u32)>;
+/// Queue of requests that are identified by a name and a number.
+type NumberedQueue = FairQueue<(&'static str, u32)>;
 
-fn push_as(queue: &mut Named, class: PriorityClass, org: &str, request: (&'static str, u32)) {
+fn push_as(
+    queue: &mut NumberedQueue,
+    class: PriorityClass,
+    org: &str,
+    request: (&'static str, u32),
+) {
     queue.push(class, org.parse().unwrap(), 100, Cost(10), request);
 }
 
 /// A queue in which one organisation has `count` normal requests.
-fn noisy_queue(count: u32) -> Named {
-    let mut queue = Named::default();
+fn noisy_queue(count: u32) -> NumberedQueue {
+    let mut queue = NumberedQueue::default();
     for number in 0..count {
         push_as(
             &mut queue,
@@ -195,7 +200,7 @@
 }
 
 #[test]
-fn a_noisy_organisation_waits_behind_itself() {
+fn a_noisy_organisation_delays_only_itself() {
     let mut queue = noisy_queue(100);
     push_as(&mut queue, PriorityClass::Normal, "quiet", ("quiet", 0));
     push_as(&mut queue, PriorityClass::Urgent, "noisy", ("urgent", 0));
@@ -217,7 +222,7 @@
 }
 
 #[test]
-fn a_request_that_goes_ahead_does_not_put_later_ones_behind_its_organisation() {
+fn a_request_served_early_does_not_delay_other_organisations() {
     let mut queue = noisy_queue(50);
     let last = queue.tickets().last().unwrap();
     assert_eq!(queue.take(last), Some(("noisy", 49)));
