--- a/crates/sillpin-gateway/src/placement/allowed.rs
+++ b/crates/sillpin-gateway/src/placement/allowed.rs
@@ -14,12 +14,12 @@
 /// The margin if no newer weights are served. A withdrawn prompt is lost, while a refused one is
 /// sent again by its caller: of 390 that were withdrawn, 84 had been sent until then because there
 /// was no newer engine, and 4 were served elsewhere.
-const LAST_MARGIN: Duration = Duration::from_millis(1_000);
+const FALLBACK_MARGIN: Duration = Duration::from_millis(1_000);
 
 /// Prompts that wait at an engine are withdrawn this long before the last moment at which they may
 /// start there: this box may have learned late that the weights were replaced, and the withdrawal
 /// takes time. Boxes learned of 2,542 announcements of weights within 3 ms (99 %) to 224 ms.
-const BEGIN_MARGIN: Duration = Duration::from_millis(300);
+const START_MARGIN: Duration = Duration::from_millis(300);
 
 /// If no box observed when a weights version was announced, its age is unknown. This share of
 /// engines that serve it, or newer ones, shows that it was announced seconds ago, and is enough to
@@ -58,27 +58,28 @@
     /// Returns the weights that a prompt may be sent to. While the store is unreachable no box can
     /// make engines load new weights, so old ones remain allowed.
     pub fn allowed(&self) -> AllowedWeights {
-        let any = WeightVersion(0);
+        let all_versions = WeightVersion(0);
         let Some(wanted) = self.wanted else {
-            return self.since(any, "no version was requested");
+            return self.since(all_versions, "no version was requested");
         };
         let Some(in_contact) = self.in_contact else {
-            return self.since(any, "the platform store is unreachable");
+            return self.since(all_versions, "the platform store is unreachable");
         };
-        let by = |version: &WeightVersion, margin| {
-            let until = self.usable_until(wanted, *version);
-            until.is_none_or(|until| self.now + margin < until)
+        let is_usable = |version: &WeightVersion, margin| {
+            let usable_until = self.usable_until(wanted, *version);
+            usable_until.is_none_or(|usable_until| self.now + margin < usable_until)
         };
-        let served = || self.serving.keys();
-        if let Some(oldest) = served().find(|version| by(version, QUEUE_MARGIN)) {
+        let served_versions = || self.serving.keys();
+        if let Some(oldest) = served_versions().find(|version| is_usable(version, QUEUE_MARGIN)) {
             return self.since(*oldest, "older ones were replaced too long ago");
         }
-        if let Some(newest) = served().rfind(|version| by(version, LAST_MARGIN)) {
+        if let Some(newest) = served_versions().rfind(|version| is_usable(version, FALLBACK_MARGIN))
+        {
             return self.since(*newest, "no engine serves newer ones");
         }
         // While the store was unreachable no box could make engines load new weights.
-        let newest = served().next_back();
-        match newest.filter(|_| self.now + LAST_MARGIN < in_contact + self.limit) {
+        let newest = served_versions().next_back();
+        match newest.filter(|_| self.now + FALLBACK_MARGIN < in_contact + self.limit) {
             Some(newest) => self.since(*newest, "the platform store has just recovered"),
             None => self.since(
                 wanted.newest().version,
@@ -92,17 +93,18 @@
     /// weights could be loaded.
     pub fn latest_start(&self, version: WeightVersion) -> Option<Instant> {
         let replaced = self.wanted?.newer(version).map(|newer| newer.since).min()?;
-        let counted = replaced.max(self.in_contact?);
-        Some(counted + self.limit.saturating_sub(BEGIN_MARGIN))
+        let counted_since = replaced.max(self.in_contact?);
+        Some(counted_since + self.limit.saturating_sub(START_MARGIN))
     }
 
     /// Returns when a version may no longer be used, if newer ones are wanted.
     fn usable_until(&self, wanted: &Wanted, version: WeightVersion) -> Option<Instant> {
-        let until = |named: &Named| match named.witnessed || !self.is_widely_served(named.version) {
-            true => named.since + self.limit,
-            false => named.since,
-        };
-        wanted.newer(version).map(until).min()
+        let end_of_use =
+            |named: &Named| match named.witnessed || !self.is_widely_served(named.version) {
+                true => named.since + self.limit,
+                false => named.since,
+            };
+        wanted.newer(version).map(end_of_use).min()
     }
 
     /// Returns whether many engines serve a version or newer ones.
--- a/crates/sillpin-gateway/src/placement/index.rs
+++ b/crates/sillpin-gateway/src/placement/index.rs
@@ -19,19 +19,19 @@
     /// Hash of the target's current incarnation.
     pub life: IncarnationHash,
     /// Hash of the target's id for ranking homes.
-    seed: u64,
+    id_hash: u64,
 }
 
 impl IndexedTarget {
     /// Returns the target's rank for a key; the target with the highest rank is the first home. The
     /// rank is the same at all boxes.
     pub fn home_rank(&self, key: u64) -> u64 {
-        mix_bits(self.seed ^ key)
+        finalize(self.id_hash ^ key)
     }
 }
 
 /// Mixes all bits of a number (the finalizer of splitmix64).
-fn mix_bits(mut x: u64) -> u64 {
+fn finalize(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
@@ -113,7 +113,7 @@
             pool.all.push(IndexedTarget {
                 hash: TargetHash::of(&entry.id),
                 life: IncarnationHash::of(entry),
-                seed: hash_pair(entry.id.as_str(), "home"),
+                id_hash: hash_pair(entry.id.as_str(), "home"),
                 entry: entry.clone(),
             });
         }
--- a/crates/sillpin-gateway/src/placement/parts.rs
+++ b/crates/sillpin-gateway/src/placement/parts.rs
@@ -17,18 +17,18 @@
 
 /// Prompt tokens that an engine prefills in a millisecond. Both sites report 56.9; the value only
 /// ranks ways to serve a prompt, so a different rate changes little.
-const READ_TOKENS_PER_MS: f64 = 56.9;
+const PREFILL_TOKENS_PER_MS: f64 = 56.9;
 
 /// Transfers between zones take twice as long.
-const FOREIGN_ZONE_FACTOR: f64 = 2.0;
+const OTHER_ZONE_TIME_FACTOR: f64 = 2.0;
 
 /// Cost of a transfer from another zone relative to one within a zone. It occupies the store's link
 /// twice as long, which delays all other transfers, and that link is the first resource to run out.
-const FOREIGN_ZONE_COST: f64 = 4.0;
+const OTHER_ZONE_COST_FACTOR: f64 = 4.0;
 
 /// Share of a store's capacity that is filled; the rest is for parts being written, which are not
 /// counted.
-const FILLED: f64 = 0.975;
+const MAX_FILL_SHARE: f64 = 0.975;
 
 /// Reason for which a shared part is recomputed and not stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
@@ -65,7 +65,7 @@
     /// Length of the part.
     pub tokens: Tokens,
     /// Stores that hold the complete part.
-    pub held: Vec<StoreSpec>,
+    pub sources: Vec<StoreSpec>,
     /// If there are none, the stores that may hold it, which are equal in speed and capacity.
     pub homes: Vec<StoreSpec>,
     /// Reason for which the part is recomputed if it is neither fetched nor saved.
@@ -152,50 +152,56 @@
     salt: &SaltParts,
     inputs: &PlanInputs<'_>,
 ) -> SharedPart {
-    let nowhere = SharedPart {
+    let recomputed = SharedPart {
         key: key.clone(),
         tokens,
-        held: Vec::new(),
+        sources: Vec::new(),
         homes: Vec::new(),
         not_kept: NotKept::Retired,
     };
     if inputs.kept.retirements().is_retired(salt, &key) {
-        return nowhere;
+        return recomputed;
     }
     let directory = inputs.kept.lock();
     let used = |store: &StoreSpec| directory.used(store.addr);
     let mut homes = homes(&inputs.config.stores, &key.part, tokens, place);
     homes.retain(|store| inputs.residency.allows(&store.zone));
     let holds = |store: &&&StoreSpec| directory.holds(store.addr, &key, tokens, inputs.now);
-    let held: Vec<StoreSpec> = homes.iter().filter(holds).copied().cloned().collect();
-    if !held.is_empty() {
+    let sources: Vec<StoreSpec> = homes.iter().filter(holds).copied().cloned().collect();
+    if !sources.is_empty() {
         return match inputs.in_contact {
-            true => SharedPart { held, ..nowhere },
+            true => SharedPart {
+                sources,
+                ..recomputed
+            },
             false => SharedPart {
                 not_kept: NotKept::OutOfTouch,
-                ..nowhere
+                ..recomputed
             },
         };
     }
     let is_known = |store: &&&StoreSpec| directory.is_known(store.addr, inputs.now);
     let known: Vec<&StoreSpec> = homes.iter().filter(is_known).copied().collect();
-    let has_room =
-        |store: &&&StoreSpec| (used(store) + tokens).0 as f64 <= store.room.0 as f64 * FILLED;
-    let roomy: Vec<&StoreSpec> = known.iter().filter(has_room).copied().collect();
-    let alike = |store: &&&StoreSpec| store.first == roomy[0].first && store.room == roomy[0].room;
-    let not_kept = match (known.is_empty(), roomy.is_empty()) {
+    let has_room = |store: &&&StoreSpec| {
+        (used(store) + tokens).0 as f64 <= store.room.0 as f64 * MAX_FILL_SHARE
+    };
+    let with_capacity: Vec<&StoreSpec> = known.iter().filter(has_room).copied().collect();
+    let is_like_first = |store: &&&StoreSpec| {
+        store.first == with_capacity[0].first && store.room == with_capacity[0].room
+    };
+    let not_kept = match (known.is_empty(), with_capacity.is_empty()) {
         (true, _) => NotKept::StoresUnknown,
         (_, true) => NotKept::NoRoom,
         _ => NotKept::Asked,
     };
     SharedPart {
         not_kept,
-        homes: roomy
+        homes: with_capacity
             .iter()
-            .filter(alike)
+            .filter(is_like_first)
             .map(|store| (*store).clone())
             .collect(),
-        ..nowhere
+        ..recomputed
     }
 }
 
@@ -203,8 +209,8 @@
 /// one. Two engines that save the same part at the same time may thus use two stores; either copy
 /// will do.
 fn nearest<'a>(stores: &'a [StoreSpec], zone: &ZoneId) -> Option<&'a StoreSpec> {
-    let near = stores.iter().find(|store| store.zone == *zone);
-    near.or(stores.first())
+    let in_zone = stores.iter().find(|store| store.zone == *zone);
+    in_zone.or(stores.first())
 }
 
 impl Plan {
@@ -216,25 +222,35 @@
 
     /// Returns the time to prefill tokens, in milliseconds.
     pub fn prefill_time_ms(tokens: Tokens) -> f64 {
-        tokens.0 as f64 / READ_TOKENS_PER_MS
+        tokens.0 as f64 / PREFILL_TOKENS_PER_MS
     }
 
     /// Returns the time to fetch or recompute a shared part at an engine in `zone`, in
-    /// milliseconds; the time of a transfer from another zone is multiplied by `foreign`.
-    fn part_ms(&self, part: &SharedPart, zone: &ZoneId, foreign: f64) -> f64 {
-        match nearest(&part.held, zone) {
-            Some(store) => self.fetch_ms(store, part.tokens, zone, foreign),
+    /// milliseconds; the time of a transfer from another zone is multiplied by `other_zone_factor`.
+    fn part_ms(&self, part: &SharedPart, zone: &ZoneId, other_zone_factor: f64) -> f64 {
+        match nearest(&part.sources, zone) {
+            Some(store) => self.fetch_ms(store, part.tokens, zone, other_zone_factor),
             None => Self::prefill_time_ms(part.tokens),
         }
     }
 
     /// Returns the time of a transfer from a store to an engine in `zone` without queueing, in
     /// milliseconds.
-    fn fetch_ms(&self, store: &StoreSpec, tokens: Tokens, zone: &ZoneId, foreign: f64) -> f64 {
+    fn fetch_ms(
+        &self,
+        store: &StoreSpec,
+        tokens: Tokens,
+        zone: &ZoneId,
+        other_zone_factor: f64,
+    ) -> f64 {
         let bytes = (tokens.0 * self.token_bytes) as f64;
-        let near = bytes / store.link_bytes_per_ms.max(1.0);
-        let times = if store.zone == *zone { 1.0 } else { foreign };
-        store.first.as_secs_f64() * 1000.0 + near * times
+        let in_zone_ms = bytes / store.link_bytes_per_ms.max(1.0);
+        let factor = if store.zone == *zone {
+            1.0
+        } else {
+            other_zone_factor
+        };
+        store.first.as_secs_f64() * 1000.0 + in_zone_ms * factor
     }
 
     /// Returns the time to fetch or recompute all shared parts at an engine in `zone`, in
@@ -242,7 +258,7 @@
     pub fn shared_time_ms(&self, zone: &ZoneId) -> f64 {
         let parts = self.shared.iter();
         parts
-            .map(|part| self.part_ms(part, zone, FOREIGN_ZONE_FACTOR))
+            .map(|part| self.part_ms(part, zone, OTHER_ZONE_TIME_FACTOR))
             .sum()
     }
 
@@ -250,15 +266,15 @@
     pub fn shared_cost(&self, zone: &ZoneId) -> f64 {
         let parts = self.shared.iter();
         parts
-            .map(|part| self.part_ms(part, zone, FOREIGN_ZONE_COST))
+            .map(|part| self.part_ms(part, zone, OTHER_ZONE_COST_FACTOR))
             .sum()
     }
 
     /// Returns the zone of the store that holds the longest stored part.
     pub fn main_zone(&self) -> Option<&ZoneId> {
-        let held = self.shared.iter().filter(|part| !part.held.is_empty());
-        let longest = held.max_by_key(|part| part.tokens)?;
-        longest.held.first().map(|store| &store.zone)
+        let stored = self.shared.iter().filter(|part| !part.sources.is_empty());
+        let longest = stored.max_by_key(|part| part.tokens)?;
+        longest.sources.first().map(|store| &store.zone)
     }
 
     /// Returns the store from which the longest fetched part comes.
@@ -271,40 +287,44 @@
     }
 
     /// Formats the shared parts and what the engine does with each, for logs.
-    pub fn describe(&self, sending: &EngineSending) -> String {
-        let what = |index: usize| match (&sending.fetch[index], &sending.save[index]) {
+    pub fn describe(&self, directives: &EngineSending) -> String {
+        let action = |index: usize| match (&directives.fetch[index], &directives.save[index]) {
             (Some(_), _) => "fetch".to_owned(),
             (None, Some(_)) => "save".to_owned(),
             (None, None)
-                if sending.fetch_until.is_none() && !self.shared[index].held.is_empty() =>
+                if directives.fetch_until.is_none() && !self.shared[index].sources.is_empty() =>
             {
                 format!("read-{}", NotKept::NoClock)
             }
             (None, None) => format!("read-{}", self.shared[index].not_kept),
         };
         let part = |(index, part): (usize, &SharedPart)| {
-            format!("{}:{}:{}", part.key.part, part.tokens, what(index))
+            format!("{}:{}:{}", part.key.part, part.tokens, action(index))
         };
         let parts: Vec<String> = self.shared.iter().enumerate().map(part).collect();
         parts.join(",")
     }
 
-    /// Drops the stores for which `bears` returns false: parts that only they hold are recomputed.
-    pub fn drop_busy_sources(&mut self, bears: impl Fn(SocketAddr) -> bool) {
-        let whole = self.shared.iter().filter(|part| !part.held.is_empty());
-        self.kept_tokens = whole.map(|part| part.tokens).sum();
-        let sources = self.shared.iter().flat_map(|part| &part.held);
+    /// Drops the stores for which `has_capacity` returns false: parts that only they hold are recomputed.
+    pub fn drop_busy_sources(&mut self, has_capacity: impl Fn(SocketAddr) -> bool) {
+        let stored = self.shared.iter().filter(|part| !part.sources.is_empty());
+        self.kept_tokens = stored.map(|part| part.tokens).sum();
+        let sources = self.shared.iter().flat_map(|part| &part.sources);
         let sources = sources.map(|store| store.addr);
-        let spared: BTreeSet<SocketAddr> = sources.filter(|addr| !bears(*addr)).collect();
-        for part in self.shared.iter_mut().filter(|part| !part.held.is_empty()) {
+        let busy: BTreeSet<SocketAddr> = sources.filter(|addr| !has_capacity(*addr)).collect();
+        for part in self
+            .shared
+            .iter_mut()
+            .filter(|part| !part.sources.is_empty())
+        {
             part.not_kept = NotKept::LinkBusy;
-            part.held.retain(|store| !spared.contains(&store.addr));
+            part.sources.retain(|store| !busy.contains(&store.addr));
         }
     }
 
     /// Returns the instructions for an engine in `zone`: where to fetch stored parts and where to
     /// save others.
-    pub fn sending(
+    pub fn directives(
         &self,
         version: WeightVersion,
         zone: &ZoneId,
@@ -313,10 +333,10 @@
         now: Instant,
     ) -> EngineSending {
         let until = directory.engine_time(now, fetch_time.min(MAX_FETCH_TIME));
-        let none = || vec![None::<SocketAddr>; self.part_count];
-        let (mut fetch, mut save) = (none(), none());
+        let no_store = || vec![None::<SocketAddr>; self.part_count];
+        let (mut fetch, mut save) = (no_store(), no_store());
         for (index, part) in self.shared.iter().enumerate() {
-            if let Some(store) = nearest(&part.held, zone) {
+            if let Some(store) = nearest(&part.sources, zone) {
                 // A part behind one that no store holds can't be used; requesting it costs a
                 // millisecond.
                 fetch[index] = until.map(|_| store.addr);
--- a/crates/sillpin-gateway/src/placement/probe.rs
+++ b/crates/sillpin-gateway/src/placement/probe.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// Pause between two connection attempts.
-const TRY_EVERY: Duration = Duration::from_millis(400);
+const PROBE_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Probes unreachable targets; clones share the set of probed targets.
 #[derive(Clone)]
@@ -44,8 +44,8 @@
     }
 
     async fn probe(self, target: TargetId) {
-        let back = loop {
-            tokio::time::sleep(TRY_EVERY).await;
+        let is_back = loop {
+            tokio::time::sleep(PROBE_INTERVAL).await;
             let entry = self.fleet.view().targets.get(&target).cloned();
             let Some(entry) = entry else {
                 break false;
@@ -58,7 +58,7 @@
         };
         let mut probed = self.probed.lock().unwrap_or_else(|e| e.into_inner());
         probed.remove(&target);
-        if back {
+        if is_back {
             event!(self.log, events::TARGET_REACHABLE, "target" => target.as_str());
             self.loads.record(&target, Outcome::Reachable);
         }
--- a/crates/sillpin-gateway/src/placement/signals/mod.rs
+++ b/crates/sillpin-gateway/src/placement/signals/mod.rs
@@ -74,20 +74,24 @@
     pub fn record(
         &mut self,
         target: IncarnationHash,
-        said: SignalObservation,
+        observation: SignalObservation,
         now: Instant,
     ) -> Vec<SignalChange> {
         let observation = LimitObservation {
-            sent: said.sent,
-            retry_after: said.signals.limit,
-            success: said.success,
+            sent: observation.sent,
+            announced: observation.signals.limit,
+            success: observation.success,
         };
         let limit = self.limits.record_response(target, observation, now);
         let mut changes: Vec<SignalChange> = limit.into_iter().map(SignalChange::Limit).collect();
-        if said.signals.leaving && self.leaving.record(target, now) {
+        if observation.signals.leaving && self.leaving.record(target, now) {
             changes.push(SignalChange::Leaves);
         }
-        if let Some(retry_after) = said.signals.retry_after.filter(|_| said.is_refusal) {
+        if let Some(retry_after) = observation
+            .signals
+            .retry_after
+            .filter(|_| observation.is_refusal)
+        {
             let wait = self.backoffs.record(target, retry_after, now);
             let is_readable = retry_after != RetryAfter::Unreadable;
             changes.extend(wait.map(|wait| SignalChange::BacksOff { wait, is_readable }));
@@ -113,8 +117,8 @@
         let replaced = self.replaced.known(now);
         let is_gone =
             |target: &IncarnationHash| replaced.contains(target) || self.leaving.contains(*target);
-        let there = targets.filter(|target| !is_gone(target));
-        let waits: Option<Vec<Duration>> = there
+        let remaining = targets.filter(|target| !is_gone(target));
+        let waits: Option<Vec<Duration>> = remaining
             .map(|target| self.backoffs.remaining(target, now))
             .collect();
         waits?.into_iter().min()
@@ -123,10 +127,10 @@
     /// Ages what is known by the time for which the box was suspended; `slept` is the total since
     /// its start.
     pub fn wake(&mut self, slept: Duration) {
-        let time = slept.saturating_sub(self.slept);
+        let newly_suspended = slept.saturating_sub(self.slept);
         self.slept = slept;
-        self.limits.age(time);
-        self.backoffs.age(time);
+        self.limits.age(newly_suspended);
+        self.backoffs.age(newly_suspended);
     }
 
     /// Removes what has expired, and incarnations that are gone.
--- a/crates/sillpin-gateway/tests/parts.rs
+++ b/crates/sillpin-gateway/tests/parts.rs
@@ -40,7 +40,7 @@
 
 /// Returns a plan made while the given stores hold `session`, and the instructions for an engine in
 /// `zone`.
-fn sending(in_a: bool, in_b: bool, zone: &str) -> (Plan, EngineSending) {
+fn directives(in_a: bool, in_b: bool, zone: &str) -> (Plan, EngineSending) {
     let (prompt, stores, kept) = (prompt(), stores(), Kept::default());
     let now = Instant::now();
     let salt = salt(&prompt, VERSION, None);
@@ -78,8 +78,8 @@
     };
     let plan = plan(&prompt, &salt, &inputs);
     let zone: ZoneId = name(zone);
-    let sending = plan.sending(VERSION, &zone, &mut kept.lock(), FETCH_TIME, now);
-    (plan, sending)
+    let directives = plan.directives(VERSION, &zone, &mut kept.lock(), FETCH_TIME, now);
+    (plan, directives)
 }
 
 /// Time allowed for a fetch.
@@ -100,9 +100,9 @@
     #[case] zone: &str,
     #[case] from: Option<u16>,
 ) {
-    let (_, sending) = sending(in_a, in_b, zone);
-    assert_eq!(port(sending.fetch[1]), from);
-    assert_eq!(sending.save[1], None, "it is stored already");
+    let (_, directives) = directives(in_a, in_b, zone);
+    assert_eq!(port(directives.fetch[1]), from);
+    assert_eq!(directives.save[1], None, "it is stored already");
 }
 
 #[rstest]
@@ -110,19 +110,22 @@
 #[case("zb", 8)]
 #[tokio::test(start_paused = true)]
 async fn a_part_that_nobody_holds_is_saved_near_the_engine(#[case] zone: &str, #[case] at: u16) {
-    let (plan, sending) = sending(false, false, zone);
-    assert_eq!(sending.fetch, [None, None, None]);
-    let saved: Vec<Option<u16>> = sending.save.iter().map(|addr| port(*addr)).collect();
+    let (plan, directives) = directives(false, false, zone);
+    assert_eq!(directives.fetch, [None, None, None]);
+    let saved: Vec<Option<u16>> = directives.save.iter().map(|addr| port(*addr)).collect();
     assert_eq!(
         saved,
         [Some(at), Some(at), None],
         "no other request shares the last part"
     );
-    assert_eq!(plan.describe(&sending), "first:100:save,session:500:save");
+    assert_eq!(
+        plan.describe(&directives),
+        "first:100:save,session:500:save"
+    );
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_engine_of_a_third_zone_saves_to_either() {
-    let (_, sending) = sending(false, false, "zc");
-    assert!(sending.save[0].is_some() && sending.save[1].is_some());
+    let (_, directives) = directives(false, false, "zc");
+    assert!(directives.save[0].is_some() && directives.save[1].is_some());
 }
--- a/crates/sillpin-gateway/tests/residency.rs
+++ b/crates/sillpin-gateway/tests/residency.rs
@@ -168,7 +168,7 @@
                 .map(|store| store.id.to_string())
                 .collect::<Vec<_>>()
         };
-        (names(&part.held), names(&part.homes))
+        (names(&part.sources), names(&part.homes))
     };
     assert_eq!(plan_within(&[]).0, ["far"]);
     assert_eq!(plan_within(&east), (vec![], vec!["near".to_owned()]));
