--- a/crates/sillpin-gateway/src/front/drive.rs
+++ b/crates/sillpin-gateway/src/front/drive.rs
@@ -207,7 +207,7 @@
             "in_time" => placed.in_time, "wanted" => weights.map_or(0, |w| w.wanted.0),
             "wanted_for_ms" => weights.map_or(0, |w| w.wanted_for.as_millis()),
             "oldest" => weights.map_or(0, |w| w.oldest.0),
-            "oldest_why" => weights.map_or("", |w| w.why));
+            "oldest_why" => weights.map_or("", |w| w.reason));
         if let (Some(version), Some(weights)) = (chosen.version, weights) {
             self.metrics.prompt_sending(version < weights.wanted);
         }
--- a/crates/sillpin-gateway/src/front/placing.rs
+++ b/crates/sillpin-gateway/src/front/placing.rs
@@ -136,7 +136,7 @@
         StartEstimate {
             waited: run.waited(),
             latency_objective: run.route.latency_objective,
-            queue: millis(queue.met_ms),
+            queue: millis(queue.expected_ms),
             standing: millis(standing_ms),
             own: millis(self.prefill_ms),
         }
@@ -380,7 +380,7 @@
         let zone = &chosen.target.zone;
         let fetch_time = run.route.latency_objective.mul_f64(FETCH_AIMS);
         let mut directory = self.kept.lock();
-        let sending = plan.sending(version, zone, &mut directory, fetch_time, Instant::now());
+        let sending = plan.directives(version, zone, &mut directory, fetch_time, Instant::now());
         drop(directory);
         let parts = plan.shared.iter().zip(&sending.fetch);
         let fetched: u64 = parts
@@ -397,7 +397,7 @@
             engine: Some(sending),
             prefill_ms,
             length,
-            kept: plan.kept_tokens.0,
+            kept: plan.stored_tokens.0,
             fetched,
             others: shared - fetched,
         }
--- a/crates/sillpin-gateway/src/placement/parts.rs
+++ b/crates/sillpin-gateway/src/placement/parts.rs
@@ -84,7 +84,7 @@
     /// Tokens that no other request shares.
     pub own_tokens: Tokens,
     /// Tokens in stores, whether or not they are fetched.
-    pub kept_tokens: Tokens,
+    pub stored_tokens: Tokens,
     token_bytes: u64,
 }
 
@@ -139,7 +139,7 @@
         shared,
         part_count: prompt.parts.len(),
         own_tokens: Tokens(prompt.tokens.0.saturating_sub(shared_tokens.0)),
-        kept_tokens: Tokens(0),
+        stored_tokens: Tokens(0),
         token_bytes: inputs.engine.token_bytes,
     }
 }
@@ -308,7 +308,7 @@
     /// Drops the stores for which `has_capacity` returns false: parts that only they hold are recomputed.
     pub fn drop_busy_sources(&mut self, has_capacity: impl Fn(SocketAddr) -> bool) {
         let stored = self.shared.iter().filter(|part| !part.sources.is_empty());
-        self.kept_tokens = stored.map(|part| part.tokens).sum();
+        self.stored_tokens = stored.map(|part| part.tokens).sum();
         let sources = self.shared.iter().flat_map(|part| &part.sources);
         let sources = sources.map(|store| store.addr);
         let busy: BTreeSet<SocketAddr> = sources.filter(|addr| !has_capacity(*addr)).collect();
--- a/crates/sillpin-gateway/src/placement/standing.rs
+++ b/crates/sillpin-gateway/src/placement/standing.rs
@@ -26,9 +26,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Queue {
     /// Part of the reported work that is certainly left.
-    pub left_ms: f64,
+    pub certain_ms: f64,
     /// Work that the prompt is expected to meet.
-    pub met_ms: f64,
+    pub expected_ms: f64,
 }
 
 impl Queue {
@@ -36,14 +36,14 @@
     pub fn reported(reported_ms: f64, late: bool) -> Self {
         if !late {
             return Self {
-                left_ms: reported_ms,
-                met_ms: reported_ms,
+                certain_ms: reported_ms,
+                expected_ms: reported_ms,
             };
         }
-        let left_ms = (reported_ms - REPORT_DELAY_MS).max(0.0);
+        let certain_ms = (reported_ms - REPORT_DELAY_MS).max(0.0);
         Self {
-            left_ms,
-            met_ms: left_ms.max(reported_ms.min(MIN_EXPECTED_MS)),
+            certain_ms,
+            expected_ms: certain_ms.max(reported_ms.min(MIN_EXPECTED_MS)),
         }
     }
 }
@@ -62,7 +62,7 @@
         let age = self.at.map_or(Duration::ZERO, |at| now - at);
         let left = 0.5_f64.powf(age.as_secs_f64() / HALF_LIFE.as_secs_f64());
         self.samples = self.samples * left + 1.0;
-        self.sum_ms = self.sum_ms * left + queue.left_ms;
+        self.sum_ms = self.sum_ms * left + queue.certain_ms;
         self.at = Some(now);
         self.sum_ms / (self.samples + PRIOR_SAMPLES)
     }
--- a/crates/sillpin-gateway/tests/common/engines.rs
+++ b/crates/sillpin-gateway/tests/common/engines.rs
@@ -203,7 +203,7 @@
     pub fn queues(&self, (at, chosen): &(usize, ChosenTarget)) -> (f64, f64) {
         let queue = Queue::reported(chosen.queue_ms, self.delay.is_known);
         let standing_ms = self.boxes[*at].record_queue(queue, Instant::now());
-        (queue.met_ms, standing_ms)
+        (queue.expected_ms, standing_ms)
     }
 
     /// Sends a prompt to the engine that was chosen for it; its caller gives up after `timeout`.
