--- a/crates/sillpin-gateway/src/placement/allowed.rs
+++ b/crates/sillpin-gateway/src/placement/allowed.rs
@@ -36,7 +36,7 @@
     /// Engines with older versions are not considered; zero allows all.
     pub oldest: WeightVersion,
     /// Reason for `oldest`.
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
 /// The state on which the choice of allowed weights depends.
@@ -118,14 +118,14 @@
         newer as f64 >= all as f64 * WIDELY_SERVED
     }
 
-    fn since(&self, oldest: WeightVersion, why: &'static str) -> AllowedWeights {
+    fn since(&self, oldest: WeightVersion, reason: &'static str) -> AllowedWeights {
         let newest = self.wanted.map(Wanted::newest);
         let age = newest.map(|newest| self.now.saturating_duration_since(newest.since));
         AllowedWeights {
             wanted: newest.map_or(WeightVersion(0), |newest| newest.version),
             wanted_for: age.unwrap_or_default(),
             oldest,
-            why,
+            reason,
         }
     }
 }
