--- a/crates/sillpin-gateway/src/placement/choose.rs
+++ b/crates/sillpin-gateway/src/placement/choose.rs
@@ -158,9 +158,9 @@
 }
 
 /// Number of engines of the own zone considered first if other boxes' work is known late. With 51
-/// engines behind 60 boxes that hear of each other 0.15 to 0.3 s late, at 84 % of the prefill
-/// capacity, 95 % of prompts start within 0.5 s if two engines are considered, 92 % with three, and
-/// 66 % with all (`herd.rs`, three seeds).
+/// engines behind 60 boxes that learn of each other's work 0.15 to 0.3 s late, at 84 % of the
+/// prefill capacity, 95 % of prompts start within 0.5 s if two engines are considered, 92 % with
+/// three, and 66 % with all (`herd.rs`, three seeds).
 const FIRST_ENGINES: usize = 2;
 
 /// Number of engines of the own zone, and of all other zones, that are considered next.
@@ -310,8 +310,8 @@
         !found.in_cooldown && found.queue_ms <= latency_objective * MAX_WAIT_FACTOR
     }
 
-    /// Returns the best of the first targets that can take the request, counting at most `max_available`
-    /// targets that are not in cooldown.
+    /// Returns the best of the first targets that can take the request, with at most
+    /// `max_available` targets that are not in cooldown.
     fn best_of(&self, targets: &[&IndexedTarget], max_available: usize) -> Option<ChosenTarget> {
         let (mut candidates, mut available) = (0, 0);
         let mut best: Option<ChosenTarget> = None;
--- a/crates/sillpin-gateway/src/placement/parts.rs
+++ b/crates/sillpin-gateway/src/placement/parts.rs
@@ -88,7 +88,8 @@
     token_bytes: u64,
 }
 
-/// Returns the salt of an organisation's parts for a weights version.
+/// Returns the salt that separates the stored parts of a weights version, and of an isolated
+/// organisation, from others.
 pub fn salt(prompt: &Prompt, version: WeightVersion, org: Option<&Organisation>) -> SaltParts {
     let wall = org.filter(|org| org.isolated);
     SaltParts {
@@ -122,7 +123,7 @@
         .iter()
         .enumerate()
         .map(|(index, part)| {
-            let place = match index + 1 < shared_count {
+            let position = match index + 1 < shared_count {
                 true => Place::Inner,
                 false => Place::Last,
             };
@@ -130,7 +131,7 @@
                 salt: text.clone(),
                 part: part.id.clone(),
             };
-            look_up(key, part.tokens, place, salt, inputs)
+            look_up(key, part.tokens, position, salt, inputs)
         });
     let shared: Vec<SharedPart> = shared.collect();
     let shared_tokens: Tokens = shared.iter().map(|part| part.tokens).sum();
@@ -148,7 +149,7 @@
 fn look_up(
     key: KeptKey,
     tokens: Tokens,
-    place: Place,
+    position: Place,
     salt: &SaltParts,
     inputs: &PlanInputs<'_>,
 ) -> SharedPart {
@@ -164,7 +165,7 @@
     }
     let directory = inputs.kept.lock();
     let used = |store: &StoreSpec| directory.used(store.addr);
-    let mut homes = homes(&inputs.config.stores, &key.part, tokens, place);
+    let mut homes = homes(&inputs.config.stores, &key.part, tokens, position);
     homes.retain(|store| inputs.residency.allows(&store.zone));
     let holds = |store: &&&StoreSpec| directory.holds(store.addr, &key, tokens, inputs.now);
     let sources: Vec<StoreSpec> = homes.iter().filter(holds).copied().cloned().collect();
@@ -305,7 +306,8 @@
         parts.join(",")
     }
 
-    /// Drops the stores for which `has_capacity` returns false: parts that only they hold are recomputed.
+    /// Drops the stores for which `has_capacity` returns false; parts that only they hold are
+    /// recomputed.
     pub fn drop_busy_sources(&mut self, has_capacity: impl Fn(SocketAddr) -> bool) {
         let stored = self.shared.iter().filter(|part| !part.sources.is_empty());
         self.stored_tokens = stored.map(|part| part.tokens).sum();
--- a/crates/sillpin-gateway/src/placement/shared_limit.rs
+++ b/crates/sillpin-gateway/src/placement/shared_limit.rs
@@ -44,7 +44,7 @@
 
 /// Time after its start in which a box takes no share: by then other boxes have read that it is
 /// registered or received a message from it. They read the registrations 0.7 s after their own
-/// start, and announce new boxes to each other at once.
+/// start, and announce new boxes to each other immediately.
 pub const MEMBERSHIP_DELAY: Duration = Duration::from_secs(3);
 
 /// What a box knows about the boxes that share a limit with it.
--- a/crates/sillpin-gateway/src/placement/signals/backoff.rs
+++ b/crates/sillpin-gateway/src/placement/signals/backoff.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Used if the header can't be parsed: the target is overloaded, and its next response says for how
-/// long.
+/// Used if the header can't be parsed: the target is overloaded, and its next response has the
+/// time.
 const UNREADABLE_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Upper bound: no process runs for longer, and clock arithmetic would overflow.
--- a/crates/sillpin-gateway/src/placement/signals/limit.rs
+++ b/crates/sillpin-gateway/src/placement/signals/limit.rs
@@ -31,8 +31,8 @@
 /// responses show that a limit has ended.
 pub const MAX_PERIOD: Duration = Duration::from_secs(5);
 
-/// A limit that has ended is lifted in steps: it doubles at once and after each step. Otherwise all
-/// boxes would return at the same moment to a target that has just recovered.
+/// A limit that has ended is lifted in steps: it doubles immediately and after each step. Otherwise
+/// all boxes would return at the same moment to a target that has just recovered.
 const LIFT_STEP_TIME: Duration = Duration::from_secs(2);
 const LIFT_STEPS: i32 = 3;
 
--- a/crates/sillpin-gateway/src/placement/slow_start.rs
+++ b/crates/sillpin-gateway/src/placement/slow_start.rs
@@ -35,8 +35,8 @@
         self.returned.retain(|id, _| is_listed(id));
     }
 
-    /// Returns whether a target is cold or may be. `announced_until` is the end of its cold phase, as reported
-    /// by the target or set by operators.
+    /// Returns whether a target is cold or may be. `announced_until` is the end of its cold phase,
+    /// as reported by the target or set by operators.
     pub fn is_cold(
         &self,
         target: &TargetId,
--- a/crates/sillpin-policy/src/overload.rs
+++ b/crates/sillpin-policy/src/overload.rs
@@ -1,9 +1,9 @@
-//! Decides which requests are refused at once because no target can start them in time.
+//! Decides which requests are refused immediately because no target can start them in time.
 //!
 //! A target that accepts everything serves less as the load grows: each request waits behind
 //! earlier ones until its caller gives up, urgent requests evict others from memory, and evicted
 //! prompts are prefilled again, or for callers that have left. A request that cannot start in time
-//! behind the current queue is therefore refused at once: its caller may be in time later or
+//! behind the current queue is therefore refused immediately: its caller may be in time later or
 //! elsewhere, and the accepted requests are served in time.
 //!
 //! The time that a caller has already waited counts, including the time before an earlier refusal.
