--- a/crates/sillpin-gateway/src/placement/signals/mod.rs
+++ b/crates/sillpin-gateway/src/placement/signals/mod.rs
@@ -77,12 +77,12 @@
         observation: SignalObservation,
         now: Instant,
     ) -> Vec<SignalChange> {
-        let observation = LimitObservation {
+        let limit_observation = LimitObservation {
             sent: observation.sent,
             announced: observation.signals.limit,
             success: observation.success,
         };
-        let limit = self.limits.record_response(target, observation, now);
+        let limit = self.limits.record_response(target, limit_observation, now);
         let mut changes: Vec<SignalChange> = limit.into_iter().map(SignalChange::Limit).collect();
         if observation.signals.leaving && self.leaving.record(target, now) {
             changes.push(SignalChange::Leaves);
