--- a/crates/sillpin-gateway/src/dialect.rs
+++ b/crates/sillpin-gateway/src/dialect.rs
@@ -180,7 +180,7 @@
     /// Whether the body is encoded, so that it is not what the target made.
     pub encoded: bool,
     /// What the target says of itself.
-    pub words: TargetWords,
+    pub signals: TargetWords,
 }
 
 /// What a target says of itself beside its answer, whatever it answers.
