--- a/crates/sillpin-gateway/tests/lives.rs
+++ b/crates/sillpin-gateway/tests/lives.rs
@@ -176,7 +176,7 @@
     assert!(loads.get(&e1).in_cooldown(Instant::now()));
     loads.retain_listed(&living(200));
     assert!(!loads.get(&e1).in_cooldown(Instant::now()));
-    assert_eq!(loads.get(&e1).failing(), 0.0);
+    assert_eq!(loads.get(&e1).failure_rate(), 0.0);
     assert_eq!(loads.get(&e1).in_flight, 1, "it has not ended yet");
     // How what had been sent to the earlier life ends.
     for _ in 0..times {
