--- a/crates/sillpin-gateway/tests/named_limit.rs
+++ b/crates/sillpin-gateway/tests/named_limit.rs
@@ -119,11 +119,11 @@
 async fn the_later_observation_wins_in_any_order() {
     let (mut one, mut other) = (AnnouncedLimits::default(), AnnouncedLimits::default());
     one.record_response(incarnation("a"), announcing("2"), Instant::now());
-    let announced = one.updates(Instant::now());
+    let announced = one.told(Instant::now());
     advance(Duration::from_millis(50)).await;
     let sent = Instant::now();
     one.record_response(incarnation("a"), without_limit(sent, true), sent);
-    let end = one.updates(Instant::now());
+    let end = one.told(Instant::now());
     // The end arrives first, then the limit, with its age.
     other.record_response(
         incarnation("a"),
@@ -153,7 +153,7 @@
     other.record_response(incarnation("a"), announcing("2"), Instant::now());
     let sent = Instant::now() + Duration::from_millis(1);
     other.record_response(incarnation("a"), without_limit(sent, true), sent);
-    let mut updates = other.updates(sent);
+    let mut updates = other.told(sent);
     updates[0].age_ms = 5_000;
     one.age(Duration::from_secs(10));
     advance(Duration::from_secs(6)).await;
@@ -185,7 +185,7 @@
     advance(Duration::from_secs(60)).await;
     let mut other = AnnouncedLimits::default();
     for _ in 0..300 / 16 + 1 {
-        let updates = limits.updates(Instant::now());
+        let updates = limits.told(Instant::now());
         assert!(updates.len() <= 72);
         other.hear(&updates, Instant::now());
     }
