--- a/crates/sillpin-gateway/src/placement/allowed.rs
+++ b/crates/sillpin-gateway/src/placement/allowed.rs
@@ -100,9 +100,9 @@
     /// Returns when a version may no longer be used, if newer ones are wanted.
     fn usable_until(&self, wanted: &Wanted, version: WeightVersion) -> Option<Instant> {
         let end_of_use =
-            |named: &Named| match named.witnessed || !self.is_widely_served(named.version) {
-                true => named.since + self.limit,
-                false => named.since,
+            |desired: &Named| match desired.witnessed || !self.is_widely_served(desired.version) {
+                true => desired.since + self.limit,
+                false => desired.since,
             };
         wanted.newer(version).map(end_of_use).min()
     }
--- a/crates/sillpin-gateway/src/placement/limits.rs
+++ b/crates/sillpin-gateway/src/placement/limits.rs
@@ -116,11 +116,11 @@
     ) -> [Option<SharedLimit>; 2] {
         let cold = self.cold_limit(limit_context, target, now);
         let limits = &self.signals.limits;
-        let named = match limits.is_empty() {
+        let announced = match limits.is_empty() {
             true => None,
             false => limits.limit(IncarnationHash::of(target), now),
         };
-        [cold, named]
+        [cold, announced]
     }
 
     fn cold_limit(
--- a/crates/sillpin-gateway/src/placement/load.rs
+++ b/crates/sillpin-gateway/src/placement/load.rs
@@ -266,7 +266,7 @@
         self.lock().get(target).copied().unwrap_or_default()
     }
 
-    /// Counts a request as in flight at a target until the ticket is dropped.
+    /// Counts a request as in flight at a target until the guard is dropped.
     pub fn start(&self, target: &TargetId, work: Work) -> InFlightGuard {
         self.limits().record_sent(target, Instant::now());
         let mut table = self.lock();
--- a/crates/sillpin-gateway/src/placement/shared_limit.rs
+++ b/crates/sillpin-gateway/src/placement/shared_limit.rs
@@ -25,7 +25,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The load that a target can handle is divided by this factor before it caps a limit. Boxes that
+/// A limit is capped at the load that the target can handle divided by this factor. Boxes that
 /// start at the same moment may know about each other only one way, and a connection that opens
 /// slowly moves a request into the next period.
 const RESERVE_FACTOR: f64 = 2.0;
@@ -39,7 +39,8 @@
 /// send it five requests a second, besides the shares of boxes that did not restart.
 const UNKNOWN_SHARE_INTERVAL: Duration = Duration::from_secs(20);
 
-/// This time per other known box of the zone is used instead if it is longer.
+/// Interval per other known box of the zone, which replaces [`UNKNOWN_SHARE_INTERVAL`] if their sum
+/// is longer.
 const UNKNOWN_SHARE_INTERVAL_PER_BOX: Duration = Duration::from_millis(200);
 
 /// Time after its start in which a box takes no share: by then other boxes have read that it is
--- a/crates/sillpin-gateway/src/placement/signals/limit.rs
+++ b/crates/sillpin-gateway/src/placement/signals/limit.rs
@@ -40,8 +40,8 @@
 /// second shows when that is over.
 const UNREADABLE_PER_S: f64 = 1.0;
 
-/// Relative difference between two rates from which a change is logged and sent to other boxes at
-/// once.
+/// Relative difference between two rates from which a change is logged and sent to other boxes
+/// immediately.
 const SIGNIFICANT_CHANGE: f64 = 0.1;
 
 /// Time after a change for which a limit is in every message: several rounds of gossip.
--- a/crates/sillpin-gateway/src/placement/work.rs
+++ b/crates/sillpin-gateway/src/placement/work.rs
@@ -79,8 +79,8 @@
     /// Returns the hash of the incarnation that an entry describes.
     pub fn of(target: &TargetEntry) -> Self {
         let life = target.life.map_or(0, |life| life.0);
-        let place = format!("{} {life}", target.addr);
-        Self(hash_pair(target.id.as_str(), &place) as u32)
+        let address_and_life = format!("{} {life}", target.addr);
+        Self(hash_pair(target.id.as_str(), &address_and_life) as u32)
     }
 }
 
@@ -121,7 +121,7 @@
 #[derive(Debug)]
 struct HubReport {
     at: Instant,
-    sums: Arc<HashMap<TargetHash, Work>>,
+    totals: Arc<HashMap<TargetHash, Work>>,
     members: HashSet<BoxHash>,
 }
 
@@ -131,7 +131,7 @@
     box_reports: HashMap<BoxId, BoxReport>,
     hub_report: Option<HubReport>,
     /// What this box last reported to its hub.
-    own_reported: Vec<EngineWork>,
+    own_report: Vec<EngineWork>,
 }
 
 impl PeerWork {
@@ -144,21 +144,21 @@
 
     /// Stores what this box reported to its hub, which the hub includes in its totals.
     pub fn set_own_report(&mut self, work: Vec<EngineWork>) {
-        self.own_reported = work;
+        self.own_report = work;
     }
 
     /// Stores a hub's totals of the work of all boxes, including this one, and the boxes of the
     /// zone from which the hub receives messages.
     pub fn apply_zone_totals(&mut self, work: Vec<EngineWork>, members: &[BoxHash], now: Instant) {
-        let mut sums: HashMap<TargetHash, Work> = work.iter().map(|w| (w.0, w.work())).collect();
-        for own in &self.own_reported {
-            if let Some(sum) = sums.get_mut(&own.0) {
-                sum.subtract(own.work());
+        let mut totals: HashMap<TargetHash, Work> = work.iter().map(|w| (w.0, w.work())).collect();
+        for own in &self.own_report {
+            if let Some(total) = totals.get_mut(&own.0) {
+                total.subtract(own.work());
             }
         }
         self.hub_report = Some(HubReport {
             at: now,
-            sums: Arc::new(sums),
+            totals: Arc::new(totals),
             members: members.iter().map(|of| of.placeless()).collect(),
         });
     }
@@ -196,16 +196,16 @@
     /// themselves.
     pub fn engine_totals(&self, now: Instant) -> Arc<HashMap<TargetHash, Work>> {
         if let Some(hub_report) = self.hub_report(now) {
-            return hub_report.sums.clone();
+            return hub_report.totals.clone();
         }
-        let fresh = self
+        let recent = self
             .box_reports
             .values()
             .filter(|report| now - report.at < REPORT_LIFETIME);
-        let mut sums: HashMap<TargetHash, Work> = HashMap::new();
-        for engine in fresh.flat_map(|report| &report.work) {
-            sums.entry(engine.0).or_default().add(engine.work());
+        let mut totals: HashMap<TargetHash, Work> = HashMap::new();
+        for engine in recent.flat_map(|report| &report.work) {
+            totals.entry(engine.0).or_default().add(engine.work());
         }
-        Arc::new(sums)
+        Arc::new(totals)
     }
 }
