--- a/crates/sillpin-gateway/src/placement/choose.rs
+++ b/crates/sillpin-gateway/src/placement/choose.rs
@@ -176,7 +176,7 @@
 pub fn choose(choice: &ChoiceInputs<'_>) -> Option<ChosenTarget> {
     let found = choose_with(choice, Admission::OwnShare);
     match &choice.limit_context {
-        Some(limit_context) if !limit_context.share_group.knows_share() => {
+        Some(context) if !context.share_group.knows_share() => {
             found.or_else(|| choose_with(choice, Admission::UnknownShare))
         }
         _ => found,
@@ -287,16 +287,15 @@
     /// Returns those of the targets that are limited. Few boxes have a share of a target's limit,
     /// and two engines selected for a prompt are rarely those at which its box has one.
     fn limited_only<'t>(&self, targets: &[&'t IndexedTarget]) -> Vec<&'t IndexedTarget> {
-        let Some(limit_context) = &self.choice.limit_context else {
+        let Some(context) = &self.choice.limit_context else {
             return Vec::new();
         };
         let limits = self.choice.loads.limits();
-        if !limits.has_any(limit_context) {
+        if !limits.has_any(context) {
             return Vec::new();
         }
-        let is_limited = |target: &&&IndexedTarget| {
-            limits.is_limited(limit_context, &target.entry, self.choice.now)
-        };
+        let is_limited =
+            |target: &&&IndexedTarget| limits.is_limited(context, &target.entry, self.choice.now);
         targets.iter().filter(is_limited).copied().collect()
     }
 
@@ -333,11 +332,11 @@
 
     /// Returns whether a target's limits let this box send it one more request.
     fn is_admitted(&self, entry: &TargetEntry) -> bool {
-        let Some(limit_context) = &self.choice.limit_context else {
+        let Some(context) = &self.choice.limit_context else {
             return true;
         };
         let mut limits = self.choice.loads.limits();
-        limits.admits(limit_context, entry, self.admission, self.choice.now)
+        limits.admits(context, entry, self.admission, self.choice.now)
     }
 
     /// Returns a target with its cost, or `None` if it can't take the request. `position` is its
--- a/crates/sillpin-gateway/src/placement/limits.rs
+++ b/crates/sillpin-gateway/src/placement/limits.rs
@@ -49,36 +49,33 @@
     /// Returns whether this box may send one more request to a target now.
     pub fn admits(
         &mut self,
-        limit_context: &LimitContext<'_>,
+        context: &LimitContext<'_>,
         target: &TargetEntry,
         admission: Admission,
         now: Instant,
     ) -> bool {
-        let mut limits = self
-            .applicable(limit_context, target, now)
-            .into_iter()
-            .flatten();
+        let mut limits = self.applicable(context, target, now).into_iter().flatten();
         limits.all(|limit| {
             self.shared
-                .admits(&limit_context.share_group, target, limit, admission, now)
+                .admits(&context.share_group, target, limit, admission, now)
         })
     }
 
     /// Returns whether any target may be limited.
-    pub fn has_any(&self, limit_context: &LimitContext<'_>) -> bool {
-        let cold = limit_context.warm_up.is_some()
-            && (!limit_context.cold.is_empty() || self.slow_start.has_any());
+    pub fn has_any(&self, context: &LimitContext<'_>) -> bool {
+        let cold =
+            context.warm_up.is_some() && (!context.cold.is_empty() || self.slow_start.has_any());
         cold || !self.signals.limits.is_empty()
     }
 
     /// Returns whether a target is limited.
     pub fn is_limited(
         &self,
-        limit_context: &LimitContext<'_>,
+        context: &LimitContext<'_>,
         target: &TargetEntry,
         now: Instant,
     ) -> bool {
-        self.applicable(limit_context, target, now)
+        self.applicable(context, target, now)
             .iter()
             .any(Option::is_some)
     }
@@ -87,18 +84,15 @@
     /// `None` if no limit applies now.
     pub fn wait(
         &mut self,
-        limit_context: &LimitContext<'_>,
+        context: &LimitContext<'_>,
         target: &TargetEntry,
         now: Instant,
     ) -> Option<Duration> {
-        let limits = self
-            .applicable(limit_context, target, now)
-            .into_iter()
-            .flatten();
+        let limits = self.applicable(context, target, now).into_iter().flatten();
         let waits = limits.filter_map(|limit| {
             let free = self
                 .shared
-                .free_at(&limit_context.share_group, target, limit, now);
+                .free_at(&context.share_group, target, limit, now);
             // Other boxes send the target one request in each of so many parts of the period.
             let others = || now + limit.period / limit.total.max(1);
             Some(free.unwrap_or_else(others)).filter(|at| *at > now)
@@ -110,11 +104,11 @@
     /// target reports.
     fn applicable(
         &self,
-        limit_context: &LimitContext<'_>,
+        context: &LimitContext<'_>,
         target: &TargetEntry,
         now: Instant,
     ) -> [Option<SharedLimit>; 2] {
-        let cold = self.cold_limit(limit_context, target, now);
+        let cold = self.cold_limit(context, target, now);
         let limits = &self.signals.limits;
         let announced = match limits.is_empty() {
             true => None,
@@ -125,16 +119,16 @@
 
     fn cold_limit(
         &self,
-        limit_context: &LimitContext<'_>,
+        context: &LimitContext<'_>,
         target: &TargetEntry,
         now: Instant,
     ) -> Option<SharedLimit> {
-        let warm_up = limit_context.warm_up?;
-        let announced_until = limit_context.cold.get(&target.id).copied();
+        let warm_up = context.warm_up?;
+        let announced_until = context.cold.get(&target.id).copied();
         let is_cold = self
             .slow_start
             .is_cold(&target.id, announced_until, warm_up, now);
-        is_cold.then(|| slow_start::limit(warm_up, limit_context.rules))
+        is_cold.then(|| slow_start::limit(warm_up, context.rules))
     }
 
     /// Records that a request is sent to a target.
--- a/crates/sillpin-gateway/src/placement/load.rs
+++ b/crates/sillpin-gateway/src/placement/load.rs
@@ -118,16 +118,16 @@
 
 /// A zone looks partitioned after this many failures to reach a target in it without a success
 /// between.
-const MIN_ZONE_FAILURES: u32 = 2;
+const MIN_FAILURES: u32 = 2;
 
 /// Time for which a zone that looks partitioned is avoided after the last failure.
-const PARTITION_AVOIDANCE: Duration = Duration::from_secs(2);
+const AVOID_TIME: Duration = Duration::from_secs(2);
 
 /// Failures to reach targets of another zone since the last success.
 #[derive(Debug, Clone, Copy)]
 struct ZoneReachability {
     failures: u32,
-    last_failure: Instant,
+    failed_at: Instant,
 }
 
 /// Guard of the loads of all targets.
@@ -238,7 +238,7 @@
 
     /// Records whether a target of a zone could be reached.
     pub fn record_reachability(&self, zone: &ZoneId, reached: bool) {
-        let last_failure = Instant::now();
+        let failed_at = Instant::now();
         let mut zones = self.zones.lock().unwrap_or_else(|e| e.into_inner());
         if reached {
             zones.remove(zone);
@@ -246,19 +246,17 @@
         }
         let reachability = zones.entry(zone.clone()).or_insert(ZoneReachability {
             failures: 0,
-            last_failure,
+            failed_at,
         });
         reachability.failures += 1;
-        reachability.last_failure = last_failure;
+        reachability.failed_at = failed_at;
     }
 
     /// Returns whether this box seems to be partitioned from a zone.
     pub fn looks_partitioned(&self, zone: &ZoneId, now: Instant) -> bool {
         let zones = self.zones.lock().unwrap_or_else(|e| e.into_inner());
         let reachability = zones.get(zone);
-        reachability.is_some_and(|r| {
-            r.failures >= MIN_ZONE_FAILURES && now - r.last_failure < PARTITION_AVOIDANCE
-        })
+        reachability.is_some_and(|r| r.failures >= MIN_FAILURES && now - r.failed_at < AVOID_TIME)
     }
 
     /// Returns the load and health of a target.
--- a/crates/sillpin-gateway/src/placement/mod.rs
+++ b/crates/sillpin-gateway/src/placement/mod.rs
@@ -1,7 +1,7 @@
 //! Choice of the target for each request.
 //!
 //! - [`load`]: requests that this box has in flight at each target, and the health of targets,
-//! - [`choose`]: the choice among the targets of a pool,
+//! - [`mod@choose`]: the choice among the targets of a pool,
 //! - [`allowed`]: the weights versions on which a prompt may run,
 //! - [`index`]: targets by pool and zone,
 //! - [`hold_time`]: how long requests hold an engine's memory,
--- a/crates/sillpin-gateway/src/placement/parts.rs
+++ b/crates/sillpin-gateway/src/placement/parts.rs
@@ -28,7 +28,7 @@
 
 /// Share of a store's capacity that is filled; the rest is for parts being written, which are not
 /// counted.
-const MAX_FILL_SHARE: f64 = 0.975;
+const MAX_FILL: f64 = 0.975;
 
 /// Reason for which a shared part is recomputed and not stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
@@ -183,21 +183,19 @@
     }
     let is_known = |store: &&&StoreSpec| directory.is_known(store.addr, inputs.now);
     let known: Vec<&StoreSpec> = homes.iter().filter(is_known).copied().collect();
-    let has_room = |store: &&&StoreSpec| {
-        (used(store) + tokens).0 as f64 <= store.room.0 as f64 * MAX_FILL_SHARE
-    };
-    let with_capacity: Vec<&StoreSpec> = known.iter().filter(has_room).copied().collect();
-    let is_like_first = |store: &&&StoreSpec| {
-        store.first == with_capacity[0].first && store.room == with_capacity[0].room
-    };
-    let not_kept = match (known.is_empty(), with_capacity.is_empty()) {
+    let has_room =
+        |store: &&&StoreSpec| (used(store) + tokens).0 as f64 <= store.room.0 as f64 * MAX_FILL;
+    let usable: Vec<&StoreSpec> = known.iter().filter(has_room).copied().collect();
+    let is_like_first =
+        |store: &&&StoreSpec| store.first == usable[0].first && store.room == usable[0].room;
+    let not_kept = match (known.is_empty(), usable.is_empty()) {
         (true, _) => NotKept::StoresUnknown,
         (_, true) => NotKept::NoRoom,
         _ => NotKept::Asked,
     };
     SharedPart {
         not_kept,
-        homes: with_capacity
+        homes: usable
             .iter()
             .filter(is_like_first)
             .map(|store| (*store).clone())
--- a/crates/sillpin-gateway/src/placement/shared_limit.rs
+++ b/crates/sillpin-gateway/src/placement/shared_limit.rs
@@ -175,18 +175,18 @@
     /// Returns whether this box may send one more request to a limited target now.
     pub fn admits(
         &mut self,
-        share_group: &ShareGroup<'_>,
+        group: &ShareGroup<'_>,
         target: &TargetEntry,
         limit: SharedLimit,
         admission: Admission,
         now: Instant,
     ) -> bool {
-        let Some(share) = self.share(share_group, target, limit) else {
+        let Some(share) = self.share(group, target, limit) else {
             // Callers of a box that stops can use another one; callers of a box out of contact may
             // not be able to.
-            let may = admission == Admission::UnknownShare && !share_group.is_stopping;
-            let is_near = *share_group.zone == target.zone;
-            return may && is_near && now >= self.paced_from(share_group, &target.id, now);
+            let may = admission == Admission::UnknownShare && !group.is_stopping;
+            let is_near = *group.zone == target.zone;
+            return may && is_near && now >= self.paced_from(group, &target.id, now);
         };
         self.sent_within(&target.id, limit.period + CONNECT_ALLOWANCE, now) < share
     }
@@ -195,13 +195,13 @@
     /// share.
     pub fn free_at(
         &mut self,
-        share_group: &ShareGroup<'_>,
+        group: &ShareGroup<'_>,
         target: &TargetEntry,
         limit: SharedLimit,
         now: Instant,
     ) -> Option<Instant> {
         let share = self
-            .share(share_group, target, limit)
+            .share(group, target, limit)
             .filter(|share| *share > 0)?;
         let sent = self.sent.get(&target.id).into_iter().flatten();
         // There is room once all but the last `share - 1` requests have expired.
@@ -213,17 +213,13 @@
     /// stopping.
     fn share(
         &mut self,
-        share_group: &ShareGroup<'_>,
+        group: &ShareGroup<'_>,
         target: &TargetEntry,
         limit: SharedLimit,
     ) -> Option<u32> {
-        let is_informed = share_group.is_in_contact || !limit.strict;
-        let takes_share =
-            share_group.is_membership_known && !share_group.is_stopping && is_informed;
-        takes_share.then(|| {
-            self.share_rank(share_group, target, limit.strict)
-                .share(limit.total)
-        })
+        let is_informed = group.is_in_contact || !limit.strict;
+        let takes_share = group.is_membership_known && !group.is_stopping && is_informed;
+        takes_share.then(|| self.rank(group, target, limit.strict).share(limit.total))
     }
 
     fn sent_within(&self, target: &TargetId, time: Duration, now: Instant) -> u32 {
@@ -234,15 +230,10 @@
 
     /// Returns when this box may send to a limited target without knowing its share. The first time
     /// is random, since boxes that start together would otherwise send together.
-    fn paced_from(
-        &mut self,
-        share_group: &ShareGroup<'_>,
-        target: &TargetId,
-        now: Instant,
-    ) -> Instant {
+    fn paced_from(&mut self, group: &ShareGroup<'_>, target: &TargetId, now: Instant) -> Instant {
         let first = || {
-            let others = share_group.others.iter();
-            let near = others.filter(|other| other.zone == *share_group.zone);
+            let others = group.others.iter();
+            let near = others.filter(|other| other.zone == *group.zone);
             let interval =
                 UNKNOWN_SHARE_INTERVAL.max(UNKNOWN_SHARE_INTERVAL_PER_BOX * near.count() as u32);
             let from = now + interval.mul_f64(rand::rng().random());
@@ -252,24 +243,19 @@
     }
 
     /// Returns this box's rank among those that share a limit of a target, cached.
-    fn share_rank(
-        &mut self,
-        share_group: &ShareGroup<'_>,
-        target: &TargetEntry,
-        strict: bool,
-    ) -> ShareRank {
-        if !Arc::ptr_eq(&self.others, share_group.others) {
-            self.others = share_group.others.clone();
+    fn rank(&mut self, group: &ShareGroup<'_>, target: &TargetEntry, strict: bool) -> ShareRank {
+        if !Arc::ptr_eq(&self.others, group.others) {
+            self.others = group.others.clone();
             self.ranks.clear();
         }
         let key = (target.id.clone(), strict);
         let cached = self.ranks.get(&key);
-        if let Some((share_rank, _)) = cached.filter(|(_, zones)| zones == share_group.pool_zones) {
+        if let Some((share_rank, _)) = cached.filter(|(_, zones)| zones == group.pool_zones) {
             return *share_rank;
         }
-        let share_rank = share_rank(share_group, target, strict);
+        let share_rank = share_rank(group, target, strict);
         self.ranks
-            .insert(key, (share_rank, share_group.pool_zones.to_vec()));
+            .insert(key, (share_rank, group.pool_zones.to_vec()));
         share_rank
     }
 }
@@ -282,23 +268,22 @@
 
 /// Computes a box's rank among those that share a limit of a target. If the target's zone has no
 /// box, the boxes of all zones share it.
-fn share_rank(share_group: &ShareGroup<'_>, target: &TargetEntry, strict: bool) -> ShareRank {
-    let has_no_targets = |zone: &ZoneId| !strict && !share_group.pool_zones.contains(zone);
+fn share_rank(group: &ShareGroup<'_>, target: &TargetEntry, strict: bool) -> ShareRank {
+    let has_no_targets = |zone: &ZoneId| !strict && !group.pool_zones.contains(zone);
     let shares = |zone: &ZoneId| *zone == target.zone || has_no_targets(zone);
     let is_near = |zone: &ZoneId| *zone == target.zone;
-    let others = share_group.others.iter();
-    let zone_has_box =
-        is_near(share_group.zone) || others.clone().any(|other| is_near(&other.zone));
-    if zone_has_box && !shares(share_group.zone) {
+    let others = group.others.iter();
+    let zone_has_box = is_near(group.zone) || others.clone().any(|other| is_near(&other.zone));
+    if zone_has_box && !shares(group.zone) {
         return NO_SHARE;
     }
     let sharing = others.filter(|other| !zone_has_box || shares(&other.zone));
-    let hash_rank = |id: &BoxId| (hash_pair(id.as_str(), target.id.as_str()), id.clone());
-    let own = hash_rank(share_group.me);
+    let order = |id: &BoxId| (hash_pair(id.as_str(), target.id.as_str()), id.clone());
+    let own = order(group.me);
     let mut share_rank = ShareRank { ahead: 0, boxes: 1 };
     for other in sharing {
         share_rank.boxes += 1;
-        share_rank.ahead += u32::from(hash_rank(&other.id) > own);
+        share_rank.ahead += u32::from(order(&other.id) > own);
     }
     share_rank
 }
--- a/crates/sillpin-gateway/tests/place.rs
+++ b/crates/sillpin-gateway/tests/place.rs
@@ -477,13 +477,11 @@
             announced: Some(LimitWord::Rate("2".parse().unwrap())),
             success: true,
         };
-        let incarnation = IncarnationHash::of(&limited_engine);
+        let hash = IncarnationHash::of(&limited_engine);
         let now = Instant::now();
-        fixture.loads.signals(|signals| {
-            signals
-                .limits
-                .record_response(incarnation, observation, now)
-        });
+        fixture
+            .loads
+            .signals(|signals| signals.limits.record_response(hash, observation, now));
         let model = name("m");
         let plans = [(WeightVersion(1), plan_stored_in("za"))];
         let prompt = || PromptInputs {
--- a/crates/sillpin-gateway/tests/slow_start.rs
+++ b/crates/sillpin-gateway/tests/slow_start.rs
@@ -130,8 +130,10 @@
         let half = self.sample(0.5);
         match fault {
             Fault::None => {}
-            Fault::Restart => half.iter().for_each(|index| self.restart(*index, now)),
-            Fault::RestartAll => (0..self.boxes.len()).for_each(|index| self.restart(index, now)),
+            Fault::Restart => half.iter().for_each(|index| self.restart_box(*index, now)),
+            Fault::RestartAll => {
+                (0..self.boxes.len()).for_each(|index| self.restart_box(index, now))
+            }
             Fault::Replaced => {
                 for index in half {
                     self.boxes[index].ended_at = Some(now);
@@ -165,7 +167,7 @@
         }
     }
 
-    fn restart(&mut self, index: usize, now: Instant) {
+    fn restart_box(&mut self, index: usize, now: Instant) {
         let one = &mut self.boxes[index];
         one.started_at = now;
         one.state = Limits::default();
@@ -238,7 +240,7 @@
             let in_contact = one
                 .partitioned_at
                 .is_none_or(|at| now < at + Duration::from_secs(3));
-            let limit_context = LimitContext {
+            let context = LimitContext {
                 cold: &cold,
                 warm_up: Some(WARM_UP),
                 rules: RULES,
@@ -253,10 +255,9 @@
                 },
             };
             for target in &targets {
-                let admits = |state: &mut Limits, admission| {
-                    state.admits(&limit_context, target, admission, now)
-                };
-                let knows_no_share = !limit_context.share_group.knows_share();
+                let admits =
+                    |state: &mut Limits, admission| state.admits(&context, target, admission, now);
+                let knows_no_share = !context.share_group.knows_share();
                 while !is_limited
                     || admits(&mut one.state, Admission::OwnShare)
                     || (knows_no_share && admits(&mut one.state, Admission::UnknownShare))
