--- a/crates/sillpin-gateway/src/placement/load.rs
+++ b/crates/sillpin-gateway/src/placement/load.rs
@@ -23,8 +23,8 @@
 /// further refusal in a row.
 const REFUSAL_COOLDOWN: Duration = Duration::from_millis(250);
 
-/// Longest cooldown after refusals: a load of weights that this box was not told of takes one to
-/// two seconds.
+/// Longest cooldown after refusals: a load of weights that was not reported to this box takes one
+/// to two seconds.
 const MAX_REFUSAL_COOLDOWN: Duration = Duration::from_millis(1_000);
 
 /// Cooldown of an engine that loads weights, unless the end of the load is known earlier: the
--- a/crates/sillpin-gateway/src/placement/parts.rs
+++ b/crates/sillpin-gateway/src/placement/parts.rs
@@ -52,7 +52,7 @@
     /// engines' clock yet.
     #[display("no-clock")]
     NoClock,
-    /// Another request was told to save it a moment ago.
+    /// Another request is saving it already.
     #[display("asked")]
     Asked,
 }
--- a/crates/sillpin-gateway/src/placement/signals/backoff.rs
+++ b/crates/sillpin-gateway/src/placement/signals/backoff.rs
@@ -1,5 +1,5 @@
-//! Times for which targets asked this box to send no requests, with a retry-after header on a
-//! refusal.
+//! Times for which this box may send no requests to a target, from the retry-after headers of
+//! refusals.
 //!
 //! Each time starts at its own refusal, so if there are several, the one that ends last applies. It
 //! applies to this box only: a target sends one to each box.
--- a/crates/sillpin-gateway/src/placement/signals/mod.rs
+++ b/crates/sillpin-gateway/src/placement/signals/mod.rs
@@ -5,7 +5,7 @@
 //!
 //! - [`limit`]: rate limits that targets announce,
 //! - [`leaving`]: targets that are shutting down,
-//! - [`backoff`]: times for which targets asked this box to send no requests,
+//! - [`backoff`]: times for which this box may send no requests to a target,
 //! - [`replaced`]: targets whose address is now used by another target.
 
 pub mod backoff;
@@ -44,9 +44,9 @@
     /// A limit started, changed or ended.
     Limit(LimitChange),
     /// The target is shutting down.
-    Leaves,
-    /// The target asked this box to send no requests for a while.
-    BacksOff {
+    ShuttingDown,
+    /// This box may send no requests to the target for a while.
+    Backoff {
         /// Length of the backoff.
         wait: Duration,
         /// Whether the header could be parsed.
@@ -61,7 +61,7 @@
     pub limits: AnnouncedLimits,
     /// Targets that are shutting down.
     pub leaving: LeavingTargets,
-    /// Targets that asked this box to send no requests for a while.
+    /// Targets to which this box may send no requests for a while.
     pub backoffs: Backoffs,
     /// Targets whose address is now used by another target.
     pub replaced: ReplacedTargets,
@@ -85,7 +85,7 @@
         let limit = self.limits.record_response(target, limit_observation, now);
         let mut changes: Vec<SignalChange> = limit.into_iter().map(SignalChange::Limit).collect();
         if observation.signals.leaving && self.leaving.record(target, now) {
-            changes.push(SignalChange::Leaves);
+            changes.push(SignalChange::ShuttingDown);
         }
         if let Some(retry_after) = observation
             .signals
@@ -94,7 +94,7 @@
         {
             let wait = self.backoffs.record(target, retry_after, now);
             let is_readable = retry_after != RetryAfter::Unreadable;
-            changes.extend(wait.map(|wait| SignalChange::BacksOff { wait, is_readable }));
+            changes.extend(wait.map(|wait| SignalChange::Backoff { wait, is_readable }));
         }
         changes
     }
@@ -145,8 +145,8 @@
 pub fn log_change(log: &Logger, target: &str, change: SignalChange) {
     match change {
         SignalChange::Limit(change) => log_limit(log, target, change, "answer"),
-        SignalChange::Leaves => event!(log, events::TARGET_LEAVES, "target" => target),
-        SignalChange::BacksOff { wait, is_readable } => event!(log, events::TARGET_BACKS_OFF,
+        SignalChange::ShuttingDown => event!(log, events::TARGET_LEAVES, "target" => target),
+        SignalChange::Backoff { wait, is_readable } => event!(log, events::TARGET_BACKS_OFF,
             "target" => target, "wait_ms" => wait.as_millis(), "readable" => is_readable),
     }
 }
--- a/crates/sillpin-gateway/tests/limited_fleet.rs
+++ b/crates/sillpin-gateway/tests/limited_fleet.rs
@@ -106,7 +106,7 @@
     responses: Vec<Response>,
     arrived: Vec<Vec<Instant>>,
     refused: usize,
-    began: Instant,
+    started_at: Instant,
 }
 
 fn is_limited(target: usize) -> bool {
@@ -143,7 +143,7 @@
             responses: Vec::new(),
             arrived: vec![Vec::new(); targets],
             refused: 0,
-            began: Instant::now(),
+            started_at: Instant::now(),
         }
     }
 
@@ -277,7 +277,8 @@
             to: from,
             target,
             sent: now,
-            announced_limit: announced_limit(self.began.elapsed()).filter(|_| is_limited(target)),
+            announced_limit: announced_limit(self.started_at.elapsed())
+                .filter(|_| is_limited(target)),
         });
         true
     }
@@ -313,7 +314,7 @@
             let mut moments = self.arrived[target].clone();
             moments.sort_unstable();
             let after = |from: &Instant| {
-                let elapsed = *from - self.began;
+                let elapsed = *from - self.started_at;
                 let least = announced_limit(elapsed.checked_sub(contact)?)?;
                 let until = moments.iter().filter(|at| *at >= from);
                 let count = until.take_while(|at| **at - *from <= PERIOD).count();
@@ -330,7 +331,7 @@
         let (from, rate) = ANNOUNCED[0];
         let from = Duration::from_secs(from) + contact;
         let until = Duration::from_secs(ANNOUNCED[1].0);
-        let counts = |at: &&Instant| (from..until).contains(&(**at - self.began));
+        let counts = |at: &&Instant| (from..until).contains(&(**at - self.started_at));
         let limited = (0..self.targets.len()).filter(|at| is_limited(*at));
         let (mut count, mut targets) = (0, 0);
         for target in limited {
@@ -353,7 +354,7 @@
     for _ in 0..20 {
         simulation.fleet.round().await;
     }
-    simulation.began = Instant::now();
+    simulation.started_at = Instant::now();
     simulation.update_views();
     let steps = |seconds: u64| (seconds * 1_000 / STEP.as_millis() as u64) as usize;
     let count = (LENGTH.as_millis() / STEP.as_millis()) as usize;
--- a/crates/sillpin-gateway/tests/place.rs
+++ b/crates/sillpin-gateway/tests/place.rs
@@ -401,22 +401,22 @@
     let hash = IncarnationHash::of(&engine("e1", "za"));
     let observer = Loads::default();
     observer.signals(|signals| signals.replaced.record_observed(hash, Instant::now()));
-    let told = observer.signals(|signals| signals.replaced.told(Instant::now()));
+    let updates = observer.signals(|signals| signals.replaced.told(Instant::now()));
     fixture
         .loads
-        .signals(|signals| signals.replaced.hear(&told, Instant::now()));
+        .signals(|signals| signals.replaced.hear(&updates, Instant::now()));
     assert_ne!(fixture.choose(None).as_deref(), Some("e1"));
-    let observation = fixture
+    let forwarded = fixture
         .loads
         .signals(|signals| signals.replaced.told(Instant::now()));
     assert!(
-        observation.is_empty(),
+        forwarded.is_empty(),
         "only the box that observed it sends it"
     );
     tokio::time::advance(Duration::from_secs(3)).await;
     fixture
         .loads
-        .signals(|signals| signals.replaced.hear(&told, Instant::now()));
+        .signals(|signals| signals.replaced.hear(&updates, Instant::now()));
     assert!(
         observer
             .signals(|signals| signals.replaced.told(Instant::now()))
@@ -445,8 +445,8 @@
     let work = |zone: &'static str, ms: u32| {
         engines(zone).map(move |e| EngineWork(TargetHash::of(&e.id), ms, 100, 1))
     };
-    let told = work("za", here_ms).chain(work("zb", there_ms)).collect();
-    fixture.loads.apply_zone_totals(told, &[]);
+    let totals = work("za", here_ms).chain(work("zb", there_ms)).collect();
+    fixture.loads.apply_zone_totals(totals, &[]);
     let model = name("m");
     let plans = [(WeightVersion(1), plan_stored_in("zb"))];
     let prompt = PromptInputs {
--- a/crates/sillpin-gateway/tests/signals.rs
+++ b/crates/sillpin-gateway/tests/signals.rs
@@ -150,7 +150,7 @@
     let (unlisted, listed) = (incarnation("i-1", 1), incarnation("i-2", 1));
     for target in [unlisted, listed] {
         let changes = signals.record(target, leaving(), Instant::now());
-        assert_eq!(changes, [SignalChange::Leaves]);
+        assert_eq!(changes, [SignalChange::ShuttingDown]);
         assert!(signals.record(target, leaving(), Instant::now()).is_empty());
     }
     assert!(
