--- a/crates/sillpin-gateway/src/beliefs/fleet.rs
+++ b/crates/sillpin-gateway/src/beliefs/fleet.rs
@@ -258,7 +258,7 @@
             .collect();
         for id in &gone {
             self.lapsed.remove(id);
-            self.drop_target(id, "its entry did not return after the store's outage");
+            self.drop_target(id, "its entry was not written again after the platform store's outage");
         }
         let some_silent = self.forget_silent(now);
         let some_shown = self.departures.sweep(now);
--- a/crates/sillpin-gateway/src/beliefs/fleet/evacuated.rs
+++ b/crates/sillpin-gateway/src/beliefs/fleet/evacuated.rs
@@ -59,7 +59,7 @@
     pub(super) fn end_lost_evacuations(&mut self, now: Instant) -> bool {
         let due = self.evacuations.due(now);
         for zone in &due {
-            self.end_evacuation(zone, "not written again", now);
+            self.end_evacuation(zone, "not written again after the store was restored", now);
         }
         if !due.is_empty() {
             self.show_evacuations();
--- a/crates/sillpin-gateway/src/beliefs/fleet/targets.rs
+++ b/crates/sillpin-gateway/src/beliefs/fleet/targets.rs
@@ -111,7 +111,7 @@
             self.lapsed.insert(id, until);
             return;
         }
-        self.drop_target(&id, "its entry is gone");
+        self.drop_target(&id, "its entry was removed");
     }
 
     pub(super) fn drop_target(&mut self, id: &TargetId, why: &'static str) {
--- a/crates/sillpin-gateway/src/beliefs/mod.rs
+++ b/crates/sillpin-gateway/src/beliefs/mod.rs
@@ -1,4 +1,4 @@
-//! What the box knows of the fleet: configuration, targets, wanted weights and other boxes, each
+//! What the box knows of the fleet: configuration, targets, desired weights and other boxes, each
 //! with its revision, source and age.
 //!
 //! One task owns this state ([`fleet`]) and publishes a [`View`]. It gets data from readers of the
--- a/crates/sillpin-gateway/src/beliefs/wanted.rs
+++ b/crates/sillpin-gateway/src/beliefs/wanted.rs
@@ -32,7 +32,7 @@
     /// When it was requested, as far as this box knows; never before the actual time.
     pub since: Instant,
     /// Whether some box was receiving changes when it was requested. If not, a box found it at its start,
-    /// or after receiving nothing for seconds, and it may have been set long before.
+    /// or after receiving nothing for seconds, and it may have been requested long before.
     pub witnessed: bool,
 }
 
--- a/crates/sillpin-gateway/src/peers/asker.rs
+++ b/crates/sillpin-gateway/src/peers/asker.rs
@@ -54,18 +54,18 @@
 enum CopyFault {
     #[display("cannot connect: {_0}")]
     Connect(io::Error),
-    #[display("no answer in time")]
+    #[display("no reply within the time limit")]
     Silent,
     #[display("{_0}")]
     Call(RpcError),
-    #[display("a document of {_0} bytes")]
+    #[display("document of {_0} bytes exceeds the limit")]
     #[from(skip)]
     TooLong(#[error(not(source))] u64),
-    #[display("it is not handed out any more")]
+    #[display("the sender has dropped the transfer")]
     Withdrawn,
-    #[display("unreadable: {_0}")]
+    #[display("cannot decode the document: {_0}")]
     Unreadable(bincode::Error),
-    #[display("copy is older than this box's clock")]
+    #[display("the age of the copy exceeds the uptime of this machine's clock")]
     TooOld,
 }
 
--- a/crates/sillpin-gateway/src/peers/wire.rs
+++ b/crates/sillpin-gateway/src/peers/wire.rs
@@ -47,13 +47,13 @@
 #[derive(Debug, Display, Error)]
 pub enum WireFault {
     /// It belongs to another fleet or has another format.
-    #[display("of another fleet or format")]
+    #[display("datagram of another fleet or format")]
     Foreign,
     /// It is longer than a receiver's buffer.
-    #[display("{_0} bytes are too long")]
+    #[display("datagram of {_0} bytes exceeds the limit")]
     TooLong(#[error(not(source))] usize),
     /// It cannot be encoded or decoded.
-    #[display("unreadable: {_0}")]
+    #[display("cannot encode or decode the datagram: {_0}")]
     Unreadable(bincode::Error),
 }
 
