--- a/crates/sillpin-gateway/benches/decision.rs
+++ b/crates/sillpin-gateway/benches/decision.rs
@@ -91,7 +91,7 @@
                     engine: &spec,
                     kept: &kept,
                     residency: anywhere(),
-                    in_touch: true,
+                    in_contact: true,
                     now,
                 };
                 let version = WeightVersion(1);
@@ -113,7 +113,7 @@
                         tokens: prompt.tokens,
                         aim: Duration::from_millis(500),
                         room: spec.room,
-                        wanted: Some(version),
+                        desired: Some(version),
                         oldest: version,
                         plans: &plans,
                     }),
--- a/crates/sillpin-gateway/src/awake.rs
+++ b/crates/sillpin-gateway/src/awake.rs
@@ -57,7 +57,7 @@
 pub struct Awake {
     ahead: Ahead,
     at_start: Option<Duration>,
-    slept: Arc<Mutex<Duration>>,
+    suspended: Arc<Mutex<Duration>>,
 }
 
 impl Default for Awake {
@@ -71,7 +71,7 @@
         Self {
             at_start: ahead.read(),
             ahead,
-            slept: Arc::default(),
+            suspended: Arc::default(),
         }
     }
 
@@ -88,19 +88,19 @@
     }
 
     /// How long the box was suspended since its start, in all. Never falls.
-    pub fn slept(&self) -> Duration {
+    pub fn suspended(&self) -> Duration {
         let ahead = self.ahead.read().zip(self.at_start);
         let found = ahead.map(|(now, at_start)| now.saturating_sub(at_start));
-        let mut slept = lock(&self.slept);
-        if let Some(found) = found.filter(|found| *found >= *slept + LEAST) {
-            *slept = found;
+        let mut suspended = lock(&self.suspended);
+        if let Some(found) = found.filter(|found| *found >= *suspended + LEAST) {
+            *suspended = found;
         }
-        *slept
+        *suspended
     }
 
     /// The runtime's clock with the time asleep. Not to be mixed with readings of the runtime's clock itself.
     pub fn now(&self) -> Instant {
-        Instant::now() + self.slept()
+        Instant::now() + self.suspended()
     }
 }
 
--- a/crates/sillpin-gateway/src/fatal/keep.rs
+++ b/crates/sillpin-gateway/src/fatal/keep.rs
@@ -5,7 +5,7 @@
 
 use super::record::KNOWN_AFTER;
 use super::{Fatal, FatalWord, RequestPrint};
-use crate::beliefs::{FleetHandle, View};
+use crate::fleet_state::{FleetHandle, View};
 use crate::place::work::LifeHash;
 use serde::{Deserialize, Serialize};
 use sillpin_platform::{KvEntry, KvRevision, Platform, PlatformError, PlatformFault, StoreEra};
@@ -198,7 +198,7 @@
 /// Resolves when the store is in a later era than the last one.
 async fn later_era(views: &mut watch::Receiver<Arc<View>>, last: &mut StoreEra) {
     loop {
-        let now = views.borrow_and_update().operators.revision.era();
+        let now = views.borrow_and_update().operators_sync.revision.era();
         if now > *last {
             *last = now;
             return;
--- a/crates/sillpin-gateway/src/fatal/witness.rs
+++ b/crates/sillpin-gateway/src/fatal/witness.rs
@@ -5,8 +5,8 @@
 //! lived. So a target counts as ended if it refuses connections while another one of its zone accepts them, or if its entry tells of another life.
 
 use super::{Fatal, RequestPrint};
-use crate::beliefs::FleetHandle;
 use crate::control::TargetEntry;
+use crate::fleet_state::FleetHandle;
 use crate::place::work::LifeHash;
 use crate::pool::{Conn, Pool, SendError};
 use rand::seq::IndexedRandom;
--- a/crates/sillpin-gateway/src/beliefs/evacuation.rs
+++ b/crates/sillpin-gateway/src/fleet_state/evacuation.rs
@@ -2,8 +2,8 @@
 //! evacuation is revoked.
 //!
 //! An evacuation is in force from when this box receives it until it receives its end, from the
-//! store or another box. It also stays in force while the platform store is unreachable: nobody
-//! can revoke it then, and a zone that stays empty for too long costs only capacity.
+//! store or another box. It also stays in force while the platform store is unreachable: nobody can
+//! revoke it then, and a zone that stays empty for too long costs only capacity.
 
 use sillpin_core::ZoneId;
 use sillpin_platform::KvRevision;
@@ -20,7 +20,7 @@
     pub since: Instant,
     /// Until when it holds although its key is missing: the store may have lost the key, and
     /// operators write it again.
-    doubted: Option<Instant>,
+    kept_until: Option<Instant>,
 }
 
 /// Evacuations in force, by zone. They include all zones that operators name, also zones without
@@ -32,7 +32,7 @@
 
 impl Evacuations {
     /// Returns whether a zone is evacuated, so that no request may go to its targets.
-    pub fn covers(&self, zone: &ZoneId) -> bool {
+    pub fn contains(&self, zone: &ZoneId) -> bool {
         self.zones.contains_key(zone)
     }
 
@@ -44,16 +44,16 @@
     /// Records that a zone is evacuated. Returns whether it was not before.
     pub fn begin(&mut self, zone: ZoneId, revision: KvRevision, now: Instant) -> bool {
         match self.zones.entry(zone) {
-            Entry::Occupied(mut known) => {
-                known.get_mut().revision = revision;
-                known.get_mut().doubted = None;
+            Entry::Occupied(mut evacuation) => {
+                evacuation.get_mut().revision = revision;
+                evacuation.get_mut().kept_until = None;
                 false
             }
-            Entry::Vacant(free) => {
-                free.insert(Evacuation {
+            Entry::Vacant(vacant) => {
+                vacant.insert(Evacuation {
                     revision,
                     since: now,
-                    doubted: None,
+                    kept_until: None,
                 });
                 true
             }
@@ -61,17 +61,21 @@
     }
 
     /// Records that the key of an evacuation is missing; the evacuation holds until `until`.
-    pub fn doubt(&mut self, zone: &ZoneId, until: Instant) {
-        if let Some(known) = self.zones.get_mut(zone) {
-            known.doubted = Some(until);
+    pub fn keep_until(&mut self, zone: &ZoneId, until: Instant) {
+        if let Some(evacuation) = self.zones.get_mut(zone) {
+            evacuation.kept_until = Some(until);
         }
     }
 
     /// Returns zones whose evacuation operators have not written again in time.
-    pub fn due(&self, now: Instant) -> Vec<ZoneId> {
-        let is_due = |known: &Evacuation| known.doubted.is_some_and(|until| until <= now);
-        let due = self.zones.iter().filter(|(_, known)| is_due(known));
-        due.map(|(zone, _)| zone.clone()).collect()
+    pub fn expired(&self, now: Instant) -> Vec<ZoneId> {
+        let is_expired =
+            |evacuation: &Evacuation| evacuation.kept_until.is_some_and(|until| until <= now);
+        let expired = self
+            .zones
+            .iter()
+            .filter(|(_, evacuation)| is_expired(evacuation));
+        expired.map(|(zone, _)| zone.clone()).collect()
     }
 
     /// Records that the evacuation of a zone was revoked, and returns it.
--- a/crates/sillpin-gateway/src/beliefs/fleet.rs
+++ b/crates/sillpin-gateway/src/fleet_state/fleet.rs
@@ -3,14 +3,17 @@
 mod boxes;
 mod departed;
 mod evacuated;
-mod sleep;
+mod suspension;
 mod targets;
 
-use self::boxes::BoxSeen;
+use self::boxes::PeerState;
 use self::departed::Departures;
 pub use self::targets::served;
 use super::mirror::{Change, Mirror};
-use super::{Evacuations, FleetMsg, FleetPort, Known, Named, Reading, Source, Topic, View, Wanted};
+use super::{
+    DesiredVersion, DesiredVersions, Evacuations, FleetMsg, FleetPort, Reading, Source, SyncState,
+    Topic, View,
+};
 use crate::awake::Awake;
 use crate::config::FleetConfig;
 use crate::control::{DecodeError, Life, Published, TargetEntry};
@@ -28,26 +31,26 @@
 /// kept. Targets write entries that expired while the store was unreachable again within about two
 /// seconds of its return; the rest is a margin for reading them. An entry that disappears later was
 /// removed.
-const LAPSE_GRACE: Duration = Duration::from_millis(2_300);
+const EXPIRY_GRACE: Duration = Duration::from_millis(2_300);
 
 /// A store that answered some box within this time counts as reachable, even if this box's call
 /// failed. An entry expires after its target missed three heartbeats of 1.2 s.
-const AWAY_SILENCE: Duration = Duration::from_secs(1);
+const REACHABLE_TIME: Duration = Duration::from_secs(1);
 
 /// Time without data from the store or from boxes that reach it, after which this box may have
 /// missed when a change took place. Without a disturbance it reads the store itself after two
 /// seconds at most.
-const UNSEEN: Duration = Duration::from_secs(2);
+const UNOBSERVED_TIME: Duration = Duration::from_secs(2);
 
 /// Share of the listed targets that no planned change removes at one revision.
-const MASS_LAPSE: f64 = 0.5;
+const MASS_EXPIRY_SHARE: f64 = 0.5;
 
 /// Time between two checks of entries that wait for a deadline.
-const SWEEP: Duration = Duration::from_millis(250);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Weights that an engine was last found to serve, which its entry may not show yet.
 #[derive(Debug, Clone)]
-struct Seen {
+struct FoundWeights {
     life: Option<Life>,
     model: ModelId,
     version: WeightVersion,
@@ -58,28 +61,28 @@
     me: BoxId,
     keys: K,
     log: Logger,
-    operators: Mirror,
-    listed: Mirror,
+    operators_mirror: Mirror,
+    targets_mirror: Mirror,
     config: Option<Arc<FleetConfig>>,
-    wanted: HashMap<ModelId, Wanted>,
+    desired: HashMap<ModelId, DesiredVersions>,
     evacuations: Evacuations,
     targets: HashMap<TargetId, Arc<TargetEntry>>,
     /// Targets whose entries disappeared while the store was unreachable, and until when they are
     /// kept.
-    lapsed: HashMap<TargetId, Instant>,
-    seen: HashMap<TargetId, Seen>,
+    expired: HashMap<TargetId, Instant>,
+    found_weights: HashMap<TargetId, FoundWeights>,
     departures: Departures,
     /// Until when targets are cold, which means that they are warming up.
     cold: HashMap<TargetId, Instant>,
-    boxes: HashMap<BoxId, BoxSeen>,
+    boxes: HashMap<BoxId, PeerState>,
     awake: Awake,
     /// When the box last resumed, and for how long it had been suspended.
-    woke: Option<(Instant, Duration)>,
-    away: Option<Instant>,
+    resumed: Option<(Instant, Duration)>,
+    unreachable_at: Option<Instant>,
     /// Era of the store; `None` until it is read.
     era: Option<StoreEra>,
     /// When the store was found to have been restored from a backup.
-    restored: Option<Instant>,
+    restored_at: Option<Instant>,
     /// Whether the view has to be updated from the targets, or from the boxes.
     targets_changed: bool,
     boxes_changed: bool,
@@ -93,22 +96,22 @@
             me,
             keys,
             log,
-            operators: Mirror::default(),
-            listed: Mirror::default(),
+            operators_mirror: Mirror::default(),
+            targets_mirror: Mirror::default(),
             config: None,
-            wanted: HashMap::new(),
+            desired: HashMap::new(),
             evacuations: Evacuations::default(),
             targets: HashMap::new(),
-            lapsed: HashMap::new(),
-            seen: HashMap::new(),
+            expired: HashMap::new(),
+            found_weights: HashMap::new(),
             departures: Departures::default(),
             cold: HashMap::new(),
             boxes: HashMap::new(),
             awake: Awake::default(),
-            woke: None,
-            away: None,
+            resumed: None,
+            unreachable_at: None,
             era: None,
-            restored: None,
+            restored_at: None,
             targets_changed: false,
             boxes_changed: false,
             view: View::default(),
@@ -122,16 +125,16 @@
 
     /// Handles messages until all handles are dropped.
     pub async fn run(mut self, mut port: FleetPort) {
-        let mut sweep = tokio::time::interval(SWEEP);
+        let mut sweep = tokio::time::interval(SWEEP_INTERVAL);
         loop {
             tokio::select! {
                 msg = port.rx.recv() => match msg {
                     Some(msg) => {
-                        let mut is_known = self.apply(msg, Instant::now());
+                        let mut is_unchanged = self.apply_message(msg, Instant::now());
                         while let Ok(msg) = port.rx.try_recv() {
-                            is_known &= self.apply(msg, Instant::now());
+                            is_unchanged &= self.apply_message(msg, Instant::now());
                         }
-                        if is_known {
+                        if is_unchanged {
                             continue;
                         }
                         self.publish();
@@ -148,13 +151,13 @@
 
     /// Returns whether a message leaves the view unchanged. Digests of other boxes arrive many
     /// times a second, and each new view wakes all tasks that wait for one.
-    fn is_known(&self, msg: &FleetMsg) -> bool {
+    fn leaves_view_unchanged(&self, msg: &FleetMsg) -> bool {
         match msg {
-            FleetMsg::Heard(entry) => {
+            FleetMsg::PeerSeen(entry) => {
                 let known = self.boxes.get(&entry.id);
-                known.is_some_and(|seen| seen.entry == *entry)
+                known.is_some_and(|peer| peer.entry == *entry)
             }
-            FleetMsg::StoreAway => true,
+            FleetMsg::StoreUnreachable => true,
             _ => false,
         }
     }
@@ -166,32 +169,38 @@
 
     /// Handles one message.
     pub fn handle(&mut self, msg: FleetMsg, now: Instant) {
-        self.apply(msg, now);
+        self.apply_message(msg, now);
         self.publish();
     }
 
     /// Handles one message without publishing. Returns whether it leaves the view unchanged.
-    fn apply(&mut self, msg: FleetMsg, now: Instant) -> bool {
-        let woke = self.wake(now);
-        let is_known = self.is_known(&msg) && !woke;
-        self.take(msg, now);
-        is_known
+    fn apply_message(&mut self, msg: FleetMsg, now: Instant) -> bool {
+        let resumed = self.apply_suspension(now);
+        let is_unchanged = self.leaves_view_unchanged(&msg) && !resumed;
+        self.dispatch(msg, now);
+        is_unchanged
     }
 
-    fn take(&mut self, msg: FleetMsg, now: Instant) {
+    fn dispatch(&mut self, msg: FleetMsg, now: Instant) {
         match msg {
             FleetMsg::Read {
                 topic,
                 reading,
-                asked,
+                requested_at,
                 source,
-            } => self.read(topic, reading, self.asked(asked), &source, now),
-            FleetMsg::Passed {
+            } => self.apply_reading(
+                topic,
+                reading,
+                self.adjust_for_suspension(requested_at),
+                &source,
+                now,
+            ),
+            FleetMsg::Relayed {
                 topic,
                 after,
                 before,
                 reply,
-                asked,
+                requested_at,
             } => {
                 // A box that lacks earlier changes fetches a copy when it receives another box's
                 // revision. A box with a lower revision but the same content lacks nothing:
@@ -199,143 +208,154 @@
                 let known = self.known(topic);
                 let is_same = known.revision > KvRevision::ABSENT && before == Some(known.content);
                 if known.revision >= after || is_same {
-                    let (source, asked) = (Source::Passed, self.asked(asked));
-                    self.read(topic, Reading::Changes(reply), asked, &source, now);
+                    let (source, requested_at) =
+                        (Source::Passed, self.adjust_for_suspension(requested_at));
+                    self.apply_reading(topic, Reading::Changes(reply), requested_at, &source, now);
                 }
             }
             FleetMsg::Confirmed {
                 topic,
                 content,
                 revision,
-                asked,
-            } => self.confirmed(topic, content, revision, self.asked(asked)),
-            FleetMsg::Named {
+                requested_at,
+            } => self.apply_confirmation(
+                topic,
+                content,
+                revision,
+                self.adjust_for_suspension(requested_at),
+            ),
+            FleetMsg::DesiredVersion {
                 model,
                 named,
                 source,
-            } => self.want(model, named, &source, now),
+            } => self.record_desired(model, named, &source, now),
             FleetMsg::Contact(since) => {
-                self.operators.join_contact(self.asked(since));
-                self.view.operators = self.operators.known();
+                self.operators_mirror
+                    .extend_contact(self.adjust_for_suspension(since));
+                self.view.operators_sync = self.operators_mirror.known();
             }
-            FleetMsg::StoreAway => self.turned_away(now),
+            FleetMsg::StoreUnreachable => self.record_failed_call(now),
             FleetMsg::Registered(entries) => {
-                for seen in self.boxes.values_mut() {
-                    seen.registered = false;
+                for peer in self.boxes.values_mut() {
+                    peer.registered = false;
                 }
                 self.register(entries);
                 self.view.has_registered = true;
             }
-            FleetMsg::RegisteredBefore(entries) => self.register(entries),
-            FleetMsg::Joined(entry) => self.register(vec![entry]),
-            FleetMsg::Heard(entry) => self.hear(entry, now),
-            FleetMsg::Stopping(id) => self.forget(&id),
+            FleetMsg::RegisteredStale(entries) => self.register(entries),
+            FleetMsg::BoxJoined(entry) => self.register(vec![entry]),
+            FleetMsg::PeerSeen(entry) => self.peer_seen(entry, now),
+            FleetMsg::Stopping(id) => self.remove_peer(&id),
             FleetMsg::Serves {
                 target,
                 life,
                 model,
                 version,
             } => {
-                let seen = Seen {
+                let found = FoundWeights {
                     life,
                     model,
                     version,
                 };
-                self.serves(target, seen);
+                self.record_served(target, found);
             }
         }
     }
 
     /// Drops entries whose deadline has passed. Returns whether the view changed.
     pub fn sweep(&mut self, now: Instant) -> bool {
-        let woke = self.wake(now);
+        let resumed = self.apply_suspension(now);
         let due = |at: &Instant| *at <= now;
-        let gone: Vec<TargetId> = self
-            .lapsed
+        let overdue: Vec<TargetId> = self
+            .expired
             .iter()
             .filter(|(_, at)| due(at))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in &gone {
-            self.lapsed.remove(id);
-            self.drop_target(id, "its entry was not written again after the platform store's outage");
+        for id in &overdue {
+            self.expired.remove(id);
+            self.drop_target(
+                id,
+                "its entry was not written again after the platform store's outage",
+            );
         }
-        let some_silent = self.forget_silent(now);
-        let some_shown = self.departures.sweep(now);
-        let some_ended = self.end_lost_evacuations(now);
-        let changed = some_silent || some_shown || some_ended || !gone.is_empty();
+        let any_removed = self.remove_silent_peers(now);
+        let any_shown = self.departures.sweep(now);
+        let any_ended = self.end_lost_evacuations(now);
+        let changed = any_removed || any_shown || any_ended || !overdue.is_empty();
         if changed {
             self.targets_changed = true;
             self.boxes_changed = true;
             self.publish();
         }
-        changed || woke
+        changed || resumed
     }
 
     /// Handles a failed call to the store. If other boxes reach the store, entries that disappear
     /// have been removed, not expired.
-    fn turned_away(&mut self, now: Instant) {
-        let confirmed = self.listed.known().confirmed;
-        if confirmed.is_none_or(|at| now.saturating_duration_since(at) >= AWAY_SILENCE) {
-            self.away = Some(now);
+    fn record_failed_call(&mut self, now: Instant) {
+        let confirmed = self.targets_mirror.known().confirmed;
+        if confirmed.is_none_or(|at| now.saturating_duration_since(at) >= REACHABLE_TIME) {
+            self.unreachable_at = Some(now);
         }
     }
 
-    fn known(&self, topic: Topic) -> Known {
+    fn known(&self, topic: Topic) -> SyncState {
         match topic {
-            Topic::Operators => self.operators.known(),
-            Topic::Targets => self.listed.known(),
+            Topic::Operators => self.operators_mirror.known(),
+            Topic::Targets => self.targets_mirror.known(),
         }
     }
 
-    fn read(
+    fn apply_reading(
         &mut self,
         topic: Topic,
         reading: Reading,
-        asked: Instant,
+        requested_at: Instant,
         source: &Source,
         now: Instant,
     ) {
-        self.see_era(reading.revision().era(), source, now);
+        self.record_era(reading.revision().era(), source, now);
         match topic {
             Topic::Operators => {
                 // What a box finds at its start, or after a silence, may have been set long ago.
-                let confirmed = self.operators.known().confirmed;
-                let witnessed = confirmed.is_some_and(|at| asked.max(now) - at < UNSEEN);
-                let changes = self.operators.take(reading, asked);
+                let confirmed = self.operators_mirror.known().confirmed;
+                let witnessed =
+                    confirmed.is_some_and(|at| requested_at.max(now) - at < UNOBSERVED_TIME);
+                let changes = self.operators_mirror.apply(reading, requested_at);
                 let changed = !changes.is_empty();
                 for change in changes {
-                    self.operators_changed(change, witnessed, source, now);
+                    self.apply_operator_change(change, witnessed, source, now);
                 }
                 if changed {
-                    let entries = self.operators.entries();
-                    self.operators.set_content(content_of(&entries));
+                    let entries = self.operators_mirror.entries();
+                    self.operators_mirror.set_content(content_hash(&entries));
                     self.view.copies.operators = entries;
                 }
-                self.view.operators = self.operators.known();
+                self.view.operators_sync = self.operators_mirror.known();
             }
             Topic::Targets => {
                 // A copy is as old as the other box's read of the store; the store's own answer is
                 // new.
                 let read_at = match source {
                     Source::Store => now,
-                    Source::Peer(_) | Source::Passed => asked.min(now),
+                    Source::Peer(_) | Source::Passed => requested_at.min(now),
                 };
-                let changes = self.listed.take(reading, asked);
+                let changes = self.targets_mirror.apply(reading, requested_at);
                 if !changes.is_empty() {
-                    self.take_targets(changes, source, read_at, now);
-                    self.view.copies.targets = self.listed.entries();
-                    self.listed.set_content(self.targets_content());
+                    self.apply_targets(changes, source, read_at, now);
+                    self.view.copies.targets = self.targets_mirror.entries();
+                    self.targets_mirror.set_content(self.targets_content());
                     self.targets_changed = true;
                 }
-                self.view.listed = self.listed.known();
+                self.view.targets_sync = self.targets_mirror.known();
             }
         }
     }
 
-    /// Records the store's era. A newer one means that the store was restored from a backup, so that
-    /// entries that disappear now may be written again.
-    fn see_era(&mut self, era: StoreEra, source: &Source, now: Instant) {
+    /// Records the store's era. A newer one means that the store was restored from a backup, so
+    /// that entries that disappear now may be written again.
+    fn record_era(&mut self, era: StoreEra, source: &Source, now: Instant) {
         let before = self.era.unwrap_or(era);
         self.era = Some(before.max(era));
         if era <= before {
@@ -343,26 +363,32 @@
         }
         event!(self.log, events::STORE_RESTORED, "era" => era.0, "before" => before.0,
             "source" => source.to_string());
-        self.restored = Some(now);
-        self.away = Some(now);
+        self.restored_at = Some(now);
+        self.unreachable_at = Some(now);
     }
 
-    fn confirmed(&mut self, topic: Topic, content: u64, revision: KvRevision, asked: Instant) {
+    fn apply_confirmation(
+        &mut self,
+        topic: Topic,
+        content: u64,
+        revision: KvRevision,
+        requested_at: Instant,
+    ) {
         let mirror = match topic {
-            Topic::Operators => &mut self.operators,
-            Topic::Targets => &mut self.listed,
+            Topic::Operators => &mut self.operators_mirror,
+            Topic::Targets => &mut self.targets_mirror,
         };
         if mirror.known().content != content {
             return;
         }
-        mirror.confirm(revision, asked);
-        self.view.operators = self.operators.known();
-        self.view.listed = self.listed.known();
+        mirror.confirm(revision, requested_at);
+        self.view.operators_sync = self.operators_mirror.known();
+        self.view.targets_sync = self.targets_mirror.known();
     }
 
     /// Applies a change of what operators publish; `witnessed` if this box was receiving changes
     /// when it took place.
-    fn operators_changed(
+    fn apply_operator_change(
         &mut self,
         change: Change,
         witnessed: bool,
@@ -371,8 +397,8 @@
     ) {
         if let Some(zone) = self.keys.evacuation(change.key()) {
             match zone {
-                Ok(zone) => self.evacuation_changed(zone, &change, source, now),
-                Err(e) => self.undecodable(&e),
+                Ok(zone) => self.apply_evacuation(zone, &change, source, now),
+                Err(e) => self.log_unreadable(&e),
             }
             return;
         }
@@ -383,30 +409,30 @@
         let value = entry.value.as_deref().unwrap_or_default();
         if self.keys.is_config(&entry.key) {
             match self.keys.config(&entry.key, value) {
-                Ok(config) => self.adopt(config, &entry, source),
-                Err(e) => self.undecodable(&e),
+                Ok(config) => self.apply_config(config, &entry, source),
+                Err(e) => self.log_unreadable(&e),
             }
         } else if self.keys.is_weights(&entry.key) {
             match self.keys.weights(&entry.key, value) {
-                Ok(wanted) => {
-                    let named = Named {
-                        version: wanted.version,
+                Ok(weights) => {
+                    let requested = DesiredVersion {
+                        version: weights.version,
                         since: now,
                         witnessed,
                     };
-                    self.want(wanted.model, named, source, now);
+                    self.record_desired(weights.model, requested, source, now);
                 }
-                Err(e) => self.undecodable(&e),
+                Err(e) => self.log_unreadable(&e),
             }
         }
     }
 
-    fn undecodable(&self, e: &DecodeError) {
+    fn log_unreadable(&self, e: &DecodeError) {
         event!(self.log, events::VALUE_UNREADABLE, "key" => &e.key, "why" => &e.what);
     }
 
     /// Puts a configuration in force unless it is older than the one in force.
-    fn adopt(&mut self, config: FleetConfig, entry: &KvEntry, source: &Source) {
+    fn apply_config(&mut self, config: FleetConfig, entry: &KvEntry, source: &Source) {
         let in_force = self.config.as_ref().map(|config| config.version);
         if in_force >= Some(config.version) {
             return;
@@ -421,24 +447,31 @@
         self.view.config = Some(config);
     }
 
-    /// Records that operators set a weights version, or an earlier time of the request.
-    fn want(&mut self, model: ModelId, named: Named, source: &Source, now: Instant) {
-        let wanted = self.wanted.get_mut(&model);
-        let is_news = match wanted {
-            Some(wanted) => wanted.note(named, now),
+    /// Records that operators requested a weights version, or an earlier time of the request.
+    fn record_desired(
+        &mut self,
+        model: ModelId,
+        requested: DesiredVersion,
+        source: &Source,
+        now: Instant,
+    ) {
+        let desired = self.desired.get_mut(&model);
+        let is_update = match desired {
+            Some(desired) => desired.record(requested, now),
             None => {
-                self.wanted.insert(model.clone(), Wanted::new(named));
+                self.desired
+                    .insert(model.clone(), DesiredVersions::new(requested));
                 true
             }
         };
-        if !is_news {
+        if !is_update {
             return;
         }
         event!(self.log, events::WEIGHTS_WANTED,
-            "model" => model.as_str(), "version" => named.version.0, "source" => source.to_string(),
-            "age_ms" => now.saturating_duration_since(named.since).as_millis(),
-            "witnessed" => named.witnessed);
-        self.view.wanted = Arc::new(self.wanted.clone());
+            "model" => model.as_str(), "version" => requested.version.0, "source" => source.to_string(),
+            "age_ms" => now.saturating_duration_since(requested.since).as_millis(),
+            "witnessed" => requested.witnessed);
+        self.view.desired = Arc::new(self.desired.clone());
     }
 
     /// Updates the view. Done once for all queued messages: a change of weights brings hundreds.
@@ -453,7 +486,7 @@
 }
 
 /// Returns the hash of raw entries.
-fn content_of(entries: &[KvEntry]) -> u64 {
+fn content_hash(entries: &[KvEntry]) -> u64 {
     let mut hash = Xxh3::new();
     for entry in entries {
         let value = entry.value.as_deref().unwrap_or_default();
--- a/crates/sillpin-gateway/src/beliefs/fleet/boxes.rs
+++ b/crates/sillpin-gateway/src/fleet_state/fleet/boxes.rs
@@ -1,8 +1,8 @@
 //! Other boxes of the fleet that are up.
 
 use super::Fleet;
-use crate::beliefs::BoxEntry;
 use crate::control::Published;
+use crate::fleet_state::BoxEntry;
 use sillpin_core::BoxId;
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,54 +10,54 @@
 
 /// Time without a digest after which a box that is not registered counts as ended: several rounds
 /// of gossip.
-const BOX_SILENCE: Duration = Duration::from_secs(6);
+const PEER_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// State of another box.
 #[derive(Debug, Clone)]
-pub(super) struct BoxSeen {
+pub(super) struct PeerState {
     pub(super) entry: BoxEntry,
     pub(super) registered: bool,
-    pub(super) heard: Option<Instant>,
+    pub(super) last_seen: Option<Instant>,
 }
 
 impl<K: Published> Fleet<K> {
     /// Adds boxes that are registered.
     pub(super) fn register(&mut self, entries: Vec<BoxEntry>) {
         for entry in entries.into_iter().filter(|entry| entry.id != self.me) {
-            let heard = self.boxes.get(&entry.id).and_then(|seen| seen.heard);
+            let last_seen = self.boxes.get(&entry.id).and_then(|peer| peer.last_seen);
             let registered = true;
             let id = entry.id.clone();
-            let seen = BoxSeen {
+            let state = PeerState {
                 entry,
                 registered,
-                heard,
+                last_seen,
             };
-            self.boxes.insert(id, seen);
+            self.boxes.insert(id, state);
         }
         self.boxes_changed = true;
     }
 
     /// Records a digest of a box.
-    pub(super) fn hear(&mut self, entry: BoxEntry, now: Instant) {
+    pub(super) fn peer_seen(&mut self, entry: BoxEntry, now: Instant) {
         if entry.id == self.me {
             return;
         }
-        let known = self.boxes.get(&entry.id);
-        let new = known.is_none_or(|seen| seen.entry != entry);
-        let registered = known.is_some_and(|seen| seen.registered);
-        let seen = BoxSeen {
+        let previous = self.boxes.get(&entry.id);
+        let is_changed = previous.is_none_or(|peer| peer.entry != entry);
+        let registered = previous.is_some_and(|peer| peer.registered);
+        let state = PeerState {
             entry: entry.clone(),
             registered,
-            heard: Some(now),
+            last_seen: Some(now),
         };
-        self.boxes.insert(entry.id, seen);
-        if new {
+        self.boxes.insert(entry.id, state);
+        if is_changed {
             self.boxes_changed = true;
         }
     }
 
     /// Removes a box that is shutting down.
-    pub(super) fn forget(&mut self, id: &BoxId) {
+    pub(super) fn remove_peer(&mut self, id: &BoxId) {
         if self.boxes.remove(id).is_some() {
             self.boxes_changed = true;
         }
@@ -65,11 +65,11 @@
 
     /// Removes boxes that are neither registered nor have sent a digest recently. Returns whether
     /// there were any.
-    pub(super) fn forget_silent(&mut self, now: Instant) -> bool {
+    pub(super) fn remove_silent_peers(&mut self, now: Instant) -> bool {
         let before = self.boxes.len();
-        self.boxes.retain(|_, seen| {
-            let heard = seen.heard.is_some_and(|at| now - at < BOX_SILENCE);
-            seen.registered || heard
+        self.boxes.retain(|_, peer| {
+            let is_recent = peer.last_seen.is_some_and(|at| now - at < PEER_TIMEOUT);
+            peer.registered || is_recent
         });
         before != self.boxes.len()
     }
--- a/crates/sillpin-gateway/src/beliefs/fleet/departed.rs
+++ b/crates/sillpin-gateway/src/fleet_state/fleet/departed.rs
@@ -1,8 +1,8 @@
 //! Targets that left before the platform store was restored from a backup in which they had not
 //! left yet.
 //!
-//! Until a target's entry is written again, the backup shows an earlier state of it. Within an era of
-//! the store, its entries are valid.
+//! Until a target's entry is written again, the backup shows an earlier state of it. Within an era
+//! of the store, its entries are valid.
 
 use crate::control::{Life, Presence, TargetEntry};
 use sillpin_core::TargetId;
@@ -14,16 +14,16 @@
 /// Time for which a target gets no requests if its entry was removed and a restored backup has it
 /// again. The store drops an entry that is not renewed after some seconds, so an entry that still
 /// exists by then is being renewed by its target.
-const REVIVED_REST: Duration = Duration::from_secs(8);
+const REVIVED_COOLDOWN: Duration = Duration::from_secs(8);
 
 /// Time for which departures are remembered: backups are some seconds old.
-const MEMORY: Duration = Duration::from_secs(120);
+const MAX_AGE: Duration = Duration::from_secs(120);
 
 /// How a target left.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum How {
+enum DepartureKind {
     /// Its entry stated that it was leaving: this incarnation takes no more requests.
-    SaidSo,
+    Announced,
     /// Its entry was removed.
     Removed,
 }
@@ -31,20 +31,20 @@
 #[derive(Debug)]
 struct Departure {
     life: Option<Life>,
-    how: How,
+    kind: DepartureKind,
     /// The era in which it left.
     era: StoreEra,
     at: Instant,
     /// Since when a restored backup of a later era lists it as taking requests.
-    revived: Option<Instant>,
+    revived_at: Option<Instant>,
 }
 
 impl Departure {
     /// Returns whether the target counts as leaving although its entry says otherwise.
-    fn hides(&self, now: Instant) -> bool {
-        self.revived.is_some_and(|since| match self.how {
-            How::SaidSo => true,
-            How::Removed => now < since + REVIVED_REST,
+    fn overrides_entry(&self, now: Instant) -> bool {
+        self.revived_at.is_some_and(|since| match self.kind {
+            DepartureKind::Announced => true,
+            DepartureKind::Removed => now < since + REVIVED_COOLDOWN,
         })
     }
 }
@@ -57,9 +57,9 @@
 
 impl Departures {
     /// Records the presence in a target's entry, in an era of the store.
-    pub(super) fn listed(&mut self, target: &TargetEntry, era: StoreEra, now: Instant) {
+    pub(super) fn record_entry(&mut self, target: &TargetEntry, era: StoreEra, now: Instant) {
         if target.presence == Presence::Leaving {
-            return self.note(&target.id, target.life, How::SaidSo, era, now);
+            return self.record(&target.id, target.life, DepartureKind::Announced, era, now);
         }
         let Some(departure) = self.known.get_mut(&target.id) else {
             return;
@@ -68,53 +68,54 @@
             self.known.remove(&target.id);
             return;
         }
-        departure.revived.get_or_insert(now);
+        departure.revived_at.get_or_insert(now);
     }
 
     /// Records that a target's entry was removed.
-    pub(super) fn removed(&mut self, target: &TargetEntry, era: StoreEra, now: Instant) {
+    pub(super) fn record_removal(&mut self, target: &TargetEntry, era: StoreEra, now: Instant) {
         let known = self.known.get(&target.id);
-        let how = known
+        let kind = known
             .filter(|known| known.life == target.life)
-            .map_or(How::Removed, |known| known.how);
-        self.note(&target.id, target.life, how, era, now);
+            .map_or(DepartureKind::Removed, |known| known.kind);
+        self.record(&target.id, target.life, kind, era, now);
     }
 
-    fn note(
+    fn record(
         &mut self,
         target: &TargetId,
         life: Option<Life>,
-        how: How,
+        kind: DepartureKind,
         era: StoreEra,
         at: Instant,
     ) {
         let departure = Departure {
             life,
-            how,
+            kind,
             era,
             at,
-            revived: None,
+            revived_at: None,
         };
         self.known.insert(target.clone(), departure);
     }
 
     /// Returns whether a target counts as leaving although its entry says otherwise.
-    pub(super) fn hides(&self, target: &TargetEntry, now: Instant) -> bool {
+    pub(super) fn overrides_entry(&self, target: &TargetEntry, now: Instant) -> bool {
         let departure = self.known.get(&target.id);
-        departure.is_some_and(|known| known.life == target.life && known.hides(now))
+        departure.is_some_and(|known| known.life == target.life && known.overrides_entry(now))
     }
 
     /// Forgets old departures. Returns whether some target no longer counts as leaving.
     pub(super) fn sweep(&mut self, now: Instant) -> bool {
-        let mut shown = false;
-        self.known.retain(|_, departure| match departure.revived {
-            Some(_) => {
-                let hides = departure.hides(now);
-                shown |= !hides;
-                hides
-            }
-            None => now.saturating_duration_since(departure.at) < MEMORY,
-        });
-        shown
+        let mut any_shown = false;
+        self.known
+            .retain(|_, departure| match departure.revived_at {
+                Some(_) => {
+                    let overrides_entry = departure.overrides_entry(now);
+                    any_shown |= !overrides_entry;
+                    overrides_entry
+                }
+                None => now.saturating_duration_since(departure.at) < MAX_AGE,
+            });
+        any_shown
     }
 }
--- a/crates/sillpin-gateway/src/beliefs/fleet/evacuated.rs
+++ b/crates/sillpin-gateway/src/fleet_state/fleet/evacuated.rs
@@ -2,8 +2,8 @@
 
 use super::super::mirror::Change;
 use super::Fleet;
-use crate::beliefs::Source;
 use crate::control::{Published, TargetEntry};
+use crate::fleet_state::Source;
 use sillpin_core::ZoneId;
 use sillpin_telemetry::{event, events};
 use std::sync::Arc;
@@ -12,11 +12,11 @@
 
 /// Time after the store's return within which operators write again what it lost. An acknowledged
 /// evacuation is not ended before: a zone that stays empty for too long costs only capacity.
-const WRITTEN_AGAIN: Duration = Duration::from_secs(10);
+const REWRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl<K: Published> Fleet<K> {
     /// Applies the request for a zone's evacuation, or its revocation.
-    pub(super) fn evacuation_changed(
+    pub(super) fn apply_evacuation(
         &mut self,
         zone: ZoneId,
         change: &Change,
@@ -31,12 +31,12 @@
                 event!(self.log, events::EVACUATION_BEGAN, "zone" => zone.as_str(),
                     "revision" => entry.revision.to_string(), "source" => source.to_string());
             }
-            Change::Gone(_) => match self.restored.map(|at| at + WRITTEN_AGAIN) {
-                Some(until) if now < until => return self.evacuations.doubt(&zone, until),
+            Change::Deleted(_) => match self.restored_at.map(|at| at + REWRITE_TIMEOUT) {
+                Some(until) if now < until => return self.evacuations.keep_until(&zone, until),
                 _ => self.end_evacuation(&zone, &source.to_string(), now),
             },
         }
-        self.show_evacuations();
+        self.publish_evacuations();
     }
 
     fn end_evacuation(&mut self, zone: &ZoneId, source: &str, now: Instant) {
@@ -46,10 +46,10 @@
         event!(self.log, events::EVACUATION_ENDED, "zone" => zone.as_str(),
             "revision" => ended.revision.to_string(), "source" => source,
             "age_ms" => now.saturating_duration_since(ended.since).as_millis());
-        self.return_cold(zone, now);
+        self.mark_cold(zone, now);
     }
 
-    fn show_evacuations(&mut self) {
+    fn publish_evacuations(&mut self) {
         self.view.evacuations = Arc::new(self.evacuations.clone());
         self.targets_changed = true;
     }
@@ -57,20 +57,20 @@
     /// Ends evacuations that the store lost and operators have not written again. Returns whether
     /// there were any.
     pub(super) fn end_lost_evacuations(&mut self, now: Instant) -> bool {
-        let due = self.evacuations.due(now);
-        for zone in &due {
+        let expired = self.evacuations.expired(now);
+        for zone in &expired {
             self.end_evacuation(zone, "not written again after the store was restored", now);
         }
-        if !due.is_empty() {
-            self.show_evacuations();
+        if !expired.is_empty() {
+            self.publish_evacuations();
         }
-        !due.is_empty()
+        !expired.is_empty()
     }
 
     /// Marks the targets of a zone that takes requests again as warming up, since they may be cold
     /// and their entries show it only later. They had nothing to do, so they appear less loaded
     /// than all others.
-    fn return_cold(&mut self, zone: &ZoneId, now: Instant) {
+    fn mark_cold(&mut self, zone: &ZoneId, now: Instant) {
         let Some(config) = self.config.clone() else {
             return;
         };
@@ -79,7 +79,7 @@
         for target in returning {
             let pool = config.pool(&target.pool);
             if let Some(warm_up) = pool.and_then(|pool| pool.warm_up) {
-                self.warms_up(&target.id, warm_up.time, now);
+                self.set_cold(&target.id, warm_up.time, now);
             }
         }
     }
--- a/crates/sillpin-gateway/src/beliefs/fleet/targets.rs
+++ b/crates/sillpin-gateway/src/fleet_state/fleet/targets.rs
@@ -1,9 +1,9 @@
 //! Targets: their entries, their incarnations, and the weights that they were found to serve.
 
 use super::super::mirror::Change;
-use super::{Fleet, LAPSE_GRACE, MASS_LAPSE, Seen};
-use crate::beliefs::Source;
+use super::{EXPIRY_GRACE, Fleet, FoundWeights, MASS_EXPIRY_SHARE};
 use crate::control::{Presence, Published, Served, TargetEntry};
+use crate::fleet_state::Source;
 use crate::place::index::TargetIndex;
 use sillpin_core::{ModelId, TargetId, WeightVersion};
 use sillpin_platform::KvEntry;
@@ -19,48 +19,50 @@
         let listed = self
             .targets
             .iter()
-            .filter(|(id, _)| !self.lapsed.contains_key(*id));
+            .filter(|(id, _)| !self.expired.contains_key(*id));
         let mut lines: Vec<String> = listed.map(|(_, entry)| format!("{entry:?}")).collect();
         lines.sort_unstable();
         xxh3_64(lines.concat().as_bytes())
     }
 
-    pub(super) fn take_targets(
+    pub(super) fn apply_targets(
         &mut self,
         changes: Vec<Change>,
         source: &Source,
         read_at: Instant,
         now: Instant,
     ) {
-        let gone = changes
+        let removed_count = changes
             .iter()
-            .filter(|c| matches!(c, Change::Gone(_)))
+            .filter(|c| matches!(c, Change::Deleted(_)))
             .count();
-        let mass = gone as f64 > MASS_LAPSE * self.targets.len() as f64;
-        let after_outage = self.away.map(|at| at + LAPSE_GRACE);
-        let after_mass = mass.then_some(read_at + LAPSE_GRACE);
-        let may_return = after_outage.max(after_mass).filter(|until| now < *until);
+        let is_mass_expiry = removed_count as f64 > MASS_EXPIRY_SHARE * self.targets.len() as f64;
+        let after_outage = self.unreachable_at.map(|at| at + EXPIRY_GRACE);
+        let after_mass_expiry = is_mass_expiry.then_some(read_at + EXPIRY_GRACE);
+        let may_return = after_outage
+            .max(after_mass_expiry)
+            .filter(|until| now < *until);
         for change in changes {
             match change {
-                Change::Set(entry) => self.list_target(&entry, source, now),
-                Change::Gone(key) => self.unlist_target(&key, may_return),
+                Change::Set(entry) => self.apply_entry(&entry, source, now),
+                Change::Deleted(key) => self.remove_entry(&key, may_return),
             }
         }
     }
 
-    fn list_target(&mut self, entry: &KvEntry, source: &Source, now: Instant) {
+    fn apply_entry(&mut self, entry: &KvEntry, source: &Source, now: Instant) {
         let value = entry.value.as_deref().unwrap_or_default();
         let target = match self.keys.target(&entry.key, value) {
             Ok(target) => target,
             Err(e) => {
                 // Another program wrote it, or the target is faulty: there is no address to send
                 // requests to.
-                self.undecodable(&e);
-                return self.unlist_target(&entry.key, None);
+                self.log_unreadable(&e);
+                return self.remove_entry(&entry.key, None);
             }
         };
-        self.lapsed.remove(&target.id);
-        self.take_life(&target);
+        self.expired.remove(&target.id);
+        self.check_incarnation(&target);
         let before = self.targets.get(&target.id);
         if before.map(|t| t.presence) != Some(target.presence) {
             event!(self.log, events::TARGET_LISTED,
@@ -68,9 +70,10 @@
                 "addr" => target.addr.to_string(), "presence" => format!("{:?}", target.presence),
                 "revision" => entry.revision.to_string(), "source" => source.to_string());
         }
-        self.warms_up(&target.id, target.cold, now);
-        self.departures.listed(&target, entry.revision.era(), now);
-        if self.departures.hides(&target, now) {
+        self.set_cold(&target.id, target.cold, now);
+        self.departures
+            .record_entry(&target, entry.revision.era(), now);
+        if self.departures.overrides_entry(&target, now) {
             event!(self.log, events::TARGET_DOUBTED, "target" => target.id.as_str(),
                 "revision" => entry.revision.to_string(), "source" => source.to_string());
         }
@@ -79,7 +82,7 @@
 
     /// Marks a target as warming up for `time` from now. The duration in an entry is as old as the
     /// entry, so the mark rather lasts too long.
-    pub(super) fn warms_up(&mut self, target: &TargetId, time: Duration, now: Instant) {
+    pub(super) fn set_cold(&mut self, target: &TargetId, time: Duration, now: Instant) {
         if !time.is_zero() {
             let until = self.cold.entry(target.clone()).or_insert(now);
             *until = (now + time).max(*until);
@@ -88,18 +91,18 @@
 
     /// Discards the weights that an earlier incarnation of a target was found to serve; the new one
     /// may serve older weights.
-    fn take_life(&mut self, target: &TargetEntry) {
+    fn check_incarnation(&mut self, target: &TargetEntry) {
         let before = self.targets.get(&target.id);
         if before.is_none_or(|before| before.life == target.life) {
             return;
         }
-        self.seen.remove(&target.id);
+        self.found_weights.remove(&target.id);
         event!(self.log, events::TARGET_RESTARTED, "target" => target.id.as_str(),
             "addr" => target.addr.to_string(), "life" => target.life.map_or(0, |life| life.0));
     }
 
     /// Drops a target whose entry disappeared, unless the entry may return until `may_return`.
-    pub(super) fn unlist_target(&mut self, key: &str, may_return: Option<Instant>) {
+    pub(super) fn remove_entry(&mut self, key: &str, may_return: Option<Instant>) {
         let id = key.strip_prefix(self.keys.target_prefix()).unwrap_or(key);
         let Ok(id) = id.parse::<TargetId>() else {
             return;
@@ -108,47 +111,47 @@
         let is_ready = self.targets.get(&id).is_some_and(ready);
         if let Some(until) = may_return.filter(|_| is_ready) {
             event!(self.log, events::TARGET_LAPSED, "target" => id.as_str());
-            self.lapsed.insert(id, until);
+            self.expired.insert(id, until);
             return;
         }
         self.drop_target(&id, "its entry was removed");
     }
 
     pub(super) fn drop_target(&mut self, id: &TargetId, why: &'static str) {
-        self.seen.remove(id);
+        self.found_weights.remove(id);
         self.cold.remove(id);
         if let Some(target) = self.targets.remove(id) {
-            let era = self.listed.known().revision.era();
-            self.departures.removed(&target, era, Instant::now());
+            let era = self.targets_mirror.known().revision.era();
+            self.departures.record_removal(&target, era, Instant::now());
             event!(self.log, events::TARGET_UNLISTED, "target" => id.as_str(), "why" => why);
         }
     }
 
-    pub(super) fn serves(&mut self, target: TargetId, found: Seen) {
+    pub(super) fn record_served(&mut self, target: TargetId, found: FoundWeights) {
         let entry = self.targets.get(&target);
         // The target's entry shows which of two incarnations is the newer one.
         if entry.is_some_and(|entry| entry.life != found.life) {
             return;
         }
         let known = entry.and_then(|entry| served(entry, &found.model));
-        let seen = self.seen.get(&target).map(|seen| seen.version);
-        if known >= Some(found.version) || seen >= Some(found.version) {
+        let last_found = self.found_weights.get(&target).map(|known| known.version);
+        if known >= Some(found.version) || last_found >= Some(found.version) {
             return;
         }
         event!(self.log, events::TARGET_SERVES, "target" => target.as_str(),
             "model" => found.model.as_str(), "version" => found.version.0);
-        self.seen.insert(target, found);
+        self.found_weights.insert(target, found);
         self.targets_changed = true;
     }
 
     pub(super) fn publish_targets(&mut self) {
         let now = Instant::now();
         let current = |(id, entry): (&TargetId, &Arc<TargetEntry>)| {
-            let mut entry = match self.seen.get(id) {
-                Some(seen) if seen.life == entry.life => Arc::new(with_served(entry, seen)),
+            let mut entry = match self.found_weights.get(id) {
+                Some(found) if found.life == entry.life => Arc::new(with_served(entry, found)),
                 _ => entry.clone(),
             };
-            if self.departures.hides(&entry, now) {
+            if self.departures.overrides_entry(&entry, now) {
                 Arc::make_mut(&mut entry).presence = Presence::Leaving;
             }
             (id.clone(), entry)
@@ -167,11 +170,11 @@
     found.map(|served| served.version)
 }
 
-fn with_served(entry: &TargetEntry, seen: &Seen) -> TargetEntry {
+fn with_served(entry: &TargetEntry, found: &FoundWeights) -> TargetEntry {
     let mut entry = entry.clone();
-    let newer = |served: &Served| served.model == seen.model && served.version < seen.version;
+    let newer = |served: &Served| served.model == found.model && served.version < found.version;
     for served in entry.served.iter_mut().filter(|served| newer(served)) {
-        served.version = seen.version;
+        served.version = found.version;
     }
     entry
 }
--- a/crates/sillpin-gateway/src/beliefs/mirror.rs
+++ b/crates/sillpin-gateway/src/fleet_state/mirror.rs
@@ -1,6 +1,6 @@
 //! A copy of all keys below a prefix of the platform store.
 
-use super::{Copied, Known, Reading};
+use super::{Copied, Reading, SyncState};
 use sillpin_platform::{KvEntry, KvRevision, Snapshot, WatchReply};
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 
 /// Time without an answer of the platform store after which this box has lost contact with it.
 /// Boxes that wait for the zone's reader read the store themselves after two seconds at most.
-pub const STORE_SILENCE: Duration = Duration::from_secs(3);
+pub const STORE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A change of one key.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -17,7 +17,7 @@
     /// The key was written.
     Set(KvEntry),
     /// The key was deleted.
-    Gone(String),
+    Deleted(String),
 }
 
 impl Change {
@@ -25,7 +25,7 @@
     pub fn key(&self) -> &str {
         match self {
             Change::Set(entry) => &entry.key,
-            Change::Gone(key) => key,
+            Change::Deleted(key) => key,
         }
     }
 }
@@ -34,12 +34,12 @@
 #[derive(Debug, Default)]
 pub struct Mirror {
     entries: BTreeMap<String, KvEntry>,
-    known: Known,
+    known: SyncState,
 }
 
 impl Mirror {
     /// Returns how far the prefix is known.
-    pub fn known(&self) -> Known {
+    pub fn known(&self) -> SyncState {
         self.known
     }
 
@@ -53,28 +53,28 @@
         Arc::new(self.entries.values().cloned().collect())
     }
 
-    /// Applies data requested at `asked` and returns the changes. Data older than what is known
-    /// changes nothing.
-    pub fn take(&mut self, reading: Reading, asked: Instant) -> Vec<Change> {
+    /// Applies data requested at `requested_at` and returns the changes. Data older than what is
+    /// known changes nothing.
+    pub fn apply(&mut self, reading: Reading, requested_at: Instant) -> Vec<Change> {
         match reading {
-            Reading::Whole(snapshot) => {
+            Reading::Complete(snapshot) => {
                 let revision = snapshot.revision;
-                let is_news = revision >= self.known.revision;
-                let changes = self.replace(snapshot);
-                if is_news {
-                    self.confirm(revision, asked);
+                let is_current = revision >= self.known.revision;
+                let changes = self.apply_snapshot(snapshot);
+                if is_current {
+                    self.confirm(revision, requested_at);
                 }
                 changes
             }
             // The age of a stale read is unknown; the watch that follows confirms it.
-            Reading::Glanced(snapshot) => {
+            Reading::Stale(snapshot) => {
                 let revision = snapshot.revision;
-                let changes = self.replace(snapshot);
+                let changes = self.apply_snapshot(snapshot);
                 self.known.revision = self.known.revision.max(revision);
                 changes
             }
-            Reading::Changes(reply) => self.apply(reply, asked),
-            Reading::Copied(copied) => self.merge(copied, asked),
+            Reading::Changes(reply) => self.apply_changes(reply, requested_at),
+            Reading::Copied(copied) => self.apply_copy(copied, requested_at),
         }
     }
 
@@ -85,7 +85,7 @@
         (newer.cloned().collect(), keys.collect())
     }
 
-    fn replace(&mut self, snapshot: Snapshot) -> Vec<Change> {
+    fn apply_snapshot(&mut self, snapshot: Snapshot) -> Vec<Change> {
         if snapshot.revision < self.known.revision {
             return Vec::new();
         }
@@ -94,43 +94,43 @@
             .into_iter()
             .map(|entry| (entry.key.clone(), entry))
             .collect();
-        let gone = self.entries.keys().filter(|key| !read.contains_key(*key));
-        let mut changes: Vec<Change> = gone.cloned().map(Change::Gone).collect();
+        let deleted = self.entries.keys().filter(|key| !read.contains_key(*key));
+        let mut changes: Vec<Change> = deleted.cloned().map(Change::Deleted).collect();
         let differs = |entry: &&KvEntry| self.entries.get(&entry.key) != Some(*entry);
         changes.extend(read.values().filter(differs).cloned().map(Change::Set));
         self.entries = read;
         changes
     }
 
-    fn apply(&mut self, reply: WatchReply, asked: Instant) -> Vec<Change> {
+    fn apply_changes(&mut self, reply: WatchReply, requested_at: Instant) -> Vec<Change> {
         let mut changes = Vec::new();
         for entry in reply.changed {
             changes.extend(self.apply_entry(entry));
         }
-        self.confirm(reply.revision, asked);
+        self.confirm(reply.revision, requested_at);
         changes
     }
 
     /// Applies what another box knows beyond some revision. Keys that it does not list were
     /// deleted, unless they were written after its revision.
-    fn merge(&mut self, copied: Copied, asked: Instant) -> Vec<Change> {
+    fn apply_copy(&mut self, copied: Copied, requested_at: Instant) -> Vec<Change> {
         if copied.revision < self.known.revision {
             return Vec::new();
         }
         let exist: HashSet<&String> = copied.keys.iter().collect();
-        let is_gone = |(key, entry): &(&String, &KvEntry)| {
+        let is_deleted = |(key, entry): &(&String, &KvEntry)| {
             !exist.contains(*key) && entry.revision <= copied.revision
         };
-        let gone = self.entries.iter().filter(is_gone);
-        let gone: Vec<String> = gone.map(|(key, _)| key.clone()).collect();
-        for key in &gone {
+        let deleted = self.entries.iter().filter(is_deleted);
+        let deleted: Vec<String> = deleted.map(|(key, _)| key.clone()).collect();
+        for key in &deleted {
             self.entries.remove(key);
         }
-        let mut changes: Vec<Change> = gone.into_iter().map(Change::Gone).collect();
+        let mut changes: Vec<Change> = deleted.into_iter().map(Change::Deleted).collect();
         for entry in copied.changed {
             changes.extend(self.apply_entry(entry));
         }
-        self.confirm(copied.revision, asked);
+        self.confirm(copied.revision, requested_at);
         changes
     }
 
@@ -142,30 +142,30 @@
         }
         if entry.value.is_none() {
             self.entries.remove(&entry.key)?;
-            return Some(Change::Gone(entry.key));
+            return Some(Change::Deleted(entry.key));
         }
         self.entries.insert(entry.key.clone(), entry.clone());
         Some(Change::Set(entry))
     }
 
     /// Makes the data older by the time for which the box was suspended.
-    pub fn age(&mut self, time: Duration) {
-        self.known.age(time);
+    pub fn add_suspended_time(&mut self, time: Duration) {
+        self.known.add_suspended_time(time);
     }
 
     /// Extends this box's contact with the store to `since`, from when another box has been in
     /// contact.
-    pub fn join_contact(&mut self, since: Instant) {
+    pub fn extend_contact(&mut self, since: Instant) {
         self.known.contact = self.known.contact.map(|own| own.min(since));
     }
 
-    /// Records that a read at `asked` found nothing missing up to a revision.
-    pub fn confirm(&mut self, revision: KvRevision, asked: Instant) {
-        let is_broken = |at: Instant| asked > at + STORE_SILENCE;
-        if self.known.confirmed.is_none_or(is_broken) {
-            self.known.contact = Some(asked);
+    /// Records that a read at `requested_at` found nothing missing up to a revision.
+    pub fn confirm(&mut self, revision: KvRevision, requested_at: Instant) {
+        let has_gap = |at: Instant| requested_at > at + STORE_TIMEOUT;
+        if self.known.confirmed.is_none_or(has_gap) {
+            self.known.contact = Some(requested_at);
         }
         self.known.revision = self.known.revision.max(revision);
-        self.known.confirmed = self.known.confirmed.max(Some(asked));
+        self.known.confirmed = self.known.confirmed.max(Some(requested_at));
     }
 }
--- a/crates/sillpin-gateway/src/beliefs/mod.rs
+++ b/crates/sillpin-gateway/src/fleet_state/mod.rs
@@ -6,17 +6,17 @@
 //! receiving changes. Within a process's lifetime a configuration is never replaced by an older
 //! one.
 
+pub mod desired;
 pub mod evacuation;
 pub mod fleet;
 pub mod mirror;
 pub mod reader;
 pub mod transfers;
-pub mod wanted;
 
+pub use self::desired::{DesiredVersion, DesiredVersions};
 pub use self::evacuation::Evacuations;
 use self::mirror::Mirror;
-pub use self::mirror::STORE_SILENCE;
-pub use self::wanted::{Named, Wanted};
+pub use self::mirror::STORE_TIMEOUT;
 use crate::config::FleetConfig;
 use crate::control::{Life, TargetEntry};
 use crate::place::index::TargetIndex;
@@ -84,13 +84,13 @@
 
 /// How far a mirrored prefix is known.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Known {
+pub struct SyncState {
     /// Revision up to which nothing is missing.
     pub revision: KvRevision,
     /// When some box last queried the store and found this content.
     pub confirmed: Option<Instant>,
     /// Since when some box of the fleet has been in contact with the store without a gap of more
-    /// than [`STORE_SILENCE`].
+    /// than [`STORE_TIMEOUT`].
     pub contact: Option<Instant>,
     /// Hash of the content, without heartbeats; equal in boxes that know the same.
     pub content: u64,
@@ -102,7 +102,7 @@
     /// The configuration in force.
     pub config: Option<Arc<FleetConfig>>,
     /// How far it is known what operators publish.
-    pub operators: Known,
+    pub operators_sync: SyncState,
     /// Targets that are listed, leaving ones included, with the weights that this box found them to
     /// serve.
     pub targets: Arc<HashMap<TargetId, Arc<TargetEntry>>>,
@@ -113,11 +113,11 @@
     /// Until when targets are cold, which means that they are warming up, as far as known.
     pub cold: Arc<HashMap<TargetId, Instant>>,
     /// How far targets are known.
-    pub listed: Known,
+    pub targets_sync: SyncState,
     /// Zones that operators have evacuated.
     pub evacuations: Arc<Evacuations>,
     /// Desired weights versions, by model.
-    pub wanted: Arc<HashMap<ModelId, Wanted>>,
+    pub desired: Arc<HashMap<ModelId, DesiredVersions>>,
     /// Other boxes that are up, as far as known.
     pub boxes: Arc<Vec<BoxEntry>>,
     /// Whether this box has read the registered boxes in the platform store.
@@ -125,7 +125,7 @@
     /// Raw entries, for other boxes.
     pub copies: Copies,
     /// Total time of suspension of the box that the ages in this view account for.
-    pub slept: Duration,
+    pub suspended: Duration,
 }
 
 /// Raw entries of the mirrored prefixes.
@@ -137,9 +137,9 @@
     pub targets: Arc<Vec<KvEntry>>,
 }
 
-impl Known {
+impl SyncState {
     /// Makes the data older by `time`, for which the box was suspended.
-    fn age(&mut self, time: Duration) {
+    fn add_suspended_time(&mut self, time: Duration) {
         // A time before the start of the box's clock can't be represented, so it counts as never
         // confirmed.
         self.confirmed = self.confirmed.and_then(|at| at.checked_sub(time));
@@ -147,10 +147,10 @@
     }
 
     /// Returns since when this box has been in contact with the store, or `None` if it is not.
-    pub fn in_touch(&self, now: Instant) -> Option<Instant> {
+    pub fn in_contact(&self, now: Instant) -> Option<Instant> {
         let confirmed = self.confirmed?;
-        let is_silent = now.saturating_duration_since(confirmed) >= STORE_SILENCE;
-        self.contact.filter(|_| !is_silent)
+        let is_timed_out = now.saturating_duration_since(confirmed) >= STORE_TIMEOUT;
+        self.contact.filter(|_| !is_timed_out)
     }
 }
 
@@ -164,14 +164,14 @@
     pub fn is_evacuated(&self, pool: &PoolId) -> bool {
         let of_pool = self.targets.values().filter(|target| target.pool == *pool);
         let mut zones = of_pool.map(|target| &target.zone).peekable();
-        zones.peek().is_some() && zones.all(|zone| self.evacuations.covers(zone))
+        zones.peek().is_some() && zones.all(|zone| self.evacuations.contains(zone))
     }
 
     /// Returns how far a prefix is known.
-    pub fn known(&self, topic: Topic) -> Known {
+    pub fn known(&self, topic: Topic) -> SyncState {
         match topic {
-            Topic::Operators => self.operators,
-            Topic::Targets => self.listed,
+            Topic::Operators => self.operators_sync,
+            Topic::Targets => self.targets_sync,
         }
     }
 
@@ -194,9 +194,9 @@
 #[derive(Debug)]
 pub enum Reading {
     /// All of it.
-    Whole(Snapshot),
+    Complete(Snapshot),
     /// All of it, from a read that may be stale.
-    Glanced(Snapshot),
+    Stale(Snapshot),
     /// The changes.
     Changes(WatchReply),
     /// What another box knows beyond this one's revision.
@@ -207,7 +207,7 @@
     /// Returns the revision up to which nothing is missing.
     pub fn revision(&self) -> KvRevision {
         match self {
-            Reading::Whole(snapshot) | Reading::Glanced(snapshot) => snapshot.revision,
+            Reading::Complete(snapshot) | Reading::Stale(snapshot) => snapshot.revision,
             Reading::Changes(reply) => reply.revision,
             Reading::Copied(copied) => copied.revision,
         }
@@ -235,12 +235,12 @@
         /// The data.
         reading: Reading,
         /// When it was requested; the data is at least as new as that.
-        asked: Instant,
+        requested_at: Instant,
         /// Where it came from.
         source: Source,
     },
     /// The zone's reader read changes from the store, and they were relayed to this box.
-    Passed {
+    Relayed {
         /// The prefix.
         topic: Topic,
         /// The revision before them.
@@ -250,7 +250,7 @@
         /// The changes.
         reply: WatchReply,
         /// When the store was queried.
-        asked: Instant,
+        requested_at: Instant,
     },
     /// Another box found that the content known here is still current.
     Confirmed {
@@ -261,30 +261,29 @@
         /// Revision up to which nothing is missing.
         revision: KvRevision,
         /// When the store was queried.
-        asked: Instant,
+        requested_at: Instant,
     },
-    /// Another box knows a weights version that this one lacks, or an earlier time at which it was
-    /// set.
-    Named {
+    /// Another box knows a weights version that this one lacks, or an earlier time of the request.
+    DesiredVersion {
         /// The model.
         model: ModelId,
         /// The version.
-        named: Named,
+        named: DesiredVersion,
         /// Where it came from.
         source: Source,
     },
     /// Another box has been in contact with the store since then.
     Contact(Instant),
     /// A call of this box to the store failed.
-    StoreAway,
+    StoreUnreachable,
     /// All boxes that are registered in the store.
     Registered(Vec<BoxEntry>),
     /// Registered boxes from a read of the store that may be stale.
-    RegisteredBefore(Vec<BoxEntry>),
+    RegisteredStale(Vec<BoxEntry>),
     /// A box of the zone that was new to the hub.
-    Joined(BoxEntry),
+    BoxJoined(BoxEntry),
     /// A digest of a box arrived.
-    Heard(BoxEntry),
+    PeerSeen(BoxEntry),
     /// A box is shutting down.
     Stopping(BoxId),
     /// An engine answered with other weights than its entry states.
@@ -309,13 +308,13 @@
 
 impl FleetHandle {
     /// Sends a message, waiting while the queue is full.
-    pub async fn tell(&self, msg: FleetMsg) {
+    pub async fn send(&self, msg: FleetMsg) {
         // The task ends only with the process.
         let _ = self.tx.send(msg).await;
     }
 
     /// Sends a message unless the queue is full; for messages that may be lost.
-    pub fn hint(&self, msg: FleetMsg) {
+    pub fn try_send(&self, msg: FleetMsg) {
         let _ = self.tx.try_send(msg);
     }
 
--- a/crates/sillpin-gateway/src/beliefs/reader.rs
+++ b/crates/sillpin-gateway/src/fleet_state/reader.rs
@@ -6,7 +6,7 @@
 
 use super::transfers::Transfers;
 use super::{BoxEntry, FleetHandle, FleetMsg, Reading, Source, Topic};
-use crate::peers::datagram::{News, PublishedWord};
+use crate::peers::datagram::{PublishedChanges, ZoneUpdate};
 use crate::peers::roles::{self, SMALL_FLEET};
 use crate::place::Loads;
 use rand::RngExt;
@@ -31,22 +31,22 @@
 /// Longest time for which a box that does not read for its zone waits for a change: the 30 s that
 /// the store allows, less a margin. Each call costs: on 59 boxes all calls of watches rise by 13%
 /// (912 to 1,034 in 60 s).
-const MAX_HOLD: Duration = Duration::from_secs(25);
+const MAX_LONG_POLL: Duration = Duration::from_secs(25);
 
 /// Share of the store's history for which such a box waits. If nothing changes during a longer
 /// watch, its start is beyond what the store remembers, so it fails and costs an additional
 /// listing.
-const HOLD_PART: f64 = 0.85;
+const LONG_POLL_SHARE: f64 = 0.85;
 
 /// Returns how long to wait for a change in a store that remembers changes for `history`.
-pub fn hold_wait(history: Duration) -> Duration {
-    history.mul_f64(HOLD_PART).min(MAX_HOLD)
+pub fn long_poll_wait(history: Duration) -> Duration {
+    history.mul_f64(LONG_POLL_SHARE).min(MAX_LONG_POLL)
 }
 
 /// Shortest and longest wait of such a box after a failure: it gets changes from other boxes
 /// meanwhile.
-const MIN_HOLD_BACKOFF: Duration = Duration::from_millis(1_000);
-const MAX_HOLD_BACKOFF: Duration = Duration::from_millis(4_000);
+const MIN_LONG_POLL_BACKOFF: Duration = Duration::from_millis(1_000);
+const MAX_LONG_POLL_BACKOFF: Duration = Duration::from_millis(4_000);
 
 /// Least time between two calls for what operators publish.
 const OPERATORS_PAUSE: Duration = Duration::from_millis(250);
@@ -61,10 +61,10 @@
 
 /// Longest value in bytes that is sent in datagrams: targets' entries take 300, weights versions
 /// 50.
-const MAX_PASSED: usize = 2_000;
+const MAX_SENT_VALUE: usize = 2_000;
 
 /// Time between two checks of a box that does not read whether it has to.
-const TURN_CHECK: Duration = Duration::from_millis(150);
+const MODE_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Shortest and longest wait after a failure. The longest bounds the time until a box notices that
 /// the store answers it again.
@@ -86,50 +86,50 @@
     /// Transfers to this box in progress.
     pub transfers: Transfers,
     /// How long to wait for a change if another box reads for the zone.
-    pub hold: Duration,
+    pub long_poll: Duration,
     /// Loads of targets, which show whether bulletins of a hub arrive.
     pub loads: Loads,
     /// Updates for the zone.
-    pub news: mpsc::Sender<News>,
+    pub updates: mpsc::Sender<ZoneUpdate>,
     /// Log.
     pub log: Logger,
 }
 
 /// How a box reads the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Turn {
+enum ReadMode {
     /// Polls for its zone.
-    Reads,
+    Poll,
     /// Waits long for a change, for itself.
-    Holds,
+    LongPoll,
     /// Makes no calls.
-    Rests,
+    Idle,
 }
 
 impl<P: Platform> Reader<P> {
     /// Reads until the process ends.
     pub async fn run(self) {
-        let mut whole = true;
+        let mut must_list_next = true;
         // The view may not yet include the last read.
         let mut reached = KvRevision::ABSENT;
         let mut failures: u32 = 0;
         loop {
-            let mut turn = self.turn();
-            if self.transfers.is_under_way(self.topic) {
-                tokio::time::sleep(TURN_CHECK).await;
+            let mut mode = self.mode();
+            if self.transfers.is_in_progress(self.topic) {
+                tokio::time::sleep(MODE_CHECK_INTERVAL).await;
                 continue;
             }
-            if turn == Turn::Rests {
+            if mode == ReadMode::Idle {
                 self.transfers.set_watched(self.topic, false);
                 tokio::select! {
-                    () = tokio::time::sleep(TURN_CHECK) => continue,
-                    () = self.transfers.doubted(self.topic) => turn = Turn::Reads,
+                    () = tokio::time::sleep(MODE_CHECK_INTERVAL) => continue,
+                    () = self.transfers.retry_requested(self.topic) => mode = ReadMode::Poll,
                 }
             }
-            let asked = Instant::now();
+            let requested_at = Instant::now();
             let read = tokio::select! {
-                read = self.read(whole, reached, turn) => read,
-                () = self.hold_ends(turn) => continue,
+                read = self.read(must_list_next, reached, mode) => read,
+                () = self.long_poll_ends(mode) => continue,
             };
             self.transfers.set_watched(self.topic, read.is_ok());
             match read {
@@ -139,34 +139,35 @@
                             "prefix" => self.prefix, "failures" => failures);
                     }
                     failures = 0;
-                    whole = false;
-                    let glanced = matches!(reading, Reading::Glanced(_));
+                    must_list_next = false;
+                    let is_stale = matches!(reading, Reading::Stale(_));
                     reached = reached.max(reading.revision());
-                    self.pass_on(&reading, asked);
+                    self.send_changes(&reading, requested_at);
                     let (topic, source) = (self.topic, Source::Store);
                     let msg = FleetMsg::Read {
                         topic,
                         reading,
-                        asked,
+                        requested_at,
                         source,
                     };
-                    self.fleet.tell(msg).await;
-                    // The watch after a stale read follows immediately, unless the read found nothing.
-                    if !glanced || reached == KvRevision::ABSENT {
-                        tokio::time::sleep_until(asked + self.pause()).await;
+                    self.fleet.send(msg).await;
+                    // The watch after a stale read follows immediately, unless the read found
+                    // nothing.
+                    if !is_stale || reached == KvRevision::ABSENT {
+                        tokio::time::sleep_until(requested_at + self.pause()).await;
                     }
                 }
                 Err(e) => {
-                    whole = self.must_list(&e);
+                    must_list_next = self.must_list(&e);
                     failures += 1;
-                    self.failed(&e, failures, turn).await;
+                    self.handle_failure(&e, failures, mode).await;
                 }
             }
         }
     }
 
     /// Sends the zone the changes, if they fit datagrams. All boxes read longer values themselves.
-    fn pass_on(&self, reading: &Reading, asked: Instant) {
+    fn send_changes(&self, reading: &Reading, requested_at: Instant) {
         let Reading::Changes(reply) = reading else {
             return;
         };
@@ -175,35 +176,35 @@
             .iter()
             .filter_map(|entry| entry.value.as_ref());
         let longest = texts.map(String::len).max().unwrap_or_default();
-        if reply.changed.is_empty() || longest > MAX_PASSED {
+        if reply.changed.is_empty() || longest > MAX_SENT_VALUE {
             return;
         }
         let known = self.fleet.view().known(self.topic);
-        let word = PublishedWord {
+        let changes = PublishedChanges {
             topic: self.topic,
             after: known.revision,
             before: Some(known.content),
             changed: reply.changed.clone(),
             revision: reply.revision,
-            age_ms: asked.elapsed().as_millis() as u64,
+            age_ms: requested_at.elapsed().as_millis() as u64,
         };
         // Boxes that miss the update receive this box's revision in a digest, and fetch a copy.
-        let _ = self.news.try_send(News::Published(word));
+        let _ = self.updates.try_send(ZoneUpdate::Published(changes));
     }
 
-    fn turn(&self) -> Turn {
-        match (self.is_my_turn(), self.topic) {
-            (true, _) => Turn::Reads,
+    fn mode(&self) -> ReadMode {
+        match (self.must_read(), self.topic) {
+            (true, _) => ReadMode::Poll,
             // The hub's bulletin states within milliseconds that something has changed, and each
             // wait at the store costs a call.
-            (false, Topic::Operators) if self.loads.hears_hub(Instant::now()) => Turn::Rests,
-            (false, Topic::Operators) => Turn::Holds,
-            (false, Topic::Targets) => Turn::Rests,
+            (false, Topic::Operators) if self.loads.hears_hub(Instant::now()) => ReadMode::Idle,
+            (false, Topic::Operators) => ReadMode::LongPoll,
+            (false, Topic::Targets) => ReadMode::Idle,
         }
     }
 
     /// Returns whether this box reads for its zone, or its data is too old to wait for the reader.
-    fn is_my_turn(&self) -> bool {
+    fn must_read(&self) -> bool {
         let view = self.fleet.view();
         let confirmed = view.known(self.topic).confirmed;
         let now = Instant::now();
@@ -213,16 +214,16 @@
 
     /// Resolves when a box that waits for a change has to read for its zone, or other boxes know of
     /// a change; not while a change is being transferred.
-    async fn hold_ends(&self, turn: Turn) {
-        if turn != Turn::Holds {
+    async fn long_poll_ends(&self, mode: ReadMode) {
+        if mode != ReadMode::LongPoll {
             return std::future::pending().await;
         }
         loop {
             let is_over = tokio::select! {
-                () = tokio::time::sleep(TURN_CHECK) => self.is_my_turn(),
-                () = self.transfers.doubted(self.topic) => true,
+                () = tokio::time::sleep(MODE_CHECK_INTERVAL) => self.must_read(),
+                () = self.transfers.retry_requested(self.topic) => true,
             };
-            if is_over && !self.transfers.is_under_way(self.topic) {
+            if is_over && !self.transfers.is_in_progress(self.topic) {
                 return;
             }
         }
@@ -239,32 +240,32 @@
 
     async fn read(
         &self,
-        whole: bool,
+        must_list_next: bool,
         reached: KvRevision,
-        turn: Turn,
+        mode: ReadMode,
     ) -> Result<Reading, PlatformError> {
         let known = self.fleet.view().known(self.topic).revision.max(reached);
         if known == KvRevision::ABSENT {
-            let _arriving = self.transfers.begin(self.topic);
-            let glanced = self.platform.glance(self.prefix).await;
-            return glanced.map(Reading::Glanced);
+            let _transfer = self.transfers.begin(self.topic);
+            let snapshot = self.platform.glance(self.prefix).await;
+            return snapshot.map(Reading::Stale);
         }
-        if whole {
-            let _arriving = self.transfers.begin(self.topic);
-            let listed = self.platform.snapshot(self.prefix).await;
-            return listed.map(Reading::Whole);
+        if must_list_next {
+            let _transfer = self.transfers.begin(self.topic);
+            let snapshot = self.platform.snapshot(self.prefix).await;
+            return snapshot.map(Reading::Complete);
         }
         let is_confirmed = self.fleet.view().known(self.topic).confirmed.is_some();
-        let wait = match turn {
+        let wait = match mode {
             _ if !is_confirmed => FIRST_WAIT,
-            Turn::Holds => self.hold,
-            Turn::Reads | Turn::Rests => WATCH_WAIT,
+            ReadMode::LongPoll => self.long_poll,
+            ReadMode::Poll | ReadMode::Idle => WATCH_WAIT,
         };
-        let mut under_way = None;
-        let arriving = || under_way = Some(self.transfers.begin(self.topic));
+        let mut transfer = None;
+        let on_response = || transfer = Some(self.transfers.begin(self.topic));
         let changes = self
             .platform
-            .watch_arriving(self.prefix, known, wait, arriving)
+            .watch_arriving(self.prefix, known, wait, on_response)
             .await;
         changes.map(Reading::Changes)
     }
@@ -276,24 +277,24 @@
         self.topic == Topic::Targets || e.fault == PlatformFault::HistoryLost
     }
 
-    async fn failed(&self, e: &PlatformError, failures: u32, turn: Turn) {
+    async fn handle_failure(&self, e: &PlatformError, failures: u32, mode: ReadMode) {
         if failures == 1 {
             event!(self.log, events::STORE_LOST, "prefix" => self.prefix, "why" => e.to_string());
         }
         if e.fault == PlatformFault::HistoryLost {
             return;
         }
-        if turn == Turn::Holds {
+        if mode == ReadMode::LongPoll {
             // The polling boxes find out whether the store is unreachable, or only refuses this
             // box.
-            let rest = backoff(failures, MIN_HOLD_BACKOFF, MAX_HOLD_BACKOFF);
+            let wait = backoff(failures, MIN_LONG_POLL_BACKOFF, MAX_LONG_POLL_BACKOFF);
             tokio::select! {
-                () = tokio::time::sleep(rest) => {}
-                () = self.hold_ends(turn) => {}
+                () = tokio::time::sleep(wait) => {}
+                () = self.long_poll_ends(mode) => {}
             }
             return;
         }
-        self.fleet.tell(FleetMsg::StoreAway).await;
+        self.fleet.send(FleetMsg::StoreUnreachable).await;
         tokio::time::sleep(backoff(failures, MIN_BACKOFF, MAX_BACKOFF)).await;
     }
 }
--- a/crates/sillpin-gateway/src/beliefs/transfers.rs
+++ b/crates/sillpin-gateway/src/fleet_state/transfers.rs
@@ -11,9 +11,9 @@
 
 #[derive(Debug, Default)]
 struct State {
-    under_way: u32,
+    in_progress: u32,
     watched: bool,
-    doubted: Arc<Notify>,
+    retry_requested: Arc<Notify>,
 }
 
 /// Transfers to this box; clones share them.
@@ -24,23 +24,25 @@
 
 /// Guard of a transfer, which is in progress until this is dropped.
 #[derive(Debug)]
-pub struct UnderWay {
+pub struct TransferGuard {
     transfers: Transfers,
     topic: Topic,
 }
 
 impl Transfers {
     /// Records that a transfer of a prefix begins.
-    pub fn begin(&self, topic: Topic) -> UnderWay {
-        self.lock().entry(topic).or_default().under_way += 1;
+    pub fn begin(&self, topic: Topic) -> TransferGuard {
+        self.lock().entry(topic).or_default().in_progress += 1;
         let transfers = self.clone();
-        UnderWay { transfers, topic }
+        TransferGuard { transfers, topic }
     }
 
     /// Returns whether a transfer of a prefix is in progress.
-    pub fn is_under_way(&self, topic: Topic) -> bool {
+    pub fn is_in_progress(&self, topic: Topic) -> bool {
         let topics = self.lock();
-        topics.get(&topic).is_some_and(|state| state.under_way > 0)
+        topics
+            .get(&topic)
+            .is_some_and(|state| state.in_progress > 0)
     }
 
     /// Sets whether the store answers this box and will send it the next change of a prefix.
@@ -56,17 +58,21 @@
 
     /// Requests that the call to the store be repeated. Other boxes know of a change that the store
     /// has not sent to this box, so the connection on which it waits may be broken.
-    pub fn doubt(&self, topic: Topic) {
-        self.doubted_of(topic).notify_waiters();
+    pub fn request_retry(&self, topic: Topic) {
+        self.retry_notify(topic).notify_waiters();
     }
 
-    /// Resolves at the next [`Transfers::doubt`].
-    pub async fn doubted(&self, topic: Topic) {
-        self.doubted_of(topic).notified().await;
+    /// Resolves at the next [`Transfers::request_retry`].
+    pub async fn retry_requested(&self, topic: Topic) {
+        self.retry_notify(topic).notified().await;
     }
 
-    fn doubted_of(&self, topic: Topic) -> Arc<Notify> {
-        self.lock().entry(topic).or_default().doubted.clone()
+    fn retry_notify(&self, topic: Topic) -> Arc<Notify> {
+        self.lock()
+            .entry(topic)
+            .or_default()
+            .retry_requested
+            .clone()
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<Topic, State>> {
@@ -74,10 +80,10 @@
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for TransferGuard {
     fn drop(&mut self) {
         let mut topics = self.transfers.lock();
         let state = topics.entry(self.topic).or_default();
-        state.under_way = state.under_way.saturating_sub(1);
+        state.in_progress = state.in_progress.saturating_sub(1);
     }
 }
--- a/crates/sillpin-gateway/src/front/admit.rs
+++ b/crates/sillpin-gateway/src/front/admit.rs
@@ -3,10 +3,10 @@
 use super::answers::Refusal;
 use super::body_room::{BodyFault, HeldBody};
 use super::shared::Shared;
-use crate::beliefs::View;
 use crate::config::{FleetConfig, Organisation, Priority, Route};
 use crate::dialect::{Demand, Dialect};
 use crate::fatal::RequestPrint;
+use crate::fleet_state::View;
 use hyper::body::Incoming;
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Method, StatusCode};
@@ -154,7 +154,7 @@
 
 /// Whether what operators publish was confirmed of late.
 pub fn is_fresh(view: &View) -> bool {
-    let confirmed = view.operators.confirmed;
+    let confirmed = view.operators_sync.confirmed;
     confirmed.is_some_and(|at| at.elapsed() < DENY_FRESH)
 }
 
--- a/crates/sillpin-gateway/src/front/drive.rs
+++ b/crates/sillpin-gateway/src/front/drive.rs
@@ -9,11 +9,11 @@
 use super::attempt::{Attempt, Ended, Leaving, WholeAnswer};
 use super::placing::Placed;
 use super::shared::Shared;
-use crate::beliefs::{FleetMsg, View};
 use crate::config::Repeat;
 use crate::control::TargetEntry;
 use crate::dialect::{Dialect, Sending};
 use crate::fatal::witness::Broken;
+use crate::fleet_state::{FleetMsg, View};
 use crate::place::load::Outcome as Health;
 use crate::place::work::LifeHash;
 use hyper::Response;
@@ -202,14 +202,14 @@
             "cost_ms" => chosen.cost_ms.round(), "candidates" => chosen.candidates,
             "version" => chosen.version.map_or(0, |version| version.0),
             "parts" => &placed.parts, "fetched" => placed.fetched, "kept" => placed.kept,
-            "config" => run.config.version.0, "targets_at" => view.listed.revision.to_string(),
+            "config" => run.config.version.0, "targets_at" => view.targets_sync.revision.to_string(),
             "left_ms" => run.time_left().as_millis(), "queue_ms" => chosen.queue_ms.round(),
-            "in_time" => placed.in_time, "wanted" => weights.map_or(0, |w| w.wanted.0),
+            "in_time" => placed.in_time, "wanted" => weights.map_or(0, |w| w.desired.0),
             "wanted_for_ms" => weights.map_or(0, |w| w.wanted_for.as_millis()),
             "oldest" => weights.map_or(0, |w| w.oldest.0),
             "oldest_why" => weights.map_or("", |w| w.why));
         if let (Some(version), Some(weights)) = (chosen.version, weights) {
-            self.metrics.prompt_sending(version < weights.wanted);
+            self.metrics.prompt_sending(version < weights.desired);
         }
         self.metrics.prompt_tokens("fetched", placed.fetched);
         self.metrics.prompt_tokens("other", placed.others);
@@ -306,8 +306,8 @@
             return true;
         };
         let view = self.fleet.view();
-        let wanted = view.wanted.get(&prompt.model);
-        let newest = wanted.map(|wanted| wanted.newest().version);
+        let desired = view.desired.get(&prompt.model);
+        let newest = desired.map(|desired| desired.newest().version);
         is_fresh(&view) && version >= newest
     }
 
@@ -315,7 +315,7 @@
     fn learn_weights(&self, run: &Run, target: &TargetEntry, weights: Option<WeightVersion>) {
         let prompt = run.demand.prompt.as_ref();
         if let (Some(prompt), Some(version)) = (prompt, weights) {
-            self.fleet.hint(FleetMsg::Serves {
+            self.fleet.try_send(FleetMsg::Serves {
                 target: target.id.clone(),
                 life: target.life,
                 model: prompt.model.clone(),
--- a/crates/sillpin-gateway/src/front/handler.rs
+++ b/crates/sillpin-gateway/src/front/handler.rs
@@ -72,7 +72,10 @@
 
     fn log_refusal(&self, id: &str, path: &str, refusal: &Refusal, started: Instant) {
         let view = self.shared.fleet.view();
-        let age = view.operators.confirmed.map(|at| at.elapsed().as_millis());
+        let age = view
+            .operators_sync
+            .confirmed
+            .map(|at| at.elapsed().as_millis());
         self.shared.metrics.request("", "refused");
         event!(self.shared.log, events::REQUEST_FAILED, "request" => id, "path" => path,
             "status" => refusal.status.as_u16(), "outcome" => refusal.outcome.to_string(),
--- a/crates/sillpin-gateway/src/front/placing.rs
+++ b/crates/sillpin-gateway/src/front/placing.rs
@@ -4,9 +4,9 @@
 use super::answers::{COME_BACK, Refusal};
 use super::drive::Progress;
 use super::shared::Shared;
-use crate::beliefs::View;
 use crate::config::{EngineSpec, Pool, Priority};
 use crate::dialect::{Dialect, EngineSending, Prompt};
+use crate::fleet_state::View;
 use crate::peers::roles::SMALL_FLEET;
 use crate::place::allowed::{AllowedWeights, WeightsUse};
 use crate::place::choose::PromptChoice;
@@ -270,7 +270,7 @@
                 others: &view.boxes,
                 is_settled: has_started && view.has_registered,
                 is_stopping: self.stopping.is_cancelled(),
-                is_in_touch: view.operators.in_touch(now).is_some(),
+                is_in_touch: view.operators_sync.in_contact(now).is_some(),
                 pool_zones: targets.map_or(&[], |targets| &targets.zone_names),
             },
         }
@@ -285,17 +285,17 @@
         prompt: &Prompt,
     ) -> Option<Selected> {
         let now = base.now;
-        let wanted = view.wanted.get(&prompt.model);
+        let desired = view.desired.get(&prompt.model);
         let org = run.organisation.as_deref();
         let inputs = PlanInputs {
             config: &run.config,
             engine,
             kept: &self.kept,
             residency: base.residency,
-            in_touch: self
+            in_contact: self
                 .kept
                 .retirements()
-                .may_fetch(view, self.awake.slept(), now),
+                .may_fetch(view, self.awake.suspended(), now),
             now,
         };
         // One draw for all versions: what is spared under one must not be fetched under another.
@@ -315,7 +315,7 @@
             tokens: prompt.tokens,
             aim: run.route.aim,
             room: engine.room,
-            wanted: wanted.map(|wanted| wanted.newest().version),
+            desired: desired.map(|desired| desired.newest().version),
             oldest: weights.oldest,
             plans: &plans,
         };
@@ -349,10 +349,10 @@
         now: Instant,
     ) -> WeightsUse<'a> {
         WeightsUse {
-            wanted: view.wanted.get(model),
+            desired: view.desired.get(model),
             serving,
             limit: self.cfg.weights_limit,
-            in_touch: view.operators.in_touch(now),
+            in_contact: view.operators_sync.in_contact(now),
             now,
         }
     }
--- a/crates/sillpin-gateway/src/front/shared.rs
+++ b/crates/sillpin-gateway/src/front/shared.rs
@@ -2,10 +2,10 @@
 
 use super::body_room::BodyRoom;
 use crate::awake::Awake;
-use crate::beliefs::FleetHandle;
 use crate::budget::RetryBudget;
 use crate::dialect::Dialect;
 use crate::fatal::{Fatal, Witness};
+use crate::fleet_state::FleetHandle;
 use crate::kept::Kept;
 use crate::metrics::BoxMetrics;
 use crate::place::Loads;
--- a/crates/sillpin-gateway/src/kept/reader.rs
+++ b/crates/sillpin-gateway/src/kept/reader.rs
@@ -1,11 +1,11 @@
 //! Tasks that read the stores' events, one for each store of the configuration.
 
 use super::Kept;
-use crate::beliefs::{BoxEntry, FleetHandle, View};
 use crate::config::{FleetConfig, StoreSpec};
 use crate::control::{Control, ControlError, KeptList, KeptNews};
+use crate::fleet_state::{BoxEntry, FleetHandle, View};
 use crate::kept::directory::Position;
-use crate::peers::datagram::{KeptListing, KeptWord, MAX_CHANGES, News};
+use crate::peers::datagram::{MAX_CHANGES, StoreListingUpdate, StoreUpdate, ZoneUpdate};
 use crate::peers::roles::{Role, SMALL_FLEET};
 use crate::place::Loads;
 use rand::RngExt;
@@ -58,7 +58,7 @@
     /// Which boxes live.
     pub loads: Loads,
     /// News for the boxes of the zone.
-    pub news: mpsc::Sender<News>,
+    pub updates: mpsc::Sender<ZoneUpdate>,
     /// Log.
     pub log: Logger,
 }
@@ -212,7 +212,7 @@
                 me: self.me.clone(),
                 fleet: self.fleet.clone(),
                 loads: self.loads.clone(),
-                news: self.news.clone(),
+                updates: self.updates.clone(),
                 kept: self.kept.clone(),
                 log: self.log.clone(),
             };
@@ -228,7 +228,7 @@
     me: BoxEntry,
     fleet: FleetHandle,
     loads: Loads,
-    news: mpsc::Sender<News>,
+    updates: mpsc::Sender<ZoneUpdate>,
     kept: Kept,
     log: Logger,
 }
@@ -281,8 +281,8 @@
 
     /// Whether the zone is told of a reading. In a large fleet also of one that found nothing: boxes hear of the stores in no
     /// other way while all goes well.
-    fn has_news(&self, news: &KeptNews) -> bool {
-        !news.changes.is_empty() || self.is_large_fleet()
+    fn has_news(&self, updates: &KeptNews) -> bool {
+        !updates.changes.is_empty() || self.is_large_fleet()
     }
 
     /// Whether there is one more reading after so many. What the first one was begun for may not last until it is made.
@@ -309,7 +309,7 @@
         if !self.is_large_fleet() || list.whole.len() > MAX_CHANGES {
             return;
         }
-        let listing = KeptListing {
+        let listing = StoreListingUpdate {
             addr: self.addr,
             position: Position {
                 epoch: list.epoch,
@@ -319,7 +319,7 @@
             whole: list.whole.clone(),
         };
         // Boxes that miss it see in a digest that they lack something.
-        let _ = self.news.try_send(News::Listed(listing));
+        let _ = self.updates.try_send(ZoneUpdate::StoreListing(listing));
     }
 
     async fn read(&self, asked: Instant) -> Result<(), ControlError> {
@@ -336,27 +336,27 @@
             true => NEWS_WAIT,
             false => Duration::ZERO,
         };
-        let news = self
+        let updates = self
             .control
             .kept_news(self.addr, position.next, wait)
             .await?;
-        let (epoch, lost) = (news.epoch, news.lost);
-        if !lost && self.has_news(&news) {
-            let word = KeptWord {
+        let (epoch, lost) = (updates.epoch, updates.lost);
+        if !lost && self.has_news(&updates) {
+            let word = StoreUpdate {
                 addr: self.addr,
                 since: position.next,
                 epoch,
-                next: news.next,
+                next: updates.next,
                 age_ms: asked.elapsed().as_millis() as u64,
-                changes: news.changes.clone(),
+                changes: updates.changes.clone(),
             };
             // Boxes that miss it see in a digest that they lack something.
-            let _ = self.news.try_send(News::Kept(word));
+            let _ = self.updates.try_send(ZoneUpdate::Store(word));
         }
         if !self
             .kept
             .lock()
-            .take_news(self.addr, position.next, news, asked, Instant::now())
+            .take_news(self.addr, position.next, updates, asked, Instant::now())
         {
             event!(self.log, events::KEPT_STORE_GAP, "store" => self.addr.to_string(),
                 "epoch_before" => position.epoch, "epoch" => epoch, "lost" => lost);
--- a/crates/sillpin-gateway/src/kept/retire.rs
+++ b/crates/sillpin-gateway/src/kept/retire.rs
@@ -13,9 +13,9 @@
 
 use super::homes::{hash_pair, unit};
 use super::salt::SaltParts;
-use crate::beliefs::View;
-use crate::beliefs::fleet::served;
 use crate::control::KeptKey;
+use crate::fleet_state::View;
+use crate::fleet_state::fleet::served;
 use serde::{Deserialize, Serialize};
 use sillpin_core::{BoxId, ModelId, WeightVersion};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -96,14 +96,14 @@
     history: VecDeque<Sample>,
     others: HashMap<BoxId, Heard>,
     /// Time asleep that what is known was made older by.
-    slept: Duration,
+    suspended: Duration,
 }
 
 impl Retirements {
-    /// Makes what other boxes told older by the time that this one was suspended, which comes to `slept` in all.
-    pub fn wake(&mut self, slept: Duration) {
-        let time = slept.saturating_sub(self.slept);
-        self.slept = slept;
+    /// Makes what other boxes told older by the time that this one was suspended, which comes to `suspended` in all.
+    pub fn wake(&mut self, suspended: Duration) {
+        let time = suspended.saturating_sub(self.suspended);
+        self.suspended = suspended;
         if !time.is_zero() {
             // What is too old for the clock counts as not heard.
             self.others
@@ -198,12 +198,12 @@
 
     /// Whether this box may fetch: it knows what was retired of late, or nobody can free anything because
     /// the store answers no box.
-    pub fn may_fetch(&self, view: &View, slept: Duration, now: Instant) -> bool {
+    pub fn may_fetch(&self, view: &View, suspended: Duration, now: Instant) -> bool {
         // What was known before the box was suspended may have been freed since, until its age is reckoned with that time.
-        if slept > view.slept || slept > self.slept {
+        if suspended > view.suspended || suspended > self.suspended {
             return false;
         }
-        let confirmed = view.listed.confirmed;
+        let confirmed = view.targets_sync.confirmed;
         if confirmed.is_some_and(|at| now - at < TOUCH) {
             return true;
         }
@@ -264,7 +264,7 @@
 /// newer weights, as their entries say.
 fn replaced_shares(view: &View) -> Vec<(Weights, f64)> {
     let mut shares = Vec::new();
-    for (model, wanted) in view.wanted.iter() {
+    for (model, desired) in view.desired.iter() {
         let serving: Vec<WeightVersion> = view
             .entries
             .values()
@@ -273,7 +273,7 @@
         if serving.is_empty() {
             continue;
         }
-        for version in 1..wanted.newest().version.0 {
+        for version in 1..desired.newest().version.0 {
             let version = WeightVersion(version);
             let newer = serving.iter().filter(|serves| **serves > version).count();
             let weights = Weights {
--- a/crates/sillpin-gateway/src/lib.rs
+++ b/crates/sillpin-gateway/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`dialect`]: what a request says, and what is said to a target,
 //! - [`control`]: calls of targets and stores outside the request path,
 //! - [`awake`]: time in which the box was suspended,
-//! - [`beliefs`]: what the box knows of the fleet, with revision, source and age,
+//! - [`fleet_state`]: what the box knows of the fleet, with revision, source and age,
 //! - [`fatal`]: requests that end the targets that run them,
 //! - [`place`]: which target takes a request,
 //! - [`kept`]: which parts of prompts the stores hold, and what to free,
@@ -19,12 +19,12 @@
 //! - [`ops`]: all of it put together.
 
 pub mod awake;
-pub mod beliefs;
 pub mod budget;
 pub mod config;
 pub mod control;
 pub mod dialect;
 pub mod fatal;
+pub mod fleet_state;
 pub mod front;
 pub mod kept;
 pub mod metrics;
--- a/crates/sillpin-gateway/src/metrics.rs
+++ b/crates/sillpin-gateway/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Counters and histograms of a box.
 
-use crate::beliefs::{FleetHandle, View};
+use crate::fleet_state::{FleetHandle, View};
 use crate::place::Loads;
 use crate::place::words::Words;
 use opentelemetry::KeyValue;
--- a/crates/sillpin-gateway/src/ops.rs
+++ b/crates/sillpin-gateway/src/ops.rs
@@ -1,28 +1,28 @@
 //! A box put together: listeners, tasks, and its stop.
 
 use crate::awake::Awake;
-use crate::beliefs::fleet::Fleet;
-use crate::beliefs::reader::{Reader, hold_wait};
-use crate::beliefs::transfers::Transfers;
-use crate::beliefs::{self, BoxEntry, FleetHandle, Topic};
 use crate::config::CallerLimits;
 use crate::control::{Control, Published};
 use crate::dialect::Dialect;
 use crate::fatal::Fatal;
 use crate::fatal::keep::Keep;
+use crate::fleet_state::fleet::Fleet;
+use crate::fleet_state::reader::{Reader, long_poll_wait};
+use crate::fleet_state::transfers::Transfers;
+use crate::fleet_state::{self, BoxEntry, FleetHandle, Topic};
 use crate::front::shared::Learned;
 use crate::front::{Front, Shared};
 use crate::kept::reader::Readers;
 use crate::kept::{self, Kept};
 use crate::metrics::{BoxMetrics, observe_fleet, observe_words};
-use crate::peers::datagram::{BoxHash, News};
-use crate::peers::digest::Gossip;
+use crate::peers::datagram::{BoxHash, ZoneUpdate};
 use crate::peers::hub::Hub;
-use crate::peers::link::{self, Answerer};
+use crate::peers::link::{self, PeerServer};
 use crate::peers::registry::Registry;
-use crate::peers::roster::Rosters;
-use crate::peers::spread::ZoneNews;
+use crate::peers::roster::RosterCache;
+use crate::peers::sender::GossipSender;
 use crate::peers::wire::FleetKey;
+use crate::peers::zone_sender::ZoneGossip;
 use crate::place::Loads;
 use crate::reload::Settings;
 use crate::settings::BoxConfig;
@@ -149,7 +149,7 @@
     let Telemetry { log, metrics, .. } = telemetry;
     event!(log, events::BOX_STARTED, "callers" => at.callers.to_string(),
         "platform" => cfg.platform.to_string(), "seeds" => cfg.seeds.len());
-    let (fleet, port) = beliefs::channel();
+    let (fleet, port) = fleet_state::channel();
     observe_fleet(&metrics.meter(), fleet.clone());
     let awake = Awake::default();
     let task = Fleet::new(cfg.id.clone(), adapter.keys.clone(), log.clone());
@@ -163,7 +163,7 @@
         link_mbps: cfg.link_mbps,
     };
     let transfers = Transfers::default();
-    let (words_tx, words) = mpsc::channel(NEWS_QUEUE);
+    let (zone_updates_tx, zone_updates) = mpsc::channel(NEWS_QUEUE);
     let loads = Loads::default();
     observe_words(&metrics.meter(), loads.clone());
     start_readers(&adapter.keys, |topic, prefix| Reader {
@@ -173,9 +173,9 @@
         me: me.clone(),
         fleet: fleet.clone(),
         transfers: transfers.clone(),
-        hold: hold_wait(cfg.history),
+        long_poll: long_poll_wait(cfg.history),
         loads: loads.clone(),
-        news: words_tx.clone(),
+        updates: zone_updates_tx.clone(),
         log: log.clone(),
     });
     let learned = Learned {
@@ -199,13 +199,13 @@
         kept: shared.kept.clone(),
         loads: shared.loads.clone(),
         fleet: fleet.clone(),
-        news: words_tx,
+        updates: zone_updates_tx,
         log: log.clone(),
     }));
     let peers = Peers {
         listener: listeners.peers,
         socket: listeners.gossip,
-        words,
+        zone_updates,
         transfers,
         me,
     };
@@ -276,7 +276,7 @@
 struct Peers {
     listener: TcpListener,
     socket: UdpSocket,
-    words: mpsc::Receiver<News>,
+    zone_updates: mpsc::Receiver<ZoneUpdate>,
     transfers: Transfers,
     me: BoxEntry,
 }
@@ -294,16 +294,16 @@
     let Peers {
         listener,
         socket,
-        words,
+        zone_updates,
         transfers,
         me,
     } = peers;
     let (id, candidate) = (me.id.clone(), me.clone());
     let (fleet, log) = (shared.fleet.clone(), shared.log.clone());
     let stopping = shared.stopping.clone();
-    let (news_tx, news) = mpsc::channel(NEWS_QUEUE);
+    let (updates_tx, updates) = mpsc::channel(NEWS_QUEUE);
     let fleet_key = FleetKey::new(shared.cfg.fleet.as_deref(), shared.cfg.platform);
-    let answerer = Answerer {
+    let answerer = PeerServer {
         fleet_key,
         fleet: fleet.clone(),
         kept: shared.kept.clone(),
@@ -326,10 +326,10 @@
     };
     tokio::spawn(keep.run());
     let name = BoxHash::of(&me);
-    let gossip = Gossip {
+    let gossip = GossipSender {
         fleet_key,
         name,
-        zone_news: ZoneNews::new(Hub::new(name), Rosters::new(me.clone())),
+        zone_gossip: ZoneGossip::new(Hub::new(name), RosterCache::new(me.clone())),
         me,
         settings,
         fleet: fleet.clone(),
@@ -337,8 +337,8 @@
         kept: shared.kept.clone(),
         fatal: shared.fatal.clone(),
         awake: shared.awake.clone(),
-        news,
-        words,
+        updates,
+        zone_updates,
         transfers,
         stopping: stopping.clone(),
         metrics: shared.metrics.clone(),
@@ -355,7 +355,7 @@
             platform: adapter.platform.clone(),
             me: id,
             apart: shared.cfg.lease,
-            hold: hold_wait(shared.cfg.history),
+            long_poll: long_poll_wait(shared.cfg.history),
             awake: shared.awake.clone(),
             log: log.clone(),
         },
@@ -363,7 +363,7 @@
         fleet,
         loads: shared.loads.clone(),
         kept: shared.kept.clone(),
-        news: news_tx,
+        updates: updates_tx,
         stopping,
         log,
     };
--- a/crates/sillpin-gateway/src/peers/datagram.rs
+++ b/crates/sillpin-gateway/src/peers/datagram.rs
@@ -1,11 +1,11 @@
 //! Contents of the datagrams that boxes send each other.
 
-use super::packed::PackedWord;
-use crate::beliefs::wanted::NamedAge;
-use crate::beliefs::{BoxEntry, Topic};
+use super::packed::PackedStoreUpdate;
 use crate::control::{KeptChange, KeptKey, Life};
 use crate::dialect::EngineTime;
 use crate::fatal::FatalWord;
+use crate::fleet_state::desired::DesiredVersionAge;
+use crate::fleet_state::{BoxEntry, Topic};
 use crate::kept::directory::Position;
 use crate::kept::homes::hash_pair;
 use crate::kept::retire::Retired;
@@ -21,7 +21,7 @@
 
 /// How far a box knows a prefix.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub struct Extent {
+pub struct SyncSummary {
     /// Revision up to which nothing is missing.
     pub revision: KvRevision,
     /// Hash of the known content.
@@ -32,7 +32,7 @@
 
 /// How far a box knows a cache store.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub struct KeptExtent {
+pub struct StoreSyncSummary {
     /// Address of the store.
     pub addr: SocketAddr,
     /// Position up to which its changes are known.
@@ -47,22 +47,21 @@
     /// The sending box.
     pub from: BoxEntry,
     /// How far it knows what operators publish.
-    pub operators: Extent,
+    pub operators_sync: SyncSummary,
     /// How far it knows the targets.
-    pub targets: Extent,
+    pub targets_sync: SyncSummary,
     /// How far it knows the stores; sent within a zone only.
-    pub stores: Vec<KeptExtent>,
+    pub stores: Vec<StoreSyncSummary>,
     /// The engines' clock.
     pub clock: Option<EngineTime>,
     /// Its prompt work in progress at engines.
     pub work: Vec<EngineWork>,
     /// Target incarnations that it recently found replaced.
     pub replaced: Vec<LifeHash>,
-    /// Desired weights versions, and how long ago. A box that has just started cannot read
-    /// these times in the store.
-    pub named: Vec<NamedAge>,
-    /// Milliseconds for which it has been in contact with the platform store; `None` if it is
-    /// not.
+    /// Desired weights versions, and how long ago. A box that has just started cannot read these
+    /// times in the store.
+    pub desired_ages: Vec<DesiredVersionAge>,
+    /// Milliseconds for which it has been in contact with the platform store; `None` if it is not.
     pub contact_ms: Option<u64>,
     /// Which stored parts it no longer uses.
     pub retired: Vec<Retired>,
@@ -80,17 +79,17 @@
     /// How far a box knows what is published; sent in each round and on each change.
     Digest(Box<Digest>),
     /// The weights leader loads weights at an engine; sent to all boxes immediately.
-    Loading(LoadNews),
+    WeightLoad(WeightLoadUpdate),
     /// Changes that the reader of a store has read; sent within the zone immediately.
-    Kept(KeptWord),
+    Store(StoreUpdate),
     /// A box's work in progress at engines; sent many times a second while it changes.
-    Work(WorkWord),
+    Work(WorkUpdate),
     /// From a box of a large zone to the zone's hubs.
     Report(Report),
     /// From a hub to its zone; relayed from box to box.
     Bulletin(Bulletin),
     /// From a hub to the hubs of other zones.
-    Zone(ZoneWord),
+    Zone(ZoneSummary),
 }
 
 impl Datagram {
@@ -98,8 +97,8 @@
     pub fn name(&self) -> &'static str {
         match self {
             Datagram::Digest(_) => "digest",
-            Datagram::Loading(_) => "loading",
-            Datagram::Kept(_) => "kept",
+            Datagram::WeightLoad(_) => "loading",
+            Datagram::Store(_) => "kept",
             Datagram::Work(_) => "work",
             Datagram::Report(_) => "report",
             Datagram::Bulletin(_) => "bulletin",
@@ -110,7 +109,7 @@
 
 /// A box's work in progress at engines.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct WorkWord {
+pub struct WorkUpdate {
     /// The sending box.
     pub from: BoxId,
     /// Its work.
@@ -121,7 +120,7 @@
 
 /// Weights are being loaded at an engine, or have been.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct LoadNews {
+pub struct WeightLoadUpdate {
     /// The engine.
     pub target: TargetId,
     /// The incarnation of the engine that this is about.
@@ -137,7 +136,7 @@
 
 /// All that a store holds; sent if it is little, as after a start.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct KeptListing {
+pub struct StoreListingUpdate {
     /// Address of the store.
     pub addr: SocketAddr,
     /// Position from which its changes are to be read.
@@ -150,8 +149,8 @@
 
 /// Changes of the content of a cache store.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-#[serde(into = "PackedWord", from = "PackedWord")]
-pub struct KeptWord {
+#[serde(into = "PackedStoreUpdate", from = "PackedStoreUpdate")]
+pub struct StoreUpdate {
     /// Address of the store.
     pub addr: SocketAddr,
     /// Position before the changes.
@@ -166,18 +165,18 @@
     pub changes: Vec<KeptChange>,
 }
 
-impl KeptWord {
+impl StoreUpdate {
     /// Splits this into messages of at most [`MAX_CHANGES`], each of which begins where the
     /// previous one ends.
     pub fn split(self) -> Vec<Self> {
         if self.changes.is_empty() {
             return vec![self];
         }
-        let mut words: Vec<Self> = Vec::new();
+        let mut messages: Vec<Self> = Vec::new();
         let mut since = self.since;
         for changes in self.changes.chunks(MAX_CHANGES) {
             let next = changes.last().map_or(since, |change| change.number);
-            words.push(Self {
+            messages.push(Self {
                 addr: self.addr,
                 since,
                 epoch: self.epoch,
@@ -187,10 +186,10 @@
             });
             since = next;
         }
-        if let Some(last) = words.last_mut() {
+        if let Some(last) = messages.last_mut() {
             last.next = self.next;
         }
-        words
+        messages
     }
 }
 
@@ -206,20 +205,20 @@
 
     /// Returns the short id of a box.
     pub fn of(entry: &BoxEntry) -> Self {
-        let first = Self::anywhere(&entry.id);
+        let ranked = Self::unranked_from_id(&entry.id);
         match entry.link_mbps >= FAST_LINK_MBPS {
-            true => first,
-            false => Self(first.0 | Self::LAST),
+            true => ranked,
+            false => Self(ranked.0 | Self::LAST),
         }
     }
 
-    /// Returns the id without its place in the order, for comparison with [`BoxHash::placeless`].
-    pub fn anywhere(id: &BoxId) -> Self {
+    /// Returns the id without its place in the order, for comparison with [`BoxHash::unranked`].
+    pub fn unranked_from_id(id: &BoxId) -> Self {
         Self(hash_pair(id.as_str(), "box") as u32 & !Self::LAST)
     }
 
     /// Returns this id without its place in the order.
-    pub fn placeless(self) -> Self {
+    pub fn unranked(self) -> Self {
         Self(self.0 & !Self::LAST)
     }
 }
@@ -230,50 +229,52 @@
 
 /// Something that all boxes of a zone are sent once.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum News {
+pub enum ZoneUpdate {
     /// Changes that the reader of a store has read.
-    Kept(KeptWord),
+    Store(StoreUpdate),
     /// The weights leader loads weights at an engine.
-    Loading(LoadNews),
+    WeightLoad(WeightLoadUpdate),
     /// Changes that a reader of the platform store has read.
-    Published(PublishedWord),
+    Published(PublishedChanges),
     /// All that a store holds, as listed by its reader.
-    Listed(KeptListing),
+    StoreListing(StoreListingUpdate),
     /// A box of the zone that was new to the hub.
-    Joined(BoxEntry),
+    BoxJoined(BoxEntry),
 }
 
-impl News {
+impl ZoneUpdate {
     /// Splits this into pieces that fit a datagram.
-    pub fn split(self) -> Vec<News> {
+    pub fn split(self) -> Vec<ZoneUpdate> {
         match self {
-            News::Kept(word) => word.split().into_iter().map(News::Kept).collect(),
-            News::Published(word) => word.split().into_iter().map(News::Published).collect(),
-            one @ (News::Loading(_) | News::Listed(_) | News::Joined(_)) => vec![one],
+            ZoneUpdate::Store(u) => u.split().into_iter().map(ZoneUpdate::Store).collect(),
+            ZoneUpdate::Published(u) => u.split().into_iter().map(ZoneUpdate::Published).collect(),
+            single @ (ZoneUpdate::WeightLoad(_)
+            | ZoneUpdate::StoreListing(_)
+            | ZoneUpdate::BoxJoined(_)) => vec![single],
         }
     }
 }
 
 /// Bytes of updates in one datagram, well below [`MAX_DATAGRAM`](super::wire::MAX_DATAGRAM)
 /// together with the datagram's other content.
-const NEWS_BYTES: u64 = 9_000;
+const MAX_UPDATE_BYTES: u64 = 9_000;
 
 /// Groups updates so that each group fits one datagram.
-pub fn chunks(news: Vec<News>) -> Vec<Vec<News>> {
-    let mut chunks: Vec<Vec<News>> = Vec::new();
-    let mut room = 0;
-    for news in news {
+pub fn chunks(updates: Vec<ZoneUpdate>) -> Vec<Vec<ZoneUpdate>> {
+    let mut chunks: Vec<Vec<ZoneUpdate>> = Vec::new();
+    let mut free_bytes = 0;
+    for update in updates {
         // An update whose size cannot be computed cannot be encoded either; the encoder reports
         // that.
-        let len = bincode::serialized_size(&news).unwrap_or(NEWS_BYTES);
-        match chunks.last_mut().filter(|_| len <= room) {
+        let len = bincode::serialized_size(&update).unwrap_or(MAX_UPDATE_BYTES);
+        match chunks.last_mut().filter(|_| len <= free_bytes) {
             Some(last) => {
-                room -= len;
-                last.push(news);
+                free_bytes -= len;
+                last.push(update);
             }
             None => {
-                room = NEWS_BYTES.saturating_sub(len);
-                chunks.push(vec![news]);
+                free_bytes = MAX_UPDATE_BYTES.saturating_sub(len);
+                chunks.push(vec![update]);
             }
         }
     }
@@ -282,7 +283,7 @@
 
 /// Changes below a prefix of the platform store.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct PublishedWord {
+pub struct PublishedChanges {
     /// The prefix.
     pub topic: Topic,
     /// Revision before the changes. A box that knows less fetches a copy instead.
@@ -297,7 +298,7 @@
     pub age_ms: u64,
 }
 
-impl PublishedWord {
+impl PublishedChanges {
     /// Entries in one message: some 200 bytes each.
     const MAX_ENTRIES: usize = 24;
 
@@ -305,11 +306,11 @@
     /// ends.
     pub fn split(mut self) -> Vec<Self> {
         self.changed.sort_by_key(|entry| entry.revision);
-        let mut words: Vec<Self> = Vec::new();
+        let mut messages: Vec<Self> = Vec::new();
         let mut after = self.after;
         for changed in self.changed.chunks(Self::MAX_ENTRIES) {
             let revision = changed.last().map_or(after, |entry| entry.revision);
-            words.push(Self {
+            messages.push(Self {
                 changed: changed.to_vec(),
                 after,
                 revision,
@@ -318,10 +319,10 @@
             after = revision;
             self.before = None;
         }
-        if let Some(last) = words.last_mut() {
+        if let Some(last) = messages.last_mut() {
             last.revision = self.revision;
         }
-        words
+        messages
     }
 }
 
@@ -335,9 +336,9 @@
     /// Target incarnations that it recently found replaced.
     pub replaced: Vec<LifeHash>,
     /// How far it knows what operators publish.
-    pub operators: Extent,
+    pub operators_sync: SyncSummary,
     /// How far it knows the targets.
-    pub targets: Extent,
+    pub targets_sync: SyncSummary,
     /// Which stored parts it no longer uses.
     pub retired: Vec<Retired>,
     /// Requests during which it recently saw targets crash.
@@ -345,7 +346,7 @@
     /// Rate limits that it recently saw targets set or lift.
     pub limits: Vec<LimitNews>,
     /// Updates for the zone.
-    pub news: Vec<News>,
+    pub updates: Vec<ZoneUpdate>,
 }
 
 /// What a hub sends to its zone.
@@ -357,7 +358,7 @@
     /// Aggregated state of all boxes; in one bulletin of each round.
     pub sums: Option<Sums>,
     /// Updates, in the order in which the hub received them.
-    pub news: Vec<News>,
+    pub updates: Vec<ZoneUpdate>,
 }
 
 /// State of all boxes, aggregated by a hub.
@@ -368,9 +369,9 @@
     /// Target incarnations that were recently found replaced.
     pub replaced: Vec<LifeHash>,
     /// How far the hub knows what operators publish.
-    pub operators: Extent,
+    pub operators_sync: SyncSummary,
     /// How far the hub knows the targets.
-    pub targets: Extent,
+    pub targets_sync: SyncSummary,
     /// Which stored parts no box may use any more.
     pub retired: Vec<Retired>,
     /// Requests during which targets crashed.
@@ -381,7 +382,7 @@
 
 /// What a hub sends to the hubs of other zones.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct ZoneWord {
+pub struct ZoneSummary {
     /// Its zone.
     pub zone: ZoneId,
     /// Address at which it receives datagrams.
@@ -397,5 +398,5 @@
     /// Rate limits that targets report.
     pub limits: Vec<LimitNews>,
     /// Loads of weights at engines.
-    pub loading: Vec<LoadNews>,
+    pub load_updates: Vec<WeightLoadUpdate>,
 }
--- a/crates/sillpin-gateway/src/peers/handout.rs
+++ b/crates/sillpin-gateway/src/peers/documents.rs
@@ -19,11 +19,11 @@
 /// Largest number of transfers of documents longer than a piece. A document of 0.9 MB reached
 /// fifteen boxes from one over links of 10 Mbit/s in 6.5 to 6.9 s with two or three transfers, in
 /// 6.9 to 7.3 s with one, in 11.6 to 11.8 s without a limit (`thin_link.rs`, three runs each).
-const MAX_LARGE: usize = 2;
+const MAX_TRANSFERS: usize = 2;
 
 /// Time without a request for a piece after which a transfer is dropped; requests normally follow
 /// each other within milliseconds.
-const IDLE: Duration = Duration::from_secs(2);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Id of the transfer of a large document. It is random, so a restarted box knows none of the
 /// earlier ids.
@@ -32,15 +32,15 @@
 
 /// Reply of a box to a request for a document.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum Handout {
+pub enum DocumentReply {
     /// The box has nothing that the requester lacks.
     Nothing,
     /// Too many large documents are being transferred; query another box, or try again later.
     Busy,
     /// The complete document.
-    Whole(Vec<u8>),
+    Complete(Vec<u8>),
     /// The first piece of a large document.
-    Begun {
+    FirstPiece {
         /// Id of the transfer, for requests for more pieces.
         transfer: TransferId,
         /// Length of the document in bytes.
@@ -53,34 +53,40 @@
 #[derive(Debug)]
 struct Transfer {
     document: Bytes,
-    drawn: Instant,
+    last_request: Instant,
 }
 
 /// Large documents being transferred to other boxes; clones share them.
 #[derive(Debug, Clone, Default)]
-pub struct Handouts {
-    under_way: Arc<Mutex<HashMap<TransferId, Transfer>>>,
+pub struct DocumentTransfers {
+    in_progress: Arc<Mutex<HashMap<TransferId, Transfer>>>,
 }
 
-impl Handouts {
+impl DocumentTransfers {
     /// Returns a document that fits one piece, or starts the transfer of a larger one unless too
     /// many are running.
-    pub fn offer(&self, document: Vec<u8>, now: Instant) -> Handout {
+    pub fn start(&self, document: Vec<u8>, now: Instant) -> DocumentReply {
         if document.len() <= PIECE_LEN {
-            return Handout::Whole(document);
+            return DocumentReply::Complete(document);
         }
-        let mut under_way = self.under_way.lock().unwrap_or_else(|e| e.into_inner());
-        under_way.retain(|_, transfer| now - transfer.drawn < IDLE);
-        if under_way.len() >= MAX_LARGE {
-            return Handout::Busy;
+        let mut in_progress = self.in_progress.lock().unwrap_or_else(|e| e.into_inner());
+        in_progress.retain(|_, transfer| now - transfer.last_request < IDLE_TIMEOUT);
+        if in_progress.len() >= MAX_TRANSFERS {
+            return DocumentReply::Busy;
         }
         let transfer = TransferId(rand::random());
         let len = document.len() as u64;
         let piece = document[..PIECE_LEN].to_vec();
         let document = Bytes::from(document);
-        let drawn = now;
-        under_way.insert(transfer, Transfer { document, drawn });
-        Handout::Begun {
+        let last_request = now;
+        in_progress.insert(
+            transfer,
+            Transfer {
+                document,
+                last_request,
+            },
+        );
+        DocumentReply::FirstPiece {
             transfer,
             len,
             piece,
@@ -89,16 +95,16 @@
 
     /// Returns the piece of a document that begins at `offset`, or `None` if the transfer has ended
     /// or `offset` is beyond the document.
-    pub fn draw(&self, transfer: TransferId, offset: u64, now: Instant) -> Option<Vec<u8>> {
-        let mut under_way = self.under_way.lock().unwrap_or_else(|e| e.into_inner());
-        let found = under_way.get_mut(&transfer)?;
-        found.drawn = now;
+    pub fn piece_at(&self, transfer: TransferId, offset: u64, now: Instant) -> Option<Vec<u8>> {
+        let mut in_progress = self.in_progress.lock().unwrap_or_else(|e| e.into_inner());
+        let found = in_progress.get_mut(&transfer)?;
+        found.last_request = now;
         let document = found.document.clone();
         let begin = usize::try_from(offset).ok()?;
         let end = document.len().min(begin.checked_add(PIECE_LEN)?);
         let piece = document.get(begin..end)?.to_vec();
         if end == document.len() {
-            under_way.remove(&transfer);
+            in_progress.remove(&transfer);
         }
         Some(piece)
     }
--- a/crates/sillpin-gateway/src/peers/hub.rs
+++ b/crates/sillpin-gateway/src/peers/hub.rs
@@ -10,8 +10,10 @@
 //! reports it receives, and stops when it receives a bulletin of a box that is ordered before it.
 //! Two hubs at a time, or none for a second, only make the data older.
 
-use super::datagram::{BoxHash, Bulletin, LoadNews, News, Report, Sums, ZoneWord, chunks};
-use crate::beliefs::BoxEntry;
+use super::datagram::{
+    BoxHash, Bulletin, Report, Sums, WeightLoadUpdate, ZoneSummary, ZoneUpdate, chunks,
+};
+use crate::fleet_state::BoxEntry;
 use crate::kept::retire::Retired;
 use crate::place::work::{EngineWork, LifeHash, TargetHash, Work};
 use sillpin_core::ZoneId;
@@ -25,14 +27,14 @@
 pub const LARGE_ZONE: usize = 8;
 
 /// Time without a report after which a box is left out. Reports come at least every
-/// [`REPORT_EVERY`].
-const REPORT_TIME: Duration = Duration::from_millis(1_300);
+/// [`MAX_REPORT_INTERVAL`].
+const REPORT_TIMEOUT: Duration = Duration::from_millis(1_300);
 
 /// Longest time between two reports of a box, also if nothing has changed.
-pub const REPORT_EVERY: Duration = Duration::from_millis(400);
+pub const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Time for which a bulletin is valid; several are sent within it.
-pub const BULLETIN_TIME: Duration = Duration::from_millis(1_300);
+pub const BULLETIN_TIMEOUT: Duration = Duration::from_millis(1_300);
 
 /// Number of boxes to which each box relays a bulletin, and so the factor by which its outgoing
 /// traffic grows. Sixty boxes are reached in four hops of a millisecond. With a fan-out of eight,
@@ -45,7 +47,7 @@
 const START_WAIT: Duration = Duration::from_millis(450);
 
 /// Number of boxes that each box reports to: the hub and the standby.
-const HUBS: usize = 2;
+const HUB_COUNT: usize = 2;
 
 /// Largest number of times that the number of boxes reported to is doubled while no bulletin
 /// arrives: enough for all of a zone of today's size.
@@ -53,16 +55,16 @@
 
 /// Largest number of updates that wait for the next bulletin. Beyond that the oldest are dropped,
 /// and boxes that lack them fetch copies.
-const MAX_NEWS: usize = 4_096;
+const MAX_UPDATES: usize = 4_096;
 
 #[derive(Debug)]
-struct Reported {
+struct ReceivedReport {
     at: Instant,
     work: Vec<EngineWork>,
 }
 
 #[derive(Debug)]
-struct HeardZone {
+struct ZoneRecord {
     at: Instant,
     hub: SocketAddr,
     work: Vec<EngineWork>,
@@ -70,7 +72,7 @@
 
 /// The most recently received bulletin.
 #[derive(Debug)]
-struct HeardBulletin {
+struct ReceivedBulletin {
     at: Instant,
     members: Vec<BoxHash>,
 }
@@ -79,14 +81,14 @@
 #[derive(Debug)]
 pub struct Hub {
     me: BoxHash,
-    reports: BTreeMap<BoxHash, Reported>,
-    zones: HashMap<ZoneId, HeardZone>,
+    reports: BTreeMap<BoxHash, ReceivedReport>,
+    zones: HashMap<ZoneId, ZoneRecord>,
     replaced: HashMap<LifeHash, Instant>,
-    news: Vec<News>,
-    loading: Vec<LoadNews>,
-    bulletin: Option<HeardBulletin>,
+    updates: Vec<ZoneUpdate>,
+    load_updates: Vec<WeightLoadUpdate>,
+    bulletin: Option<ReceivedBulletin>,
     active: bool,
-    began: Option<Instant>,
+    started: Option<Instant>,
 }
 
 impl Hub {
@@ -97,72 +99,72 @@
             reports: BTreeMap::new(),
             zones: HashMap::new(),
             replaced: HashMap::new(),
-            news: Vec::new(),
-            loading: Vec::new(),
+            updates: Vec::new(),
+            load_updates: Vec::new(),
             bulletin: None,
             active: false,
-            began: None,
+            started: None,
         }
     }
 
     /// Records a report, also this box's own.
-    pub fn report(&mut self, report: Report, now: Instant) {
+    pub fn apply_report(&mut self, report: Report, now: Instant) {
         let Report {
             from,
             work,
             replaced,
-            news,
+            updates,
             ..
         } = report;
-        self.reports.insert(from, Reported { at: now, work });
-        self.find_replaced(&replaced, now);
-        for news in news {
-            if let News::Loading(loading) = &news {
-                self.loading.push(loading.clone());
+        self.reports.insert(from, ReceivedReport { at: now, work });
+        self.record_replaced(&replaced, now);
+        for update in updates {
+            if let ZoneUpdate::WeightLoad(load) = &update {
+                self.load_updates.push(load.clone());
             }
-            self.push(news);
+            self.push(update);
         }
     }
 
     /// Records the summary of another zone's hub.
-    pub fn zone_word(&mut self, word: ZoneWord, now: Instant) {
-        self.find_replaced(&word.replaced, now);
-        for loading in word.loading {
-            self.push(News::Loading(loading));
+    pub fn apply_zone_summary(&mut self, summary: ZoneSummary, now: Instant) {
+        self.record_replaced(&summary.replaced, now);
+        for load in summary.load_updates {
+            self.push(ZoneUpdate::WeightLoad(load));
         }
-        let heard = HeardZone {
+        let record = ZoneRecord {
             at: now,
-            hub: word.from,
-            work: word.work,
+            hub: summary.from,
+            work: summary.work,
         };
-        self.zones.insert(word.zone, heard);
+        self.zones.insert(summary.zone, record);
     }
 
     /// Adds a box of the zone that was new to this one to the next bulletin.
-    pub fn join(&mut self, entry: BoxEntry) {
-        self.push(News::Joined(entry));
+    pub fn add_box(&mut self, entry: BoxEntry) {
+        self.push(ZoneUpdate::BoxJoined(entry));
     }
 
-    fn push(&mut self, news: News) {
-        if self.news.len() >= MAX_NEWS {
-            self.news.remove(0);
+    fn push(&mut self, update: ZoneUpdate) {
+        if self.updates.len() >= MAX_UPDATES {
+            self.updates.remove(0);
         }
-        self.news.push(news);
+        self.updates.push(update);
     }
 
-    fn find_replaced(&mut self, replaced: &[LifeHash], now: Instant) {
+    fn record_replaced(&mut self, replaced: &[LifeHash], now: Instant) {
         for target in replaced {
             self.replaced.entry(*target).or_insert(now);
         }
     }
 
     /// Records a received bulletin. An active hub stops if the sender is ordered before it.
-    pub fn hear_bulletin(&mut self, members: &[BoxHash], now: Instant) {
+    pub fn record_bulletin(&mut self, members: &[BoxHash], now: Instant) {
         let Some(hub) = members.first() else {
             return;
         };
         self.active &= *hub >= self.me;
-        self.bulletin = Some(HeardBulletin {
+        self.bulletin = Some(ReceivedBulletin {
             at: now,
             members: members.to_vec(),
         });
@@ -170,44 +172,46 @@
 
     /// Returns the members listed in the last bulletin, while it is valid.
     pub fn members(&self, now: Instant) -> Option<&[BoxHash]> {
-        let heard = self.bulletin.as_ref();
-        let fresh = heard.filter(|heard| now - heard.at < BULLETIN_TIME);
-        fresh.map(|heard| heard.members.as_slice())
+        let last = self.bulletin.as_ref();
+        let valid = last.filter(|last| now - last.at < BULLETIN_TIMEOUT);
+        valid.map(|last| last.members.as_slice())
     }
 
     /// Returns the boxes that this box reports to. `all` lists the boxes of the zone, this one
     /// included, in order. While no bulletin arrives, the number grows, because the first boxes may
     /// have ended.
-    pub fn report_to(&mut self, all: &[BoxHash], now: Instant) -> Vec<BoxHash> {
-        let began = *self.began.get_or_insert(now);
+    pub fn report_recipients(&mut self, all: &[BoxHash], now: Instant) -> Vec<BoxHash> {
+        let started = *self.started.get_or_insert(now);
         if let Some(members) = self.members(now) {
             // A box that does not report to the hub yet may be ordered before it.
-            let mut first: Vec<BoxHash> = members.iter().take(HUBS).copied().collect();
+            let mut first: Vec<BoxHash> = members.iter().take(HUB_COUNT).copied().collect();
             first.sort_unstable();
             return first;
         }
-        let heard = self.bulletin.as_ref().map_or(began, |heard| heard.at);
-        let silent = now - heard;
-        let doublings = (silent.as_millis() / BULLETIN_TIME.as_millis()).min(MAX_DOUBLINGS) as u32;
-        let count = HUBS * 2usize.pow(doublings);
+        let last_received = self.bulletin.as_ref().map_or(started, |last| last.at);
+        let silence = now - last_received;
+        let doublings =
+            (silence.as_millis() / BULLETIN_TIMEOUT.as_millis()).min(MAX_DOUBLINGS) as u32;
+        let count = HUB_COUNT * 2usize.pow(doublings);
         all.iter().take(count).copied().collect()
     }
 
     /// Returns whether this box is the hub now: the first of the boxes that report to it, which
     /// must be at least half of the zone's.
     fn is_hub(&mut self, now: Instant) -> bool {
-        self.reports.retain(|_, told| now - told.at < REPORT_TIME);
+        self.reports
+            .retain(|_, report| now - report.at < REPORT_TIMEOUT);
         let reporting = self.reports.len();
         if self.active {
             return reporting > 1;
         }
         // A box that has just started may receive only its own report, or that of another box that
         // has just started.
-        let began = *self.began.get_or_insert(now);
+        let started = *self.started.get_or_insert(now);
         let known = self.members(now).map(<[BoxHash]>::len);
         let enough = match known {
             Some(known) => reporting * 2 >= known,
-            None => now - began >= START_WAIT,
+            None => now - started >= START_WAIT,
         };
         let first = self.reports.keys().next() == Some(&self.me);
         self.active = first && reporting > 1 && enough;
@@ -223,13 +227,13 @@
     pub fn bulletins(&mut self, sums: impl FnOnce() -> Sums, now: Instant) -> Vec<Bulletin> {
         if !self.is_hub(now) {
             // The hub sends the same updates.
-            self.news.clear();
+            self.updates.clear();
             return Vec::new();
         }
         let mut members = vec![self.me];
         members.extend(self.reports.keys().filter(|of| **of != self.me));
-        self.hear_bulletin(&members, now);
-        self.replaced.retain(|_, at| now - *at < REPORT_TIME);
+        self.record_bulletin(&members, now);
+        self.replaced.retain(|_, at| now - *at < REPORT_TIMEOUT);
         let sums = Sums {
             work: self.work(now),
             replaced: self.replaced.keys().copied().collect(),
@@ -238,74 +242,74 @@
         let mut bulletins = vec![Bulletin {
             members: members.clone(),
             sums: Some(sums),
-            news: Vec::new(),
+            updates: Vec::new(),
         }];
-        let chunks = chunks(std::mem::take(&mut self.news)).into_iter();
-        bulletins.extend(chunks.map(|news| Bulletin {
+        let chunks = chunks(std::mem::take(&mut self.updates)).into_iter();
+        bulletins.extend(chunks.map(|updates| Bulletin {
             members: members.clone(),
             sums: None,
-            news,
+            updates,
         }));
         bulletins
     }
 
     /// Returns what this box sends to the hubs of other zones now, if it is the hub.
-    pub fn word(
+    pub fn zone_summary(
         &mut self,
         zone: &ZoneId,
         from: SocketAddr,
         retired: impl FnOnce() -> Vec<Retired>,
         now: Instant,
-    ) -> Option<ZoneWord> {
-        let loading = std::mem::take(&mut self.loading);
+    ) -> Option<ZoneSummary> {
+        let load_updates = std::mem::take(&mut self.load_updates);
         if !self.is_hub(now) {
             return None;
         }
-        let own = self.reports.values().map(|told| told.work.as_slice());
-        Some(ZoneWord {
+        let own = self.reports.values().map(|report| report.work.as_slice());
+        Some(ZoneSummary {
             zone: zone.clone(),
             from,
-            work: add_up(own),
+            work: sum_work(own),
             replaced: self.replaced.keys().copied().collect(),
             retired: retired(),
             fatal: Vec::new(),
             limits: Vec::new(),
-            loading,
+            load_updates,
         })
     }
 
     /// Returns whether there are loads of weights to send to the hubs of other zones immediately.
-    pub fn has_loading(&self) -> bool {
-        self.active && !self.loading.is_empty()
+    pub fn has_loads_for_other_zones(&self) -> bool {
+        self.active && !self.load_updates.is_empty()
     }
 
     /// Returns whether there are loads of weights that have not been sent to the zone yet.
-    pub fn has_loads(&self) -> bool {
-        let is_load = |news: &News| matches!(news, News::Loading(_));
-        self.active && self.news.iter().any(is_load)
+    pub fn has_loads_for_zone(&self) -> bool {
+        let is_load = |update: &ZoneUpdate| matches!(update, ZoneUpdate::WeightLoad(_));
+        self.active && self.updates.iter().any(is_load)
     }
 
     /// Returns the address from which the hub of another zone last sent a summary.
     pub fn hub_of(&self, zone: &ZoneId, now: Instant) -> Option<SocketAddr> {
-        let heard = self.zones.get(zone);
-        let fresh = heard.filter(|heard| now - heard.at < BULLETIN_TIME);
-        fresh.map(|heard| heard.hub)
+        let record = self.zones.get(zone);
+        let valid = record.filter(|record| now - record.at < BULLETIN_TIMEOUT);
+        valid.map(|record| record.hub)
     }
 
     /// Sums up the work of all boxes of the fleet at each engine, as far as reports and summaries
     /// arrive.
     fn work(&self, now: Instant) -> Vec<EngineWork> {
-        let own = self.reports.values().map(|told| told.work.as_slice());
+        let own = self.reports.values().map(|report| report.work.as_slice());
         let others = self.zones.values();
-        let fresh = others.filter(|heard| now - heard.at < BULLETIN_TIME);
-        add_up(own.chain(fresh.map(|heard| heard.work.as_slice())))
+        let valid = others.filter(|record| now - record.at < BULLETIN_TIMEOUT);
+        sum_work(own.chain(valid.map(|record| record.work.as_slice())))
     }
 }
 
 /// Adds up several boxes' work at each engine.
-fn add_up<'a>(told: impl Iterator<Item = &'a [EngineWork]>) -> Vec<EngineWork> {
+fn sum_work<'a>(reports: impl Iterator<Item = &'a [EngineWork]>) -> Vec<EngineWork> {
     let mut sums: HashMap<TargetHash, Work> = HashMap::new();
-    for work in told.flatten() {
+    for work in reports.flatten() {
         sums.entry(work.0).or_default().add(work.work());
     }
     let sums = sums.into_iter();
@@ -314,7 +318,7 @@
 }
 
 /// Returns the members to which `me` relays a bulletin: its children in the relay tree.
-pub fn behind(members: &[BoxHash], me: BoxHash) -> &[BoxHash] {
+pub fn relay_children(members: &[BoxHash], me: BoxHash) -> &[BoxHash] {
     let Some(index) = members.iter().position(|member| *member == me) else {
         return &[];
     };
--- a/crates/sillpin-gateway/src/peers/link.rs
+++ b/crates/sillpin-gateway/src/peers/link.rs
@@ -1,10 +1,10 @@
 //! Remote procedure calls between boxes, and their server.
 
-use super::handout::{Handout, Handouts, TransferId};
+use super::documents::{DocumentReply, DocumentTransfers, TransferId};
 use super::millis;
 use super::wire::FleetKey;
-use crate::beliefs::{Copied, FleetHandle, Topic};
 use crate::control::{KeptChange, KeptKey};
+use crate::fleet_state::{Copied, FleetHandle, Topic};
 use crate::kept::Kept;
 use crate::kept::directory::Position;
 use serde::{Deserialize, Serialize};
@@ -31,22 +31,22 @@
 
 /// What a box knows of a cache store.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct KeptCopy {
+pub struct StoreCopy {
     /// Address of the store.
     pub store: SocketAddr,
     /// Position from which its changes are to be read.
     pub position: Position,
     /// What the requesting box lacks.
-    pub content: KeptContent,
+    pub content: StoreContent,
     /// Milliseconds since the store was queried.
     pub age_ms: u64,
 }
 
 /// What the requesting box lacks of a store.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum KeptContent {
+pub enum StoreContent {
     /// All complete parts.
-    Whole(Vec<(KeptKey, Tokens)>),
+    Complete(Vec<(KeptKey, Tokens)>),
     /// The changes after the position that the requesting box has reached.
     Changes(Vec<KeptChange>),
 }
@@ -56,11 +56,10 @@
 pub trait BoxLink {
     /// Returns a [`Copy`] of what the box knows of a prefix beyond a revision; nothing for a box of
     /// another fleet.
-    async fn copy(fleet: FleetKey, topic: Topic, after: KvRevision) -> Handout;
-    /// Returns a [`KeptCopy`] for each of the given cache stores, with what the box
-    /// knows beyond the given position, or all of it without a position; nothing for a box of
-    /// another fleet.
-    async fn kept(fleet: FleetKey, stores: Vec<(SocketAddr, Option<Position>)>) -> Handout;
+    async fn copy(fleet: FleetKey, topic: Topic, after: KvRevision) -> DocumentReply;
+    /// Returns a [`StoreCopy`] for each of the given cache stores, with what the box knows beyond
+    /// the given position, or all of it without a position; nothing for a box of another fleet.
+    async fn kept(fleet: FleetKey, stores: Vec<(SocketAddr, Option<Position>)>) -> DocumentReply;
     /// Returns the piece of a large document that begins at a byte, or `None` if the transfer has
     /// ended.
     async fn more(transfer: TransferId, offset: u64) -> Option<Vec<u8>>;
@@ -68,7 +67,7 @@
 
 /// Serves copies of what this box knows.
 #[derive(Clone)]
-pub struct Answerer {
+pub struct PeerServer {
     /// Key of the fleet; boxes of other fleets get nothing.
     pub fleet_key: FleetKey,
     /// What this box knows of the fleet.
@@ -79,7 +78,7 @@
     pub log: Logger,
 }
 
-impl Answerer {
+impl PeerServer {
     fn copy(&self, topic: Topic, after: KvRevision) -> Option<Copy> {
         let view = self.fleet.view();
         let known = view.known(topic);
@@ -91,15 +90,15 @@
         })
     }
 
-    fn kept(&self, store: SocketAddr, after: Option<Position>) -> Option<KeptCopy> {
+    fn kept(&self, store: SocketAddr, after: Option<Position>) -> Option<StoreCopy> {
         let directory = self.kept.lock();
         let age = directory.heard(store)?.elapsed();
         let changes = after.and_then(|after| directory.changes_after(store, after));
         let content = match changes {
-            Some(changes) => KeptContent::Changes(changes),
-            None => KeptContent::Whole(directory.whole(store)),
+            Some(changes) => StoreContent::Changes(changes),
+            None => StoreContent::Complete(directory.whole(store)),
         };
-        Some(KeptCopy {
+        Some(StoreCopy {
             store,
             position: directory.position(store)?,
             content,
@@ -108,15 +107,19 @@
     }
 
     /// Encodes a document, if there is one, and starts its transfer.
-    fn hand_out<T: Serialize>(&self, handouts: &Handouts, document: Option<T>) -> Handout {
+    fn start_transfer<T: Serialize>(
+        &self,
+        transfers: &DocumentTransfers,
+        document: Option<T>,
+    ) -> DocumentReply {
         let Some(document) = document else {
-            return Handout::Nothing;
+            return DocumentReply::Nothing;
         };
         match bincode::serialize(&document) {
-            Ok(bytes) => handouts.offer(bytes, Instant::now()),
+            Ok(bytes) => transfers.start(bytes, Instant::now()),
             Err(e) => {
                 event!(self.log, events::GOSSIP_FAILED, "why" => e.to_string());
-                Handout::Nothing
+                DocumentReply::Nothing
             }
         }
     }
@@ -125,19 +128,25 @@
 /// The server of one connection. Published data and stored parts have separate limits on transfers,
 /// so that neither waits for the other.
 #[derive(Clone)]
-struct Server {
-    answerer: Answerer,
-    published: Handouts,
-    kept: Handouts,
+struct Connection {
+    server: PeerServer,
+    published: DocumentTransfers,
+    kept: DocumentTransfers,
 }
 
-impl BoxLink for Server {
-    async fn copy(self, _: Context, fleet: FleetKey, topic: Topic, after: KvRevision) -> Handout {
-        if fleet != self.answerer.fleet_key {
-            return Handout::Nothing;
+impl BoxLink for Connection {
+    async fn copy(
+        self,
+        _: Context,
+        fleet: FleetKey,
+        topic: Topic,
+        after: KvRevision,
+    ) -> DocumentReply {
+        if fleet != self.server.fleet_key {
+            return DocumentReply::Nothing;
         }
-        let document = self.answerer.copy(topic, after);
-        self.answerer.hand_out(&self.published, document)
+        let document = self.server.copy(topic, after);
+        self.server.start_transfer(&self.published, document)
     }
 
     async fn kept(
@@ -145,33 +154,33 @@
         _: Context,
         fleet: FleetKey,
         stores: Vec<(SocketAddr, Option<Position>)>,
-    ) -> Handout {
-        if fleet != self.answerer.fleet_key {
-            return Handout::Nothing;
+    ) -> DocumentReply {
+        if fleet != self.server.fleet_key {
+            return DocumentReply::Nothing;
         }
         let copies = stores.into_iter();
-        let copies = copies.filter_map(|(store, after)| self.answerer.kept(store, after));
-        let copies: Vec<KeptCopy> = copies.collect();
+        let copies = copies.filter_map(|(store, after)| self.server.kept(store, after));
+        let copies: Vec<StoreCopy> = copies.collect();
         let document = (!copies.is_empty()).then_some(copies);
-        self.answerer.hand_out(&self.kept, document)
+        self.server.start_transfer(&self.kept, document)
     }
 
     async fn more(self, _: Context, transfer: TransferId, offset: u64) -> Option<Vec<u8>> {
         let now = Instant::now();
-        let published = self.published.draw(transfer, offset, now);
-        published.or_else(|| self.kept.draw(transfer, offset, now))
+        let published = self.published.piece_at(transfer, offset, now);
+        published.or_else(|| self.kept.piece_at(transfer, offset, now))
     }
 }
 
 /// Serves other boxes' calls until `stop` is cancelled.
-pub async fn serve(listener: TcpListener, answerer: Answerer, stop: CancellationToken) {
-    let server = Server {
-        answerer,
-        published: Handouts::default(),
-        kept: Handouts::default(),
+pub async fn serve(listener: TcpListener, server: PeerServer, stop: CancellationToken) {
+    let connection = Connection {
+        server,
+        published: DocumentTransfers::default(),
+        kept: DocumentTransfers::default(),
     };
     transport::serve(listener, stop, |tcp| {
-        let requests = BaseChannel::with_defaults(tcp).execute(server.clone().serve());
+        let requests = BaseChannel::with_defaults(tcp).execute(connection.clone().serve());
         transport::answer(requests)
     })
     .await;
--- a/crates/sillpin-gateway/src/peers/mod.rs
+++ b/crates/sillpin-gateway/src/peers/mod.rs
@@ -1,42 +1,41 @@
 //! Communication between boxes.
 //!
 //! Each box sends a small UDP digest several times a second, which states that the box is up and up
-//! to which revision it knows what is published in the platform store. A box that receives a
-//! digest with a newer revision fetches the difference from the sender over `tarpc`. So a box that
-//! the store refuses, or that starts while the store is unreachable, gets its data from other
-//! boxes.
+//! to which revision it knows what is published in the platform store. A box that receives a digest
+//! with a newer revision fetches the difference from the sender over `tarpc`. So a box that the
+//! store refuses, or that starts while the store is unreachable, gets its data from other boxes.
 //!
 //! - [`roles`]: which box of a zone reads what,
 //! - [`datagram`]: contents of datagrams,
 //! - [`packed`]: compact encoding of store changes,
 //! - [`wire`]: encoding of datagrams, and the key that tells fleets apart,
-//! - [`digest`]: sends datagrams, and decides when and to which boxes,
+//! - [`sender`]: sends datagrams, and decides when and to which boxes,
 //! - [`hub`]: boxes that aggregate and distribute the updates of a large zone,
-//! - [`spread`]: what a box of a large zone sends,
+//! - [`zone_sender`]: what a box of a large zone sends,
 //! - [`roster`]: boxes of the own zone by their short ids,
-//! - [`ear`]: processes received datagrams,
-//! - [`handout`]: serves documents to other boxes, large ones in pieces,
-//! - [`asker`]: fetches copies from other boxes,
+//! - [`receiver`]: processes received datagrams,
+//! - [`documents`]: serves documents to other boxes, large ones in pieces,
+//! - [`peer_client`]: fetches copies from other boxes,
 //! - [`lag`]: for how long other boxes have had newer data,
 //! - [`stall`]: detects datagrams that were queued while the process was stalled,
 //! - [`link`]: remote procedure calls between boxes,
 //! - [`registry`]: boxes registered in the platform store.
 
-pub mod asker;
 pub mod datagram;
-pub mod digest;
-pub mod ear;
-pub mod handout;
+pub mod documents;
 pub mod hub;
 pub mod lag;
 pub mod link;
 pub mod packed;
+pub mod peer_client;
+pub mod receiver;
 pub mod registry;
 pub mod roles;
 pub mod roster;
-pub mod spread;
+pub mod sender;
 pub mod stall;
 pub mod wire;
+pub mod zone_sender;
 
 use std::time::Duration;
 
--- a/crates/sillpin-gateway/src/peers/packed.rs
+++ b/crates/sillpin-gateway/src/peers/packed.rs
@@ -5,7 +5,7 @@
 //! repeat, and most parts are named by hexadecimal digits. Packed, a change takes some 11 bytes
 //! instead of 30.
 
-use super::datagram::KeptWord;
+use super::datagram::StoreUpdate;
 use crate::control::{KeptChange, KeptKey};
 use crate::dialect::{PartId, Salt};
 use serde::{Deserialize, Serialize};
@@ -17,33 +17,33 @@
 
 /// Name of a part.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-enum Name {
+enum PartName {
     /// The value of hexadecimal digits, and their number.
     Digits(u64, u8),
     /// Any other text.
     Text(String),
 }
 
-impl From<PartId> for Name {
+impl From<PartId> for PartName {
     fn from(part: PartId) -> Self {
         let digits = part.0.len();
         let is_digit = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
         let fits = (1..=MAX_DIGITS).contains(&digits) && part.0.bytes().all(is_digit);
         match u64::from_str_radix(&part.0, 16) {
-            Ok(number) if fits => Name::Digits(number, digits as u8),
-            _ => Name::Text(part.0),
+            Ok(number) if fits => PartName::Digits(number, digits as u8),
+            _ => PartName::Text(part.0),
         }
     }
 }
 
-impl From<Name> for PartId {
-    fn from(name: Name) -> Self {
+impl From<PartName> for PartId {
+    fn from(name: PartName) -> Self {
         match name {
-            Name::Digits(number, digits) => {
+            PartName::Digits(number, digits) => {
                 let digits = usize::from(digits);
                 PartId(format!("{number:0digits$x}"))
             }
-            Name::Text(text) => PartId(text),
+            PartName::Text(text) => PartId(text),
         }
     }
 }
@@ -51,11 +51,11 @@
 /// A change: the difference of its number to that of the previous change, the index of its salt in
 /// the message's salts, the part, and its tokens plus one, or zero if the part was removed.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-struct PackedChange(u64, u32, Name, u64);
+struct PackedChange(u64, u32, PartName, u64);
 
-/// Encoded form of [`KeptWord`].
+/// Encoded form of [`StoreUpdate`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct PackedWord {
+pub struct PackedStoreUpdate {
     addr: SocketAddr,
     since: u64,
     epoch: u64,
@@ -65,46 +65,46 @@
     changes: Vec<PackedChange>,
 }
 
-impl From<KeptWord> for PackedWord {
-    fn from(word: KeptWord) -> Self {
+impl From<StoreUpdate> for PackedStoreUpdate {
+    fn from(update: StoreUpdate) -> Self {
         let mut salts: Vec<Salt> = Vec::new();
-        let mut before = word.since;
+        let mut previous = update.since;
         let mut pack = |change: KeptChange| {
             let KeptKey { salt, part } = change.key;
             let known = salts.iter().position(|known| *known == salt);
-            let place = known.unwrap_or_else(|| {
+            let index = known.unwrap_or_else(|| {
                 salts.push(salt);
                 salts.len() - 1
             });
-            let step = change.number.wrapping_sub(before);
-            before = change.number;
+            let step = change.number.wrapping_sub(previous);
+            previous = change.number;
             let tokens = change.tokens.map_or(0, |tokens| tokens.0.saturating_add(1));
-            PackedChange(step, place as u32, part.into(), tokens)
+            PackedChange(step, index as u32, part.into(), tokens)
         };
-        let changes = word.changes.into_iter().map(&mut pack).collect();
+        let changes = update.changes.into_iter().map(&mut pack).collect();
         Self {
-            addr: word.addr,
-            since: word.since,
-            epoch: word.epoch,
-            next: word.next,
-            age_ms: word.age_ms,
+            addr: update.addr,
+            since: update.since,
+            epoch: update.epoch,
+            next: update.next,
+            age_ms: update.age_ms,
             salts,
             changes,
         }
     }
 }
 
-impl From<PackedWord> for KeptWord {
-    fn from(word: PackedWord) -> Self {
-        let mut before = word.since;
-        let unpack = |PackedChange(step, place, part, tokens): PackedChange| {
-            before = before.wrapping_add(step);
+impl From<PackedStoreUpdate> for StoreUpdate {
+    fn from(update: PackedStoreUpdate) -> Self {
+        let mut previous = update.since;
+        let unpack = |PackedChange(step, index, part, tokens): PackedChange| {
+            previous = previous.wrapping_add(step);
             // An index that is out of range comes from a faulty sender; an empty salt matches no
             // lookup.
-            let salt = word.salts.get(place as usize).cloned();
+            let salt = update.salts.get(index as usize).cloned();
             let salt = salt.unwrap_or(Salt(String::new()));
             KeptChange {
-                number: before,
+                number: previous,
                 key: KeptKey {
                     salt,
                     part: part.into(),
@@ -113,12 +113,12 @@
             }
         };
         Self {
-            addr: word.addr,
-            since: word.since,
-            epoch: word.epoch,
-            next: word.next,
-            age_ms: word.age_ms,
-            changes: word.changes.into_iter().map(unpack).collect(),
+            addr: update.addr,
+            since: update.since,
+            epoch: update.epoch,
+            next: update.next,
+            age_ms: update.age_ms,
+            changes: update.changes.into_iter().map(unpack).collect(),
         }
     }
 }
--- a/crates/sillpin-gateway/src/peers/asker.rs
+++ b/crates/sillpin-gateway/src/peers/peer_client.rs
@@ -1,11 +1,11 @@
 //! Fetches copies of data from other boxes.
 
-use super::handout::{Handout, TransferId};
-use super::link::{BoxLinkClient, Copy, KeptContent, KeptCopy};
+use super::documents::{DocumentReply, TransferId};
+use super::link::{BoxLinkClient, Copy, StoreContent, StoreCopy};
 use super::wire::FleetKey;
-use crate::beliefs::transfers::Transfers;
-use crate::beliefs::{BoxEntry, FleetHandle, FleetMsg, Reading, Source, Topic};
 use crate::control::{KeptList, KeptNews};
+use crate::fleet_state::transfers::Transfers;
+use crate::fleet_state::{BoxEntry, FleetHandle, FleetMsg, Reading, Source, Topic};
 use crate::kept::Kept;
 use crate::kept::directory::Position;
 use crate::metrics::BoxMetrics;
@@ -38,7 +38,7 @@
 
 /// Fetches copies of data from other boxes.
 #[derive(Clone)]
-pub struct Asker {
+pub struct PeerClient {
     /// Key of the fleet, which the other box must share.
     pub fleet_key: FleetKey,
     /// Transfers to this box in progress.
@@ -70,8 +70,8 @@
 }
 
 /// A copy being fetched from another box.
-struct Copying<'a> {
-    asker: &'a Asker,
+struct Fetch<'a> {
+    client: &'a PeerClient,
     from: &'a BoxEntry,
     what: &'static str,
     /// The prefix that is copied; `None` for stored parts.
@@ -80,57 +80,60 @@
     arrived: u64,
 }
 
-impl Asker {
+impl PeerClient {
     /// Fetches what a box knows of a prefix beyond `after` and passes it to the fleet task.
-    pub async fn ask_copy(
+    pub async fn fetch_copy(
         &self,
         from: &BoxEntry,
         topic: Topic,
         after: KvRevision,
         fleet: &FleetHandle,
     ) {
-        let mut copying = self.begin(from, topic.name(), Some(topic));
+        let mut fetch = self.begin(from, topic.name(), Some(topic));
         let key = self.fleet_key;
-        let call =
-            |client: BoxLinkClient| async move { client.copy(within(), key, topic, after).await };
-        let copy: Option<(Copy, Instant)> = copying.take(call, |copy: &Copy| copy.age_ms).await;
-        let Some((copy, asked)) = copy else {
+        let call = |client: BoxLinkClient| async move {
+            client.copy(call_context(), key, topic, after).await
+        };
+        let copy: Option<(Copy, Instant)> = fetch.fetch(call, |copy: &Copy| copy.age_ms).await;
+        let Some((copy, requested_at)) = copy else {
             return;
         };
         let msg = FleetMsg::Read {
             topic,
             reading: Reading::Copied(copy.copied),
-            asked,
+            requested_at,
             source: Source::Peer(from.id.clone()),
         };
-        fleet.tell(msg).await;
+        fleet.send(msg).await;
     }
 
     /// Fetches what a box knows of some stores and applies it. One call covers all of them, because
     /// a box that lags lacks changes of dozens of stores.
-    pub async fn ask_kept(&self, from: &BoxEntry, stores: Vec<SocketAddr>, kept: &Kept) {
-        let mut copying = self.begin(from, "kept parts", None);
-        let reached: HashMap<SocketAddr, Option<Position>> = {
+    pub async fn fetch_stores(&self, from: &BoxEntry, stores: Vec<SocketAddr>, kept: &Kept) {
+        let mut fetch = self.begin(from, "kept parts", None);
+        let positions: HashMap<SocketAddr, Option<Position>> = {
             let directory = kept.lock();
-            let reached = stores.iter();
-            reached
+            let positions = stores.iter();
+            positions
                 .map(|store| (*store, directory.position(*store)))
                 .collect()
         };
-        let wanted: Vec<(SocketAddr, Option<Position>)> = reached
+        let requested: Vec<(SocketAddr, Option<Position>)> = positions
             .iter()
             .map(|(store, after)| (*store, *after))
             .collect();
         let key = self.fleet_key;
-        let call = |client: BoxLinkClient| async move { client.kept(within(), key, wanted).await };
-        let copies = copying.take(call, |_: &Vec<KeptCopy>| 0).await;
+        let call = |client: BoxLinkClient| async move {
+            client.kept(call_context(), key, requested).await
+        };
+        let copies = fetch.fetch(call, |_: &Vec<StoreCopy>| 0).await;
         let Some((copies, began)) = copies else {
             return;
         };
         for copy in copies {
-            let after = reached.get(&copy.store).copied().flatten();
-            if let Some(asked) = began.checked_sub(Duration::from_millis(copy.age_ms)) {
-                take_kept(copy, after, asked, kept);
+            let after = positions.get(&copy.store).copied().flatten();
+            if let Some(requested_at) = began.checked_sub(Duration::from_millis(copy.age_ms)) {
+                apply_store_copy(copy, after, requested_at, kept);
             }
         }
     }
@@ -140,9 +143,9 @@
         from: &'a BoxEntry,
         what: &'static str,
         topic: Option<Topic>,
-    ) -> Copying<'a> {
-        Copying {
-            asker: self,
+    ) -> Fetch<'a> {
+        Fetch {
+            client: self,
             from,
             what,
             topic,
@@ -152,69 +155,69 @@
     }
 }
 
-impl Copying<'_> {
+impl Fetch<'_> {
     /// Sends the call, fetches the complete document and logs the result. Returns the document and
     /// when the store was queried for its content.
-    async fn take<T, F>(
+    async fn fetch<T, F>(
         &mut self,
         call: impl FnOnce(BoxLinkClient) -> F,
         age_ms: impl FnOnce(&T) -> u64,
     ) -> Option<(T, Instant)>
     where
         T: DeserializeOwned,
-        F: Future<Output = Result<Handout, RpcError>>,
+        F: Future<Output = Result<DocumentReply, RpcError>>,
     {
-        let drawn = self.draw(call).await;
-        let taken = drawn.and_then(|document| match document {
-            Some(document) => self.read(&document, age_ms).map(Some),
+        let fetched = self.fetch_document(call).await;
+        let decoded = fetched.and_then(|document| match document {
+            Some(document) => self.decode(&document, age_ms).map(Some),
             None => Ok(None),
         });
-        match taken {
+        match decoded {
             Ok(Some(copy)) => {
-                self.copied();
+                self.log_success();
                 Some(copy)
             }
             Ok(None) => None,
             Err(e) => {
-                self.failed(&e);
+                self.log_failure(&e);
                 None
             }
         }
     }
 
     /// Fetches the document in pieces. Returns `None` if the box has none, or is busy.
-    async fn draw<F>(
+    async fn fetch_document<F>(
         &mut self,
         call: impl FnOnce(BoxLinkClient) -> F,
     ) -> Result<Option<Vec<u8>>, CopyFault>
     where
-        F: Future<Output = Result<Handout, RpcError>>,
+        F: Future<Output = Result<DocumentReply, RpcError>>,
     {
         let tcp = transport::connect(self.from.peers).await?;
         let client = BoxLinkClient::new(client::Config::default(), tcp).spawn();
-        match in_time(call(client.clone())).await? {
-            Handout::Nothing => Ok(None),
-            Handout::Busy => {
-                self.asker.metrics.copied(self.what, "busy", 0);
+        match with_timeout(call(client.clone())).await? {
+            DocumentReply::Nothing => Ok(None),
+            DocumentReply::Busy => {
+                self.client.metrics.copied(self.what, "busy", 0);
                 tokio::time::sleep(BUSY_PAUSE).await;
                 Ok(None)
             }
-            Handout::Whole(document) => {
+            DocumentReply::Complete(document) => {
                 self.arrived = document.len() as u64;
                 Ok(Some(document))
             }
-            Handout::Begun {
+            DocumentReply::FirstPiece {
                 transfer,
                 len,
                 piece,
             } => self
-                .draw_rest(&client, transfer, len, piece)
+                .fetch_remaining(&client, transfer, len, piece)
                 .await
                 .map(Some),
         }
     }
 
-    async fn draw_rest(
+    async fn fetch_remaining(
         &mut self,
         client: &BoxLinkClient,
         transfer: TransferId,
@@ -224,10 +227,10 @@
         if len > MAX_DOCUMENT {
             return Err(CopyFault::TooLong(len));
         }
-        let _under_way = self.topic.map(|topic| self.asker.transfers.begin(topic));
+        let _in_progress = self.topic.map(|topic| self.client.transfers.begin(topic));
         self.arrived = document.len() as u64;
         while self.arrived < len {
-            let piece = in_time(client.more(within(), transfer, self.arrived)).await?;
+            let piece = with_timeout(client.more(call_context(), transfer, self.arrived)).await?;
             let piece = piece.filter(|piece| !piece.is_empty());
             document.extend(piece.ok_or(CopyFault::Withdrawn)?);
             self.arrived = document.len() as u64;
@@ -235,28 +238,28 @@
         Ok(document)
     }
 
-    fn read<T: DeserializeOwned>(
+    fn decode<T: DeserializeOwned>(
         &self,
         document: &[u8],
         age_ms: impl FnOnce(&T) -> u64,
     ) -> Result<(T, Instant), CopyFault> {
         let copy: T = bincode::deserialize(document)?;
         let age = Duration::from_millis(age_ms(&copy));
-        let asked = self.began.checked_sub(age).ok_or(CopyFault::TooOld)?;
-        Ok((copy, asked))
+        let requested_at = self.began.checked_sub(age).ok_or(CopyFault::TooOld)?;
+        Ok((copy, requested_at))
     }
 
-    fn copied(&self) {
-        self.asker.metrics.copied(self.what, "whole", self.arrived);
-        event!(self.asker.log, events::COPIED,
+    fn log_success(&self) {
+        self.client.metrics.copied(self.what, "whole", self.arrived);
+        event!(self.client.log, events::COPIED,
             "peer" => self.from.id.as_str(), "what" => self.what,
             "elapsed_ms" => self.began.elapsed().as_millis(), "bytes" => self.arrived);
     }
 
-    fn failed(&self, e: &CopyFault) {
-        let metrics = &self.asker.metrics;
+    fn log_failure(&self, e: &CopyFault) {
+        let metrics = &self.client.metrics;
         metrics.copied(self.what, "given-up", self.arrived);
-        event!(self.asker.log, events::PEER_FAILED,
+        event!(self.client.log, events::PEER_FAILED,
             "peer" => self.from.id.as_str(), "why" => e.to_string(), "what" => self.what,
             "elapsed_ms" => self.began.elapsed().as_millis(), "bytes" => self.arrived);
     }
@@ -264,8 +267,8 @@
 
 /// Applies what another box knows of a store beyond `after`, the position known here when the call
 /// was sent.
-fn take_kept(copy: KeptCopy, after: Option<Position>, asked: Instant, kept: &Kept) {
-    let KeptCopy {
+fn apply_store_copy(copy: StoreCopy, after: Option<Position>, requested_at: Instant, kept: &Kept) {
+    let StoreCopy {
         store,
         position: Position { epoch, next },
         content,
@@ -273,7 +276,7 @@
     } = copy;
     let mut directory = kept.lock();
     match content {
-        KeptContent::Whole(whole) => {
+        StoreContent::Complete(whole) => {
             let partial = Vec::new();
             let list = KeptList {
                 epoch,
@@ -281,33 +284,33 @@
                 whole,
                 partial,
             };
-            directory.take_list(store, list, asked);
+            directory.take_list(store, list, requested_at);
         }
-        KeptContent::Changes(changes) => {
+        StoreContent::Changes(changes) => {
             let since = after.map_or(next, |after| after.next);
             // The directory may have moved to a later incarnation of the store since the call was
             // sent.
             if !directory.follows(store, Position { epoch, next: since }) {
                 return;
             }
-            let news = KeptNews {
+            let store_changes = KeptNews {
                 epoch,
                 next,
                 lost: false,
                 changes,
                 clock: None,
             };
-            directory.take_news(store, since, news, asked, asked);
+            directory.take_news(store, since, store_changes, requested_at, requested_at);
         }
     }
 }
 
 /// Waits for the result of a call, at most [`PIECE_TIMEOUT`].
-async fn in_time<T>(call: impl Future<Output = Result<T, RpcError>>) -> Result<T, CopyFault> {
+async fn with_timeout<T>(call: impl Future<Output = Result<T, RpcError>>) -> Result<T, CopyFault> {
     let reply = tokio::time::timeout(PIECE_TIMEOUT, call).await;
     Ok(reply.map_err(|_| CopyFault::Silent)??)
 }
 
-fn within() -> Context {
+fn call_context() -> Context {
     transport::within(PIECE_TIMEOUT)
 }
--- a/crates/sillpin-gateway/src/peers/ear.rs
+++ b/crates/sillpin-gateway/src/peers/receiver.rs
@@ -1,17 +1,19 @@
 //! Processes datagrams received from other boxes.
 
-mod news;
+mod zone;
 
-use super::asker::Asker;
-use super::datagram::{BoxHash, Datagram, Digest, Extent, KeptExtent};
-use super::lag::{Behind, Lag};
-use super::spread::ZoneNews;
-use super::stall::StallGuard;
+use super::datagram::{BoxHash, Datagram, Digest, StoreSyncSummary, SyncSummary};
+use super::lag::{LagStatus, LagTracker};
+use super::peer_client::PeerClient;
+use super::stall::StallDetector;
 use super::wire::{self, FleetKey, MAX_DATAGRAM, WireFault};
-use crate::beliefs::transfers::Transfers;
-use crate::beliefs::wanted::NamedAge;
-use crate::beliefs::{BoxEntry, FleetHandle, FleetMsg, Known, Named, Source, Topic};
+use super::zone_sender::ZoneGossip;
 use crate::fatal::Fatal;
+use crate::fleet_state::desired::DesiredVersionAge;
+use crate::fleet_state::transfers::Transfers;
+use crate::fleet_state::{
+    BoxEntry, DesiredVersion, FleetHandle, FleetMsg, Source, SyncState, Topic,
+};
 use crate::kept::Kept;
 use crate::kept::directory::Directory;
 use crate::metrics::BoxMetrics;
@@ -33,27 +35,27 @@
 const ERROR_PAUSE: Duration = Duration::from_millis(20);
 
 /// Transit time that is added to each age in a datagram.
-const WAY: Duration = Duration::from_millis(20);
+const TRANSIT_TIME: Duration = Duration::from_millis(20);
 
-/// Time for which a box that watches the store waits for the store's answer before it fetches a
-/// copy from another box. The store's answer begins within milliseconds, at worst within 240 ms.
-const STORE_FIRST: Duration = Duration::from_millis(300);
+/// Time for which a box that watches the store waits for the store's answer before it repeats the
+/// call. The answer begins within milliseconds, on slow days within 240 ms.
+const STORE_HEAD_START: Duration = Duration::from_millis(300);
 
-/// Time for which a box that receives bulletins waits for the zone's reader: the changes follow in
-/// the datagrams after the one with the hub's revision.
-const NEWS_FIRST: Duration = Duration::from_millis(50);
+/// Time for which a box that receives bulletins waits for the zone's reader before it calls the
+/// store: the changes follow in the datagrams after the one with the hub's revision.
+const READER_HEAD_START: Duration = Duration::from_millis(50);
 
-/// Time without data from the store, after the call to it was repeated, until other boxes are
-/// queried.
-const STORE_AGAIN: Duration = Duration::from_millis(1_000);
+/// Lag from which other boxes are queried, if nothing has arrived from the store since the call to
+/// it was repeated.
+const STORE_RETRY_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Times at which boxes received the same change, or contacted the store, count as equal within
 /// this. Each box watches the store, which notifies all of them within some ten milliseconds.
-const JITTER: Duration = Duration::from_millis(100);
+const TIME_TOLERANCE: Duration = Duration::from_millis(100);
 
 /// Something being fetched from another box; many digests then cause one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Asked {
+pub enum FetchKind {
     /// A prefix.
     Topic(Topic),
     /// Cache stores.
@@ -61,7 +63,7 @@
 }
 
 /// Where a box that lags gets the missing changes.
-enum Next {
+enum NextStep {
     /// No action: the changes are being transferred.
     Wait,
     /// From the store, by a new call.
@@ -71,11 +73,11 @@
 }
 
 /// Calls in progress.
-pub type Asking = Arc<Mutex<HashSet<Asked>>>;
+pub type FetchesInProgress = Arc<Mutex<HashSet<FetchKind>>>;
 
 /// Processes datagrams from other boxes.
 #[derive(Clone)]
-pub struct Ear {
+pub struct GossipReceiver {
     /// Key of the fleet; datagrams of other fleets are dropped.
     pub fleet_key: FleetKey,
     /// What this box knows of the fleet.
@@ -87,15 +89,15 @@
     /// Requests that crash the targets that run them.
     pub fatal: Fatal,
     /// Calls in progress.
-    pub asking: Asking,
+    pub fetches: FetchesInProgress,
     /// Fetches copies from boxes that have newer data.
-    pub asker: Asker,
+    pub client: PeerClient,
     /// Since when other boxes have had newer data.
-    pub lag: Arc<Mutex<Lag>>,
+    pub lag: Arc<Mutex<LagTracker>>,
     /// Transfers to this box in progress.
     pub transfers: Transfers,
     /// Detects datagrams that were queued while the process was stalled.
-    pub stall: StallGuard,
+    pub stall: StallDetector,
     /// Counts datagrams.
     pub metrics: BoxMetrics,
     /// Short id of this box.
@@ -103,14 +105,14 @@
     /// Zone of this box.
     pub zone: ZoneId,
     /// State of gossip in a large zone.
-    pub zone_news: ZoneNews,
+    pub zone_gossip: ZoneGossip,
     /// Log.
     pub log: Logger,
 }
 
-impl Ear {
+impl GossipReceiver {
     /// Receives datagrams until the process ends.
-    pub async fn hear(self, socket: Arc<UdpSocket>) {
+    pub async fn run(self, socket: Arc<UdpSocket>) {
         let mut buf = vec![0; MAX_DATAGRAM];
         loop {
             let len = match socket.recv_from(&mut buf).await {
@@ -130,9 +132,9 @@
                 Ok(datagram) => {
                     self.metrics.datagrams(datagram.name(), "received", 1, len);
                     if let Datagram::Bulletin(bulletin) = &datagram {
-                        self.pass_on(&socket, &buf[..len], bulletin).await;
+                        self.relay_bulletin(&socket, &buf[..len], bulletin).await;
                     }
-                    self.hear_one(datagram).await;
+                    self.handle(datagram).await;
                 }
                 // Boxes of another fleet may keep sending to an address that was theirs: counted,
                 // not logged.
@@ -142,25 +144,25 @@
         }
     }
 
-    async fn hear_one(&self, datagram: Datagram) {
+    async fn handle(&self, datagram: Datagram) {
         match datagram {
-            Datagram::Digest(digest) => self.take(*digest).await,
-            Datagram::Loading(news) => self.take_news(news).await,
-            Datagram::Kept(word) => self.take_word(word),
-            Datagram::Work(word) => {
+            Datagram::Digest(digest) => self.apply_digest(*digest).await,
+            Datagram::WeightLoad(update) => self.apply_load_update(update).await,
+            Datagram::Store(update) => self.apply_store_update(update),
+            Datagram::Work(update) => {
                 self.loads
-                    .words(|words| words.replaced.hear(&word.replaced, Instant::now()));
-                self.loads.hear(word.from, word.work);
+                    .words(|words| words.replaced.hear(&update.replaced, Instant::now()));
+                self.loads.hear(update.from, update.work);
             }
-            Datagram::Report(report) => self.take_report(report).await,
-            Datagram::Bulletin(bulletin) => self.take_bulletin(bulletin).await,
-            Datagram::Zone(word) => self.take_zone(word).await,
+            Datagram::Report(report) => self.apply_report(report).await,
+            Datagram::Bulletin(bulletin) => self.apply_bulletin(bulletin).await,
+            Datagram::Zone(summary) => self.apply_zone_summary(summary).await,
         }
     }
 
-    async fn take(&self, digest: Digest) {
+    async fn apply_digest(&self, digest: Digest) {
         if digest.stopping {
-            self.fleet.tell(FleetMsg::Stopping(digest.from.id)).await;
+            self.fleet.send(FleetMsg::Stopping(digest.from.id)).await;
             return;
         }
         let now = Instant::now();
@@ -169,31 +171,34 @@
         self.loads
             .words(|words| words.replaced.hear(&digest.replaced, now));
         self.fatal.hear(&digest.fatal);
-        self.take_limits(&digest.limits);
-        let silence = digest.targets.age_ms.map(Duration::from_millis);
+        self.apply_limits(&digest.limits);
+        let silence = digest.targets_sync.age_ms.map(Duration::from_millis);
         let silence = silence.unwrap_or(Duration::MAX);
         let retired = digest.retired;
         self.kept.retirements().hear(from, retired, silence, now);
         self.kept.lock().take_clock(digest.clock, now);
-        self.welcome(&digest.from);
-        self.fleet.tell(FleetMsg::Heard(digest.from.clone())).await;
-        self.take_named(&digest.named, &digest.from, now).await;
-        self.take_contact(digest.contact_ms, now).await;
-        self.take_extent(Topic::Operators, digest.operators, &digest.from)
+        self.announce_new_box(&digest.from);
+        self.fleet
+            .send(FleetMsg::PeerSeen(digest.from.clone()))
             .await;
-        self.take_extent(Topic::Targets, digest.targets, &digest.from)
+        self.apply_desired(&digest.desired_ages, &digest.from, now)
             .await;
-        self.take_stores(&digest.stores, &digest.from);
+        self.apply_contact(digest.contact_ms, now).await;
+        self.apply_sync_summary(Topic::Operators, digest.operators_sync, &digest.from)
+            .await;
+        self.apply_sync_summary(Topic::Targets, digest.targets_sync, &digest.from)
+            .await;
+        self.fetch_stores(&digest.stores, &digest.from);
     }
 
     /// Applies rate limits of targets that other boxes have found.
-    fn take_limits(&self, news: &[LimitNews]) {
-        if news.is_empty() {
+    fn apply_limits(&self, limits: &[LimitNews]) {
+        if limits.is_empty() {
             return;
         }
         let changes = self
             .loads
-            .words(|words| words.limits.hear(news, Instant::now()));
+            .words(|words| words.limits.hear(limits, Instant::now()));
         if changes.is_empty() {
             return;
         }
@@ -209,188 +214,200 @@
 
     /// Adds a box that is new to this one to the next bulletin, if this box is the hub: boxes that
     /// relay bulletins to it need its address.
-    fn welcome(&self, from: &BoxEntry) {
+    fn announce_new_box(&self, from: &BoxEntry) {
         let view = self.fleet.view();
         let is_known = view.boxes.iter().any(|peer| peer == from);
         if !is_known && from.zone == self.zone {
-            self.zone_news.hub().join(from.clone());
+            self.zone_gossip.hub().add_box(from.clone());
         }
     }
 
     /// Applies another box's times at which weights versions were requested.
-    async fn take_named(&self, named: &[NamedAge], from: &BoxEntry, now: Instant) {
+    async fn apply_desired(&self, ages: &[DesiredVersionAge], from: &BoxEntry, now: Instant) {
         let view = self.fleet.view();
-        for age in named {
+        for age in ages {
             let Some(named) = age.named(now) else {
                 continue;
             };
             // Times of boxes that saw the same change differ by its transit time, and would change
             // the view in each round.
-            let later = Named {
-                since: named.since + JITTER,
+            let later = DesiredVersion {
+                since: named.since + TIME_TOLERANCE,
                 ..named
             };
-            let wanted = view.wanted.get(&age.model);
-            if wanted.is_some_and(|wanted| !wanted.is_news(&later)) {
+            let desired = view.desired.get(&age.model);
+            if desired.is_some_and(|desired| !desired.adds_information(&later)) {
                 continue;
             }
-            let msg = FleetMsg::Named {
+            let msg = FleetMsg::DesiredVersion {
                 model: age.model.clone(),
                 named,
                 source: Source::Peer(from.id.clone()),
             };
-            self.fleet.tell(msg).await;
+            self.fleet.send(msg).await;
         }
     }
 
     /// Applies how long another box has been in contact with the store: the store has been
     /// reachable since then.
-    async fn take_contact(&self, contact_ms: Option<u64>, now: Instant) {
+    async fn apply_contact(&self, contact_ms: Option<u64>, now: Instant) {
         let contact = contact_ms.map(Duration::from_millis);
         let Some(since) = contact.and_then(|contact| now.checked_sub(contact)) else {
             return;
         };
-        let own = self.fleet.view().operators.contact;
-        if own.is_some_and(|own| since + JITTER < own) {
-            self.fleet.tell(FleetMsg::Contact(since)).await;
+        let own = self.fleet.view().operators_sync.contact;
+        if own.is_some_and(|own| since + TIME_TOLERANCE < own) {
+            self.fleet.send(FleetMsg::Contact(since)).await;
         }
     }
 
     /// Handles another box's state of a prefix: the same content confirms this box's, newer content
     /// is fetched.
-    async fn take_extent(&self, topic: Topic, theirs: Extent, from: &BoxEntry) {
-        let Some(asked) = asked_at(theirs.age_ms) else {
+    async fn apply_sync_summary(&self, topic: Topic, theirs: SyncSummary, from: &BoxEntry) {
+        let Some(requested_at) = queried_at(theirs.age_ms) else {
             return;
         };
         let mine = self.fleet.view().known(topic);
         if mine.content == theirs.content && mine.confirmed.is_some() {
-            if mine.confirmed < Some(asked) {
+            if mine.confirmed < Some(requested_at) {
                 let msg = FleetMsg::Confirmed {
                     topic,
                     content: theirs.content,
                     revision: theirs.revision,
-                    asked,
+                    requested_at,
                 };
-                self.fleet.tell(msg).await;
+                self.fleet.send(msg).await;
             }
             return;
         }
         if !is_newer(mine, theirs) {
             return;
         }
-        let behind = self.fell_behind(topic, mine, theirs, from);
-        match self.next_source(topic, &behind) {
-            Next::Wait => {}
-            Next::Store => self.doubt_store(topic),
-            Next::Box => self.copy_from(from, topic, mine.revision),
+        let lag_status = self.record_lag(topic, mine, theirs, from);
+        match self.next_source(topic, &lag_status) {
+            NextStep::Wait => {}
+            NextStep::Store => self.retry_store(topic),
+            NextStep::Box => self.fetch_from(from, topic, mine.revision),
         }
     }
 
-    fn copy_from(&self, from: &BoxEntry, topic: Topic, after: KvRevision) {
-        if !self.begin(Asked::Topic(topic)) {
+    fn fetch_from(&self, from: &BoxEntry, topic: Topic, after: KvRevision) {
+        if !self.begin_fetch(FetchKind::Topic(topic)) {
             return;
         }
-        let (ear, from) = (self.clone(), from.clone());
+        let (receiver, from) = (self.clone(), from.clone());
         tokio::spawn(async move {
-            ear.asker.ask_copy(&from, topic, after, &ear.fleet).await;
-            ear.end(Asked::Topic(topic));
+            receiver
+                .client
+                .fetch_copy(&from, topic, after, &receiver.fleet)
+                .await;
+            receiver.end_fetch(FetchKind::Topic(topic));
         });
     }
 
     /// Has the call to the store repeated on another connection. Once is enough: repeating it
     /// before an answer begins would discard data that a full link delays.
-    fn doubt_store(&self, topic: Topic) {
-        self.lag().set_doubted(topic);
-        self.transfers.doubt(topic);
+    fn retry_store(&self, topic: Topic) {
+        self.lag().set_store_retried(topic);
+        self.transfers.request_retry(topic);
     }
 
     /// Records that another box has newer data, and logs it at intervals.
-    fn fell_behind(&self, topic: Topic, mine: Known, theirs: Extent, from: &BoxEntry) -> Behind {
-        let behind = self.lag().behind(topic, mine, theirs, Instant::now());
-        if behind.is_due {
+    fn record_lag(
+        &self,
+        topic: Topic,
+        mine: SyncState,
+        theirs: SyncSummary,
+        from: &BoxEntry,
+    ) -> LagStatus {
+        let lag_status = self.lag().record(topic, mine, theirs, Instant::now());
+        if lag_status.is_due {
             event!(self.log, events::BEHIND,
-                "what" => topic.name(), "for_ms" => behind.lasted.as_millis(),
+                "what" => topic.name(), "for_ms" => lag_status.lasted.as_millis(),
                 "peer" => from.id.as_str(),
                 "revision" => mine.revision.to_string(), "theirs" => theirs.revision.to_string());
         }
-        behind
+        lag_status
     }
 
-    fn lag(&self) -> MutexGuard<'_, Lag> {
+    fn lag(&self) -> MutexGuard<'_, LagTracker> {
         self.lag.lock().unwrap_or_else(|e| e.into_inner())
     }
 
     /// Returns where to get changes that others have had for some time. Changes already being
     /// transferred arrive sooner without another call. The store is preferred where this box
     /// watches it.
-    fn next_source(&self, topic: Topic, behind: &Behind) -> Next {
-        if self.transfers.is_under_way(topic) {
-            return Next::Wait;
+    fn next_source(&self, topic: Topic, lag_status: &LagStatus) -> NextStep {
+        if self.transfers.is_in_progress(topic) {
+            return NextStep::Wait;
         }
         if topic == Topic::Operators && self.loads.hears_hub(Instant::now()) {
-            return match behind.is_doubted {
-                false if behind.lasted < NEWS_FIRST => Next::Wait,
-                false => Next::Store,
-                true if behind.lasted >= STORE_AGAIN => Next::Box,
-                true => Next::Wait,
+            return match lag_status.is_store_retried {
+                false if lag_status.lasted < READER_HEAD_START => NextStep::Wait,
+                false => NextStep::Store,
+                true if lag_status.lasted >= STORE_RETRY_TIMEOUT => NextStep::Box,
+                true => NextStep::Wait,
             };
         }
-        let store_tells = topic == Topic::Operators && self.transfers.is_watched(topic);
-        if !store_tells || behind.lasted >= STORE_AGAIN {
-            return Next::Box;
+        let is_store_watched = topic == Topic::Operators && self.transfers.is_watched(topic);
+        if !is_store_watched || lag_status.lasted >= STORE_RETRY_TIMEOUT {
+            return NextStep::Box;
         }
-        match behind.lasted >= STORE_FIRST && !behind.is_doubted {
-            true => Next::Store,
-            false => Next::Wait,
+        match lag_status.lasted >= STORE_HEAD_START && !lag_status.is_store_retried {
+            true => NextStep::Store,
+            false => NextStep::Wait,
         }
     }
 
     /// Fetches changes of stores that another box knows further than this one.
-    fn take_stores(&self, theirs: &[KeptExtent], from: &BoxEntry) {
+    fn fetch_stores(&self, theirs: &[StoreSyncSummary], from: &BoxEntry) {
         let lacking: Vec<SocketAddr> = {
             let mut directory = self.kept.lock();
-            let lacks = |theirs: &&KeptExtent| lacks(&mut directory, theirs);
-            theirs.iter().filter(lacks).map(|of| of.addr).collect()
+            let is_lacking = |theirs: &&StoreSyncSummary| lacks_changes(&mut directory, theirs);
+            theirs.iter().filter(is_lacking).map(|of| of.addr).collect()
         };
-        if lacking.is_empty() || !self.begin(Asked::Stores) {
+        if lacking.is_empty() || !self.begin_fetch(FetchKind::Stores) {
             return;
         }
-        let (ear, from) = (self.clone(), from.clone());
+        let (receiver, from) = (self.clone(), from.clone());
         tokio::spawn(async move {
-            ear.asker.ask_kept(&from, lacking, &ear.kept).await;
-            ear.end(Asked::Stores);
+            receiver
+                .client
+                .fetch_stores(&from, lacking, &receiver.kept)
+                .await;
+            receiver.end_fetch(FetchKind::Stores);
         });
     }
 
-    fn begin(&self, asked: Asked) -> bool {
-        let mut asking = self.asking.lock().unwrap_or_else(|e| e.into_inner());
-        asking.insert(asked)
+    fn begin_fetch(&self, fetch: FetchKind) -> bool {
+        let mut fetches = self.fetches.lock().unwrap_or_else(|e| e.into_inner());
+        fetches.insert(fetch)
     }
 
-    fn end(&self, asked: Asked) {
-        let mut asking = self.asking.lock().unwrap_or_else(|e| e.into_inner());
-        asking.remove(&asked);
+    fn end_fetch(&self, fetch: FetchKind) {
+        let mut fetches = self.fetches.lock().unwrap_or_else(|e| e.into_inner());
+        fetches.remove(&fetch);
     }
 }
 
 /// Returns whether this box lacks changes of a store that another box knows. A box that lags may
 /// know less although it queried the store no longer ago.
-fn lacks(directory: &mut Directory, theirs: &KeptExtent) -> bool {
-    let Some(asked) = asked_at(Some(theirs.age_ms)) else {
+fn lacks_changes(directory: &mut Directory, theirs: &StoreSyncSummary) -> bool {
+    let Some(requested_at) = queried_at(Some(theirs.age_ms)) else {
         return false;
     };
     let mine = directory.heard(theirs.addr);
-    !directory.confirm(theirs.addr, theirs.position, asked) && mine < Some(asked)
+    !directory.confirm(theirs.addr, theirs.position, requested_at) && mine < Some(requested_at)
 }
 
 /// Returns when the store was queried for data that is `age_ms` old in a datagram that has just
 /// arrived.
-fn asked_at(age_ms: Option<u64>) -> Option<Instant> {
-    let age = Duration::from_millis(age_ms?) + WAY;
+fn queried_at(age_ms: Option<u64>) -> Option<Instant> {
+    let age = Duration::from_millis(age_ms?) + TRANSIT_TIME;
     Instant::now().checked_sub(age)
 }
 
 /// Returns whether another box knows a prefix further.
-fn is_newer(mine: Known, theirs: Extent) -> bool {
+fn is_newer(mine: SyncState, theirs: SyncSummary) -> bool {
     mine.confirmed.is_none() || theirs.revision > mine.revision
 }
--- a/crates/sillpin-gateway/src/peers/registry.rs
+++ b/crates/sillpin-gateway/src/peers/registry.rs
@@ -4,7 +4,7 @@
 //! what all boxes share: retries and connections.
 
 use super::roles::SMALL_FLEET;
-use crate::beliefs::{BoxEntry, FleetHandle, FleetMsg};
+use crate::fleet_state::{BoxEntry, FleetHandle, FleetMsg};
 use rand::RngExt;
 use sillpin_platform::{KvRevision, LeaseId, Platform, PlatformError, PlatformFault};
 use sillpin_telemetry::{event, events};
@@ -19,11 +19,11 @@
 const LEASE: Duration = Duration::from_secs(10);
 
 /// Time between two renewals: three may fail before the lease expires.
-const RENEW_EVERY: Duration = Duration::from_millis(2_500);
+const RENEW_INTERVAL: Duration = Duration::from_millis(2_500);
 
 /// Round of the second read after a start: other boxes start at the same time, and have registered
 /// by then. The first read may be stale, since it only provides boxes to query.
-const WHOLE_READ: u32 = 1;
+const SECOND_READ: u32 = 1;
 
 /// Pause before that round: the boxes of a fleet that starts as a whole do so within 0.3 s, and
 /// read much from the store until they know each other.
@@ -38,10 +38,10 @@
 
 /// How a round reads the registered boxes.
 #[derive(Debug, Clone, Copy)]
-enum Read {
-    Not,
-    Glance,
-    Whole,
+enum ReadKind {
+    Skip,
+    Stale,
+    Complete,
 }
 
 /// Registers this box and reads which other boxes are registered.
@@ -69,9 +69,9 @@
                 false => LARGE_READ_ROUNDS,
             };
             let read = match round {
-                0 => Read::Glance,
-                _ if round == WHOLE_READ || round.is_multiple_of(rounds) => Read::Whole,
-                _ => Read::Not,
+                0 => ReadKind::Stale,
+                _ if round == SECOND_READ || round.is_multiple_of(rounds) => ReadKind::Complete,
+                _ => ReadKind::Skip,
             };
             round += 1;
             lease = match self.round(lease, read).await {
@@ -84,8 +84,8 @@
                 }
             };
             let pause = match round {
-                WHOLE_READ => FIRST_PAUSE,
-                _ => RENEW_EVERY,
+                SECOND_READ => FIRST_PAUSE,
+                _ => RENEW_INTERVAL,
             };
             let pause = pause.mul_f64(rand::rng().random_range(0.8..1.0));
             tokio::select! {
@@ -95,7 +95,11 @@
         }
     }
 
-    async fn round(&self, lease: Option<LeaseId>, how: Read) -> Result<LeaseId, PlatformError> {
+    async fn round(
+        &self,
+        lease: Option<LeaseId>,
+        kind: ReadKind,
+    ) -> Result<LeaseId, PlatformError> {
         let lease = match lease {
             Some(lease) => {
                 self.platform.renew_lease(lease).await?;
@@ -103,10 +107,10 @@
             }
             None => self.register().await?,
         };
-        let read = match how {
-            Read::Not => return Ok(lease),
-            Read::Glance => self.platform.glance(BOX_PREFIX).await?,
-            Read::Whole => self.platform.snapshot(BOX_PREFIX).await?,
+        let read = match kind {
+            ReadKind::Skip => return Ok(lease),
+            ReadKind::Stale => self.platform.glance(BOX_PREFIX).await?,
+            ReadKind::Complete => self.platform.snapshot(BOX_PREFIX).await?,
         };
         let texts = read
             .entries
@@ -120,11 +124,11 @@
             }
         });
         let boxes: Vec<BoxEntry> = boxes.collect();
-        let msg = match how {
-            Read::Whole => FleetMsg::Registered(boxes),
-            Read::Glance | Read::Not => FleetMsg::RegisteredBefore(boxes),
+        let msg = match kind {
+            ReadKind::Complete => FleetMsg::Registered(boxes),
+            ReadKind::Stale | ReadKind::Skip => FleetMsg::RegisteredStale(boxes),
         };
-        self.fleet.tell(msg).await;
+        self.fleet.send(msg).await;
         Ok(lease)
     }
 
--- a/crates/sillpin-gateway/src/peers/roster.rs
+++ b/crates/sillpin-gateway/src/peers/roster.rs
@@ -2,7 +2,7 @@
 
 use super::datagram::BoxHash;
 use super::hub::LARGE_ZONE;
-use crate::beliefs::{BoxEntry, View};
+use crate::fleet_state::{BoxEntry, View};
 use sillpin_core::ZoneId;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
             }
         }
         zone.sort_unstable();
-        let in_order = |(zone, mut there): (ZoneId, Vec<(BoxHash, SocketAddr)>)| {
+        let sorted = |(zone, mut there): (ZoneId, Vec<(BoxHash, SocketAddr)>)| {
             there.sort_unstable();
             (zone, there.into_iter().map(|(_, addr)| addr).collect())
         };
@@ -44,7 +44,7 @@
             boxes,
             zone,
             by_name,
-            others: others.into_iter().map(in_order).collect(),
+            others: others.into_iter().map(sorted).collect(),
         }
     }
 
@@ -68,12 +68,12 @@
 
 /// Caches the newest roster; clones share it.
 #[derive(Debug, Clone)]
-pub struct Rosters {
+pub struct RosterCache {
     me: BoxEntry,
     newest: Arc<Mutex<Option<Arc<Roster>>>>,
 }
 
-impl Rosters {
+impl RosterCache {
     /// Creates a cache for the box `me`.
     pub fn new(me: BoxEntry) -> Self {
         Self {
