--- a/crates/sillpin-gateway/src/fleet_state/desired.rs
+++ b/crates/sillpin-gateway/src/fleet_state/desired.rs
@@ -134,7 +134,7 @@
 impl DesiredVersionAge {
     /// Converts the age to a time of this box's clock. The transit time is not added, so a version
     /// never appears older than it is, however often boxes relay it.
-    pub fn named(&self, now: Instant) -> Option<DesiredVersion> {
+    pub fn to_desired_version(&self, now: Instant) -> Option<DesiredVersion> {
         Some(DesiredVersion {
             version: self.version,
             since: now.checked_sub(Duration::from_millis(self.age_ms))?,
@@ -159,9 +159,9 @@
             age_ms: now.saturating_duration_since(entry.since).as_millis() as u64,
             witnessed: entry.witnessed,
         };
-        let is_late =
+        let is_recent =
             |entry: &&DesiredVersion| now.saturating_duration_since(entry.since) < SEND_MAX_AGE;
-        desired.versions.iter().filter(is_late).map(age).collect()
+        desired.versions.iter().filter(is_recent).map(age).collect()
     };
     desired.iter().flat_map(of_model).collect()
 }
--- a/crates/sillpin-gateway/src/peers/receiver.rs
+++ b/crates/sillpin-gateway/src/peers/receiver.rs
@@ -226,7 +226,7 @@
     async fn apply_desired(&self, ages: &[DesiredVersionAge], from: &BoxEntry, now: Instant) {
         let view = self.fleet.view();
         for age in ages {
-            let Some(named) = age.named(now) else {
+            let Some(named) = age.to_desired_version(now) else {
                 continue;
             };
             // Times of boxes that saw the same change differ by its transit time, and would change
--- a/crates/sillpin-gateway/src/weights/rollout.rs
+++ b/crates/sillpin-gateway/src/weights/rollout.rs
@@ -219,7 +219,7 @@
     async fn learn_named(&self, named: &[DesiredVersionAge]) {
         let now = Instant::now();
         for age in named {
-            let Some(named) = age.named(now) else {
+            let Some(named) = age.to_desired_version(now) else {
                 continue;
             };
             let msg = FleetMsg::DesiredVersion {
