--- a/crates/sillpin-gateway/src/peers/hub.rs
+++ b/crates/sillpin-gateway/src/peers/hub.rs
@@ -2,9 +2,10 @@
 //!
 //! If each box of a zone sent its work in progress to all others, a zone of sixty boxes would carry
 //! some ten thousand datagrams a second, and each box would spend most of its CPU time on reading
-//! them. So each box reports to the first two boxes of its zone, ordered by hash. The first one,
-//! the hub, adds the reports up, sends the sums out along a tree, and exchanges them with the hubs
-//! of other zones. The second one receives the same reports and is the standby.
+//! them. So each box sends reports to the first two boxes of its zone, ordered by hash. The first
+//! one, the hub, adds the reports up, sends the sums as bulletins along a tree of the zone's boxes,
+//! and as zone summaries to the hubs of other zones. The second one receives the same reports and
+//! is the standby.
 //!
 //! There is no agreement protocol: a box is the hub while it is the first of the boxes whose
 //! reports it receives, and stops when it receives a bulletin of a box that is ordered before it.
--- a/crates/sillpin-gateway/src/peers/mod.rs
+++ b/crates/sillpin-gateway/src/peers/mod.rs
@@ -1,9 +1,10 @@
-//! Communication between boxes.
+//! Communication between boxes, the instances of the gateway.
 //!
-//! Each box sends a small UDP digest several times a second, which states that the box is up and up
-//! to which revision it knows what is published in the platform store. A box that receives a digest
-//! with a newer revision fetches the difference from the sender over `tarpc`. So a box that the
-//! store refuses, or that starts while the store is unreachable, gets its data from other boxes.
+//! Each box sends a digest, a small UDP datagram, several times a second. It states that the box is
+//! up, and up to which revision it knows what is published in the platform store. A box that
+//! receives a digest with a newer revision fetches the difference from the sender over `tarpc`. So
+//! a box that the store refuses, or that starts while the store is unreachable, gets its data from
+//! other boxes.
 //!
 //! - [`roles`]: which box of a zone reads what,
 //! - [`datagram`]: contents of datagrams,
--- a/crates/sillpin-gateway/tests/hub.rs
+++ b/crates/sillpin-gateway/tests/hub.rs
@@ -241,7 +241,7 @@
         };
         assert!(
             waited < most,
-            "{} uninformed",
+            "{} boxes without a recent bulletin",
             zone.without_recent_bulletin()
         );
     }
--- a/crates/sillpin-gateway/tests/reader.rs
+++ b/crates/sillpin-gateway/tests/reader.rs
@@ -53,8 +53,8 @@
     store: MemoryStore,
     fleet: FleetHandle,
     transfers: Transfers,
-    reading: BoxEntry,
-    confirming: JoinHandle<()>,
+    reader_box: BoxEntry,
+    confirm_task: JoinHandle<()>,
 }
 
 impl World {
@@ -62,11 +62,11 @@
         let store = MemoryStore::default();
         let put = store.put(CONFIG, "1", KvRevision::ABSENT, None);
         put.await.unwrap();
-        let (reading, me) = roles();
+        let (reader_box, me) = roles();
         let log = sillpin_telemetry::logs::discard();
         let (fleet, port) = fleet_state::channel();
         tokio::spawn(Fleet::new(me.id.clone(), TestKeys, log.clone()).run(port));
-        fleet.send(FleetMsg::PeerSeen(reading.clone())).await;
+        fleet.send(FleetMsg::PeerSeen(reader_box.clone())).await;
         let transfers = Transfers::default();
         let reader = Reader {
             platform: store.clone(),
@@ -81,13 +81,13 @@
             log,
         };
         tokio::spawn(reader.run());
-        let confirming = tokio::spawn(confirm(fleet.clone(), reading.clone()));
+        let confirm_task = tokio::spawn(confirm(fleet.clone(), reader_box.clone()));
         let world = Self {
             store,
             fleet,
             transfers,
-            reading,
-            confirming,
+            reader_box,
+            confirm_task,
         };
         world.wait_for(1).await;
         sleep(ROUND * 5).await;
@@ -116,10 +116,10 @@
 }
 
 /// Confirms repeatedly that what the box knows is current.
-async fn confirm(fleet: FleetHandle, reading: BoxEntry) {
+async fn confirm(fleet: FleetHandle, reader_box: BoxEntry) {
     loop {
         let known = fleet.view().operators_sync;
-        fleet.send(FleetMsg::PeerSeen(reading.clone())).await;
+        fleet.send(FleetMsg::PeerSeen(reader_box.clone())).await;
         fleet
             .send(FleetMsg::Confirmed {
                 topic: Topic::Operators,
@@ -155,7 +155,7 @@
     sleep(Duration::from_millis(500)).await;
     assert!(world.transfers.is_in_progress(Topic::Operators));
     let before = world.store.waits().len();
-    let stopping = FleetMsg::Stopping(world.reading.id.clone());
+    let stopping = FleetMsg::Stopping(world.reader_box.id.clone());
     world.fleet.send(stopping).await;
     world.transfers.request_retry(Topic::Operators);
     sleep(Duration::from_secs(2)).await;
@@ -187,8 +187,8 @@
 async fn a_waiting_box_polls_once_the_zones_reader_has_stopped() {
     let world = World::start().await;
     let before = world.store.waits().len();
-    world.confirming.abort();
-    let stopping = FleetMsg::Stopping(world.reading.id.clone());
+    world.confirm_task.abort();
+    let stopping = FleetMsg::Stopping(world.reader_box.id.clone());
     world.fleet.send(stopping).await;
     sleep(Duration::from_secs(10)).await;
     let read = world.store.waits().len() - before;
