--- a/crates/sillpin-gateway/src/fleet_state/fleet.rs
+++ b/crates/sillpin-gateway/src/fleet_state/fleet.rs
@@ -335,8 +335,8 @@
                 self.view.operators_sync = self.operators_mirror.known();
             }
             Topic::Targets => {
-                // A copy is as old as the other box's read of the store; the store's own answer is
-                // new.
+                // A copy is as old as the other box's read of the store; the store's own response
+                // is new.
                 let read_at = match source {
                     Source::Store => now,
                     Source::Peer(_) | Source::Passed => requested_at.min(now),
--- a/crates/sillpin-gateway/src/fleet_state/fleet/boxes.rs
+++ b/crates/sillpin-gateway/src/fleet_state/fleet/boxes.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time without a digest after which a box that is not registered counts as ended: several rounds
+/// Time without a digest after which a box that is not registered counts as stopped: several rounds
 /// of gossip.
 const PEER_TIMEOUT: Duration = Duration::from_secs(6);
 
--- a/crates/sillpin-gateway/src/fleet_state/mirror.rs
+++ b/crates/sillpin-gateway/src/fleet_state/mirror.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time without an answer of the platform store after which this box has lost contact with it.
+/// Time without a response of the platform store after which this box has lost contact with it.
 /// Boxes that wait for the zone's reader read the store themselves after two seconds at most.
 pub const STORE_TIMEOUT: Duration = Duration::from_secs(3);
 
--- a/crates/sillpin-gateway/src/fleet_state/mod.rs
+++ b/crates/sillpin-gateway/src/fleet_state/mod.rs
@@ -286,11 +286,11 @@
     PeerSeen(BoxEntry),
     /// A box is shutting down.
     Stopping(BoxId),
-    /// An engine answered with other weights than its entry states.
+    /// An engine responded with other weights than its entry states.
     Serves {
         /// The engine.
         target: TargetId,
-        /// The incarnation that answered.
+        /// The incarnation that responded.
         life: Option<Life>,
         /// The model.
         model: ModelId,
--- a/crates/sillpin-gateway/src/fleet_state/reader.rs
+++ b/crates/sillpin-gateway/src/fleet_state/reader.rs
@@ -52,7 +52,7 @@
 const OPERATORS_PAUSE: Duration = Duration::from_millis(250);
 
 /// Least time between two calls for targets' entries: heartbeats end a watch many times a second,
-/// and each answer costs a call. Requests may be sent to a leaving target for two seconds.
+/// and each response costs a call. Requests may be sent to a leaving target for two seconds.
 const TARGETS_PAUSE: Duration = Duration::from_millis(900);
 
 /// The same in a large fleet, where a reader's data reaches other boxes by way of a hub: with
--- a/crates/sillpin-gateway/src/peers/hub.rs
+++ b/crates/sillpin-gateway/src/peers/hub.rs
@@ -180,7 +180,7 @@
 
     /// Returns the boxes that this box reports to. `all` lists the boxes of the zone, this one
     /// included, in order. While no bulletin arrives, the number grows, because the first boxes may
-    /// have ended.
+    /// have stopped.
     pub fn report_recipients(&mut self, all: &[BoxHash], now: Instant) -> Vec<BoxHash> {
         let started = *self.started.get_or_insert(now);
         if let Some(members) = self.members(now) {
--- a/crates/sillpin-gateway/src/peers/receiver.rs
+++ b/crates/sillpin-gateway/src/peers/receiver.rs
@@ -37,8 +37,8 @@
 /// Transit time that is added to each age in a datagram.
 const TRANSIT_TIME: Duration = Duration::from_millis(20);
 
-/// Time for which a box that watches the store waits for the store's answer before it repeats the
-/// call. The answer begins within milliseconds, on slow days within 240 ms.
+/// Time for which a box that watches the store waits for the store's response before it repeats the
+/// call. The response begins within milliseconds, on slow days within 240 ms.
 const STORE_HEAD_START: Duration = Duration::from_millis(300);
 
 /// Time for which a box that receives bulletins waits for the zone's reader before it calls the
@@ -306,7 +306,7 @@
     }
 
     /// Has the call to the store repeated on another connection. Once is enough: repeating it
-    /// before an answer begins would discard data that a full link delays.
+    /// before the response begins would discard data that a full link delays.
     fn retry_store(&self, topic: Topic) {
         self.lag().set_store_retried(topic);
         self.transfers.request_retry(topic);
--- a/crates/sillpin-gateway/src/peers/registry.rs
+++ b/crates/sillpin-gateway/src/peers/registry.rs
@@ -15,7 +15,7 @@
 /// Prefix of registered boxes.
 pub const BOX_PREFIX: &str = "sillpin/box/";
 
-/// Time after which the entry of a box that ended expires.
+/// Time after which the entry of a stopped box expires.
 const LEASE: Duration = Duration::from_secs(10);
 
 /// Time between two renewals: three may fail before the lease expires.
--- a/crates/sillpin-gateway/src/peers/roles.rs
+++ b/crates/sillpin-gateway/src/peers/roles.rs
@@ -3,7 +3,7 @@
 //! Every call to the platform store is billed, and a cache store serves few readers at once. So one
 //! box of each zone reads each resource, chosen by rendezvous hashing over the boxes of the zone,
 //! and the other boxes get the data from it. A box whose data grows too old reads by itself, so no
-//! agreement is needed when a reader ends or is cut off.
+//! agreement is needed when a reader stops or is cut off.
 
 use crate::fleet_state::{BoxEntry, View};
 use crate::kept::homes::{hash_pair, unit};
@@ -74,7 +74,7 @@
     confirmed.is_none_or(|at| now.saturating_duration_since(at) > max_age)
 }
 
-/// Time between two checks which box reads: that only changes when boxes start and end, and each
+/// Time between two checks which box reads: that only changes when boxes start and stop, and each
 /// check hashes a whole zone.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
--- a/crates/sillpin-gateway/src/peers/wire.rs
+++ b/crates/sillpin-gateway/src/peers/wire.rs
@@ -1,6 +1,6 @@
 //! Encoding of datagrams between boxes.
 //!
-//! A port may be reused: the address of a box that ended passes to another process, and boxes that
+//! A port may be reused: the address of a stopped box passes to another process, and boxes that
 //! have not noticed keep sending to it. So each datagram begins with a key of the fleet and of the
 //! format, and a box drops datagrams without its own key. The key tells fleets apart; it
 //! authenticates nothing, since the settings hold no secret that boxes share.
--- a/crates/sillpin-gateway/tests/eras.rs
+++ b/crates/sillpin-gateway/tests/eras.rs
@@ -49,7 +49,7 @@
         KvRevision::in_era(StoreEra(self.era), self.number)
     }
 
-    /// Returns all entries with the store's current era, as its answers have them.
+    /// Returns all entries with the store's current era, as its responses have them.
     fn answered_entries(&self) -> impl Iterator<Item = KvEntry> + '_ {
         let era = StoreEra(self.era);
         self.entries.values().cloned().map(move |entry| KvEntry {
--- a/crates/sillpin-gateway/tests/fleet_state.rs
+++ b/crates/sillpin-gateway/tests/fleet_state.rs
@@ -414,7 +414,7 @@
 
 /// Most entries expired while the store was unreachable. A box got this from another one that had
 /// queried the store 1.5 s before, and counted the targets' time to return from when it received
-/// it: it sent requests to ended targets 3.8 s after the store's return.
+/// it: it sent requests to stopped targets 3.8 s after the store's return.
 #[tokio::test(start_paused = true)]
 async fn the_grace_of_expired_entries_counts_from_the_read_of_the_store() {
     let mut fleet = fleet();
--- a/crates/sillpin-gateway/tests/incarnations.rs
+++ b/crates/sillpin-gateway/tests/incarnations.rs
@@ -85,7 +85,7 @@
     fleet.handle(listed(vec![new], 4), at);
     fleet.handle(serves(before, 9), at);
     assert_eq!(version(&fleet), Some(WeightVersion(1)));
-    // An answer of the store that is older than what is known.
+    // A response of the store that is older than what is known.
     fleet.handle(listed(vec![old], 3), at);
     let life = fleet.view().targets[&target("e1")].life;
     assert_eq!(life, Some(Life(now)));
