--- a/crates/sillpin-gateway/src/peers/datagram.rs
+++ b/crates/sillpin-gateway/src/peers/datagram.rs
@@ -353,7 +353,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Bulletin {
     /// The boxes that report to the hub, the hub first: each passes the bulletin on to the ones
-    /// that [`behind`](super::hub::relay_children) returns.
+    /// that [`relay_children`](super::hub::relay_children) returns.
     pub members: Vec<BoxHash>,
     /// Aggregated state of all boxes; in one bulletin of each round.
     pub sums: Option<Sums>,
