--- a/crates/sillpin-gateway/src/peers/link.rs
+++ b/crates/sillpin-gateway/src/peers/link.rs
@@ -22,7 +22,7 @@
 
 /// What a box knows of a prefix.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Copy {
+pub struct TopicCopy {
     /// What the requesting box lacks.
     pub copied: Copied,
     /// Milliseconds since some box queried the store and found this content.
@@ -54,8 +54,8 @@
 /// The service that boxes offer each other.
 #[tarpc::service]
 pub trait BoxLink {
-    /// Returns a [`Copy`] of what the box knows of a prefix beyond a revision; nothing for a box of
-    /// another fleet.
+    /// Returns a [`TopicCopy`] of what the box knows of a prefix beyond a revision; nothing for a
+    /// box of another fleet.
     async fn copy(fleet: FleetKey, topic: Topic, after: KvRevision) -> DocumentReply;
     /// Returns a [`StoreCopy`] for each of the given cache stores, with what the box knows beyond
     /// the given position, or all of it without a position; nothing for a box of another fleet.
@@ -79,12 +79,12 @@
 }
 
 impl PeerServer {
-    fn copy(&self, topic: Topic, after: KvRevision) -> Option<Copy> {
+    fn copy(&self, topic: Topic, after: KvRevision) -> Option<TopicCopy> {
         let view = self.fleet.view();
         let known = view.known(topic);
         let age = known.confirmed?.elapsed();
         let has_more = known.revision > after;
-        has_more.then(|| Copy {
+        has_more.then(|| TopicCopy {
             copied: view.copy(topic, after),
             age_ms: millis(age),
         })
--- a/crates/sillpin-gateway/src/peers/peer_client.rs
+++ b/crates/sillpin-gateway/src/peers/peer_client.rs
@@ -1,7 +1,7 @@
 //! Fetches copies of data from other boxes.
 
 use super::documents::{DocumentReply, TransferId};
-use super::link::{BoxLinkClient, Copy, StoreContent, StoreCopy};
+use super::link::{BoxLinkClient, StoreContent, StoreCopy, TopicCopy};
 use super::wire::FleetKey;
 use crate::control::{KeptList, KeptNews};
 use crate::fleet_state::transfers::Transfers;
@@ -94,7 +94,8 @@
         let call = |client: BoxLinkClient| async move {
             client.copy(call_context(), key, topic, after).await
         };
-        let copy: Option<(Copy, Instant)> = fetch.fetch(call, |copy: &Copy| copy.age_ms).await;
+        let copy: Option<(TopicCopy, Instant)> =
+            fetch.fetch(call, |copy: &TopicCopy| copy.age_ms).await;
         let Some((copy, requested_at)) = copy else {
             return;
         };
