--- a/crates/sillpin-gateway/src/peers/sender.rs
+++ b/crates/sillpin-gateway/src/peers/sender.rs
@@ -37,7 +37,7 @@
 /// configuration.
 const ROUND_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time between two updates about work at engines. An engine processes a prompt in 30 to 160 ms, so
+/// Time between two updates about work at engines. The prefill of a prompt takes 30 to 160 ms, so
 /// older updates describe work that is done. Measured: see `docs/MEASUREMENTS.md`.
 const WORK_INTERVAL: Duration = Duration::from_millis(60);
 
--- a/crates/sillpin-gateway/src/peers/zone_sender.rs
+++ b/crates/sillpin-gateway/src/peers/zone_sender.rs
@@ -14,9 +14,9 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Time between two reports of a box, and between two bulletins of the hub. An engine processes a
-/// prompt in 30 to 160 ms; choosing among few engines that differ from prompt to prompt compensates
-/// for the missing data of other boxes.
+/// Time between two reports of a box, and between two bulletins of the hub. The prefill of a prompt
+/// takes 30 to 160 ms; choosing among few engines that differ from prompt to prompt compensates for
+/// the missing data of other boxes.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Time between two summaries of a hub to the hubs of other zones: few prompts leave their zone.
