--- a/crates/sillpin-gateway/src/fatal/keep.rs
+++ b/crates/sillpin-gateway/src/fatal/keep.rs
@@ -1,7 +1,8 @@
-//! What outlasts the loss of all boxes.
+//! Persists the crash history in the platform store, so that it survives the loss of all boxes.
 //!
-//! Boxes that all start at once know nothing, and a request that ended three targets before would end three more. So a box that notes the second target or
-//! the third under a request writes it to the platform's store, all such requests below one key, and boxes that start look there.
+//! Boxes that all start together know nothing, and a request that crashed three targets before would crash three more. So a box that
+//! observes the second or third crash under a request writes it to the platform store, all such requests under one key, and a box
+//! reads that key when it starts.
 
 use super::record::KNOWN_AFTER;
 use super::{Fatal, FatalWord, RequestPrint};
@@ -17,43 +18,43 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Where it is kept.
+/// Key of the persisted history.
 pub const FATAL_KEY: &str = "sillpin/fatal";
 
-/// Requests with so many ended targets are kept. One more than a request that was merely beside another has mostly seen.
+/// Minimum number of crashes under a request that is persisted. A request that merely ran beside a fatal one has mostly seen one.
 const KEEP_FROM: usize = 2;
 
-/// Requests that are kept: some 10 KB.
+/// Maximum number of requests that are persisted: some 10 KB.
 const MAX_KEPT: usize = 64;
 
-/// A box that starts looks again after this time: what it is shown without waiting, at a tenth of the price, may be seconds old.
+/// Delay before a box that has started reads the key again: a stale read, at a tenth of the price, may be seconds old.
 const LOOK_AGAIN: Duration = Duration::from_millis(1_500);
 
-/// Looks of a box that starts.
+/// Number of reads by a box that has started.
 const LOOKS: usize = 2;
 
-/// Waits after a call that failed.
+/// Bounds of the delay after a failed call.
 const MIN_BACKOFF: Duration = Duration::from_millis(250);
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
-/// What is kept of one request. Times are of the day, since they outlast all processes: a clock that jumps makes the memory longer or
-/// shorter by as much.
+/// Persisted history of one request. Times are wall-clock times, since they outlast all processes: a clock that jumps makes the
+/// retention time longer or shorter by as much.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct KeptRequest {
     print: RequestPrint,
-    /// Targets that ended under it, and when, in Unix milliseconds.
+    /// Targets that crashed under it, and when, in Unix milliseconds.
     ended: Vec<(LifeHash, u64)>,
 }
 
-/// Keeps what is known of fatal requests.
+/// Persists and restores the crash history.
 pub struct Keep<P> {
-    /// The platform's store.
+    /// The platform store.
     pub platform: P,
-    /// What the box knows.
+    /// Crash history of this box.
     pub fatal: Fatal,
-    /// Tells when the store has come back from a copy.
+    /// State of the fleet, which shows when the platform store was restored from a backup.
     pub fleet: FleetHandle,
-    /// Log.
+    /// Logger.
     pub log: Logger,
 }
 
@@ -70,7 +71,7 @@
             }
         };
         let keeping = async {
-            // Ended targets that the store is known to hold, by request.
+            // Number of crashes that the store is known to hold, by request.
             let mut written: HashMap<RequestPrint, usize> = HashMap::new();
             let mut views = self.fleet.subscribe();
             let mut era = StoreEra::default();
@@ -82,7 +83,7 @@
                 }
                 tokio::select! {
                     () = found => {}
-                    // The copy may be older than what was written.
+                    // The backup may be older than the last write.
                     () = later_era(&mut views, &mut era) => written.clear(),
                 }
             }
@@ -90,7 +91,7 @@
         tokio::join!(restoring, keeping);
     }
 
-    /// Takes over what is kept, as soon as the store answers.
+    /// Applies the persisted history, as soon as the store answers.
     async fn restore(&self) {
         let mut backoff = MIN_BACKOFF;
         loop {
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Whether this box noted something that the store lacks. Requests that are known for good need not be written again.
+    /// Returns whether this box observed crashes that the store lacks. Crashes beyond [`KNOWN_AFTER`] need not be written.
     fn has_news(&self, written: &HashMap<RequestPrint, usize>) -> bool {
         let kept = self.kept_here();
         let record = self.fatal.record();
@@ -117,7 +118,7 @@
         kept.iter().any(lacks)
     }
 
-    /// What this box knows that is worth keeping.
+    /// Returns the part of this box's history that is to be persisted.
     fn kept_here(&self) -> Vec<FatalWord> {
         let record = self.fatal.record();
         record.worth_keeping(KEEP_FROM, MAX_KEPT, Instant::now())
@@ -134,14 +135,14 @@
                         .collect();
                     return;
                 }
-                // Another box wrote meanwhile.
+                // Another box has written in between.
                 Err(e) if e.fault == PlatformFault::Conflict => {}
                 Err(e) => self.failed(&e, &mut backoff).await,
             }
         }
     }
 
-    /// Writes what is known here and what is kept.
+    /// Merges the persisted history into that of this box, and writes the result.
     async fn write_once(&self) -> Result<Vec<FatalWord>, PlatformError> {
         let entry = self.platform.get(FATAL_KEY).await?;
         if let Some(entry) = &entry {
@@ -195,7 +196,7 @@
     }
 }
 
-/// Resolves when the store is in a later era than the last one.
+/// Resolves when the platform store is in a later era than `last`.
 async fn later_era(views: &mut watch::Receiver<Arc<View>>, last: &mut StoreEra) {
     loop {
         let now = views.borrow_and_update().operators.revision.era();
--- a/crates/sillpin-gateway/src/fatal/mod.rs
+++ b/crates/sillpin-gateway/src/fatal/mod.rs
@@ -1,13 +1,13 @@
-//! Requests that end the targets that run them.
+//! Detects and refuses fatal requests: requests that crash the targets that run them.
 //!
-//! Such a request comes again, under another id and at any box, and takes with each target all that runs there. Boxes therefore remember under which
-//! requests targets ended, tell each other, and refuse a request at once that is known to end them: it has not run, and will not.
-//! One of 18 engines was lost each second before, and up to ten streams with it.
+//! Such a request is sent again, under another id and to any box, and each crash ends everything that runs on the target. Boxes
+//! therefore record which requests ran on a target when it crashed, exchange these records, and refuse a request that is known to
+//! be fatal: it has not run, and will not. Without this, one of 18 engines was lost each second, and up to ten streams with it.
 //!
-//! - [`print`]: which requests are alike,
-//! - [`witness`]: whether a target ended under requests,
-//! - [`record`]: what is known of such requests,
-//! - [`keep`]: what outlasts the loss of all boxes.
+//! - [`print`]: identifies identical requests,
+//! - [`witness`]: detects whether a target crashed,
+//! - [`record`]: history of crashes by request,
+//! - [`keep`]: persists the history, so that it survives the loss of all boxes.
 
 pub mod keep;
 pub mod print;
@@ -25,17 +25,17 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// What a box knows of such requests; clones share it.
+/// Crash history of a box; clones share it.
 #[derive(Debug, Clone)]
 pub struct Fatal {
     record: Arc<Mutex<Record>>,
-    /// This box has noted something itself.
+    /// Notified when this box itself has observed a crash.
     pub found: Arc<Notify>,
     log: Logger,
 }
 
 impl Fatal {
-    /// Nothing is known yet.
+    /// Creates an empty history.
     pub fn new(log: Logger) -> Self {
         Self {
             record: Arc::default(),
@@ -44,12 +44,12 @@
         }
     }
 
-    /// The record.
+    /// Locks the history.
     pub fn record(&self) -> MutexGuard<'_, Record> {
         self.record.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// A target ended at `at`, under requests of this box.
+    /// Records that a target crashed at `at` while it ran requests of this box.
     pub fn ended(
         &self,
         life: LifeHash,
@@ -61,7 +61,7 @@
         self.log_known(&known, "this box");
     }
 
-    /// Takes what another box tells.
+    /// Applies reports from another box.
     pub fn hear(&self, words: &[FatalWord]) {
         if !words.is_empty() {
             let known = self.record().hear(words, Instant::now());
@@ -69,13 +69,13 @@
         }
     }
 
-    /// Takes what was kept in the platform's store.
+    /// Applies reports that were persisted in the platform store.
     pub fn restore(&self, words: &[FatalWord]) {
         let known = self.record().hear(words, Instant::now());
         self.log_known(&known, "store");
     }
 
-    /// Counts a request that is about to be sent to a target as left there, unless it is told otherwise.
+    /// Tracks an attempt that is about to be sent to a target. It counts as abandoned there unless [`Sent::end`] is called.
     pub fn sent(&self, print: RequestPrint, life: LifeHash) -> Sent<'_> {
         Sent {
             fatal: self,
@@ -92,7 +92,8 @@
     }
 }
 
-/// A request at a target. Dropped while it waits there, as when its caller leaves, it counts as left: the target may still run it, and end.
+/// An attempt at a target. If it is dropped while it waits, for example because its caller disconnects, it counts as abandoned: the
+/// target may still run it, and crash.
 pub struct Sent<'a> {
     fatal: &'a Fatal,
     print: RequestPrint,
@@ -101,7 +102,7 @@
 }
 
 impl Sent<'_> {
-    /// The sending ended; whether this box left it is known.
+    /// Ends the attempt; `left` is whether this box abandoned it.
     pub fn end(mut self, left: bool) {
         self.left = left;
     }
--- a/crates/sillpin-gateway/src/fatal/record.rs
+++ b/crates/sillpin-gateway/src/fatal/record.rs
@@ -1,11 +1,11 @@
-//! What is known of requests under which targets ended; pure state.
+//! History of the requests under which targets crashed; pure state without I/O.
 //!
-//! One ended target says nothing of the requests that it had: each of dozens is as likely to have been the reason as the others. So all of them are
-//! noted, and only a request under which [`KNOWN_AFTER`] targets ended is sent to no more. Three things clear a request: it was served since, other
-//! requests that are known already explain why its targets ended, or other targets ended at the same moment.
+//! A single crash does not show which request caused it: each of the dozens that ran on the target is equally likely. So all of them
+//! are recorded, and only a request under which [`KNOWN_AFTER`] targets crashed is refused. A request is cleared of a crash in three
+//! cases: it was served since, another known request explains the crash, or other targets crashed at the same time.
 //!
-//! Boxes tell each other what they noted. What two of them know together is the union of the ended targets and the later of the times at which the
-//! request was served, so it does not matter in which order, how often or by which way they hear it.
+//! Boxes exchange their histories. Merging two of them takes the union of the crashed targets and the later of the times at which
+//! the request was served, so the order, number and route of the reports do not matter.
 
 use super::RequestPrint;
 use crate::place::work::LifeHash;
@@ -15,64 +15,68 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Ended targets after which a request is sent to no more. A request that was beside another one on two targets that ended is rare, and is served.
+/// Number of crashes after which a request is refused. It is rare that a request ran beside a fatal one on two crashed targets, and
+/// such a request is still served.
 pub const KNOWN_AFTER: usize = 3;
 
-/// A request that ended targets is refused for so long after the last of them. Callers come back within seconds or minutes; each time that it is
-/// forgotten it costs three targets and what runs on them.
+/// Time after the last crash during which a fatal request is refused. Callers retry within seconds or minutes; each time that the
+/// request is forgotten it costs three targets and what runs on them.
 const FATAL_MEMORY: Duration = Duration::from_secs(3_600);
 
-/// A request under which fewer targets ended is remembered for so long: callers try again within seconds.
+/// Retention time of a request under which fewer targets crashed: callers retry within seconds.
 const SUSPECT_MEMORY: Duration = Duration::from_secs(60);
 
-/// Requests that are remembered; 200 bytes each. Beyond that those go under which the fewest targets ended, the oldest first. 256 engines that end at once
-/// leave some thousand.
+/// Maximum number of requests in the history; 200 bytes each. Beyond that, those with the fewest crashes are dropped, the oldest
+/// first. 256 engines that crash together leave some thousand.
 pub const MAX_REQUESTS: usize = 1_024;
 
-/// Ended targets that are remembered of one request.
+/// Maximum number of crashes that are recorded for one request.
 const MAX_ENDED: usize = 8;
 
-/// Targets that end within this time of each other end at the same moment: boxes find out within some ten milliseconds and tell each other at once. Longer, and
-/// several fatal requests that each end a target a second would clear each other.
+/// Targets that crash within this time of each other count as crashed at the same time: boxes detect crashes within some ten
+/// milliseconds and report them immediately. With a longer time, several fatal requests that each crash a target a second would
+/// clear each other.
 const SAME_MOMENT: Duration = Duration::from_millis(60);
 
-/// If so many other targets end at the same moment, whatever ended them ended this one too: a request ends one target after the other.
+/// If this many other targets crash at the same time, they have a common cause: a request crashes one target after the other.
 const MASS_END: usize = 3;
 
-/// A request is told by every word for so long after it changed: several rounds of news.
+/// Time after a change during which a request is part of every message: several gossip rounds.
 const FRESH: Duration = Duration::from_secs(2);
 
-/// Requests in one word: those that changed, those that are refused and the others in turn. 30 bytes each, so that a word takes a kilobyte of a datagram.
+/// Maximum numbers of requests in one message: those that changed recently, and in rotation those that are refused and the others.
+/// 30 bytes each, so that a message takes a kilobyte of a datagram.
 const FRESH_IN_WORD: usize = 24;
 const FATAL_IN_WORD: usize = 6;
 const OTHERS_IN_WORD: usize = 4;
 
-/// A request whose caller left, or whose time was over, may still be run: a target that ends within this time counts for it.
+/// Time after an attempt was abandoned, by its caller or at its timeout, in which a crash of the target counts for the request: the
+/// target may still run it.
 const LEFT_FOR: Duration = Duration::from_secs(2);
 
-/// Such requests that are remembered: more than a box leaves in the time.
+/// Maximum number of abandoned attempts that are recorded: more than a box abandons in that time.
 const MAX_LEFT: usize = 512;
 
-/// What a box tells of one request. The ages are milliseconds.
+/// Crashes under one request, as boxes report them to each other. Ages are in milliseconds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FatalWord {
     /// The request.
     pub print: RequestPrint,
-    /// Targets that ended under it, and how long ago.
+    /// Targets that crashed under it, with the age of each crash.
     pub ended: Vec<(LifeHash, u32)>,
-    /// How long ago it was served.
+    /// Age of the last time that it was served.
     pub served: Option<u32>,
 }
 
-/// What is known of one request.
+/// History of one request.
 #[derive(Debug, Clone)]
 struct Suspect {
-    /// Targets that ended under it, and when. Those that it is cleared of stay while there is room: another box may have noted the same end a little
-    /// later than it was served.
+    /// Targets that crashed under it, and when. Crashes that it is cleared of stay while there is capacity: another box may have
+    /// recorded the same crash at a time slightly after the request was served.
     ended: BTreeMap<LifeHash, Instant>,
     served: Option<Instant>,
     changed: Instant,
-    /// When this box last noted something itself.
+    /// When this box last observed a change itself.
     found: Option<Instant>,
 }
 
@@ -86,12 +90,12 @@
         }
     }
 
-    /// Whether a target that ended at `at` did not end because of it: it was served since.
+    /// Returns whether the request is cleared of a crash at `at`, since it was served later.
     fn is_cleared(&self, at: Instant) -> bool {
         self.served.is_some_and(|served| at <= served)
     }
 
-    /// Targets that ended under it since it was last served.
+    /// Returns the targets that crashed under it since it was last served.
     fn lives(&self) -> impl Iterator<Item = &LifeHash> {
         let ended = self.ended.iter();
         ended
@@ -116,7 +120,7 @@
         last.is_none_or(|at| now.saturating_duration_since(at) >= memory)
     }
 
-    /// Notes an ended target; whether that is news. Of two times the earlier is nearer to the truth.
+    /// Records a crash, and returns whether it is new. Of two times for one crash the earlier is kept, as the more accurate one.
     fn add(&mut self, life: LifeHash, at: Instant) -> bool {
         if let Some(known) = self.ended.get_mut(&life) {
             *known = at.min(*known);
@@ -129,7 +133,7 @@
         true
     }
 
-    /// Forgets an end that it is cleared of, for one at `at` that counts; whether there was any.
+    /// Drops a crash that it is cleared of, in favour of one at `at` that counts. Returns whether one was dropped.
     fn make_room(&mut self, at: Instant) -> bool {
         if self.is_cleared(at) {
             return false;
@@ -156,7 +160,7 @@
     }
 }
 
-/// A sending that this box left before it had an answer.
+/// An attempt that this box abandoned before the response.
 #[derive(Debug)]
 struct Left {
     print: RequestPrint,
@@ -164,18 +168,18 @@
     at: Instant,
 }
 
-/// Requests under which targets ended.
+/// Requests under which targets crashed.
 #[derive(Debug, Default)]
 pub struct Record {
     suspects: BTreeMap<RequestPrint, Suspect>,
-    /// Left by this box before there was an answer.
+    /// Attempts that this box abandoned before the response, oldest first.
     left: VecDeque<Left>,
     told_fatal: Option<RequestPrint>,
     told_other: Option<RequestPrint>,
 }
 
 impl Record {
-    /// A target ended at `at`, under requests of this box. Those that are known by it now are returned.
+    /// Records that a target crashed at `at` while it ran requests of this box. Returns those that are refused from now on.
     pub fn ended(
         &mut self,
         life: LifeHash,
@@ -193,7 +197,8 @@
         prints
     }
 
-    /// Requests that this box left at a target shortly before it ended.
+    /// Removes the attempts that this box abandoned at a target, and returns the requests of those abandoned shortly before it
+    /// crashed.
     fn take_left(&mut self, life: LifeHash, ended: Instant) -> Vec<RequestPrint> {
         let is_of = |left: &Left| left.life == life;
         let is_late = |left: &&Left| ended.saturating_duration_since(left.at) < LEFT_FOR;
@@ -214,7 +219,7 @@
         is_new
     }
 
-    /// This box left a sending before there was an answer: its target may still run it.
+    /// Records that this box abandoned an attempt before the response: its target may still run it.
     pub fn left(&mut self, print: RequestPrint, life: LifeHash, now: Instant) {
         if self.left.len() >= MAX_LEFT {
             self.left.pop_front();
@@ -223,7 +228,7 @@
         self.left.push_back(Left { print, life, at });
     }
 
-    /// Whether this box left a sending to a target of late.
+    /// Returns whether this box recently abandoned an attempt at a target.
     pub fn has_left(&self, life: LifeHash, now: Instant) -> bool {
         let is_late = |left: &Left| now.saturating_duration_since(left.at) < LEFT_FOR;
         self.left
@@ -231,7 +236,7 @@
             .any(|left| left.life == life && is_late(left))
     }
 
-    /// A request was served: nothing ended because of it so far.
+    /// Records that a request was served, which clears it of all earlier crashes.
     pub fn served(&mut self, print: RequestPrint, now: Instant) {
         if let Some(suspect) = self.suspects.get_mut(&print) {
             suspect.served = Some(now);
@@ -240,7 +245,7 @@
         }
     }
 
-    /// Until when a request is sent to no target, if it is one that ends them.
+    /// Returns until when a request is refused, if it is known to be fatal.
     pub fn refused_until(&self, print: RequestPrint, now: Instant) -> Option<Instant> {
         let suspect = self.suspects.get(&print)?;
         let count = suspect.count();
@@ -258,7 +263,7 @@
         (unexplained >= KNOWN_AFTER && now < until).then_some(until)
     }
 
-    /// Whether a target ended together with others that did not have the request.
+    /// Returns whether a target crashed together with others that did not run the request.
     fn is_mass_end(&self, suspect: &Suspect, life: &LifeHash) -> bool {
         let Some(at) = suspect.ended.get(life) else {
             return false;
@@ -275,12 +280,12 @@
         beside.len() >= MASS_END
     }
 
-    /// Ended targets that count for a request.
+    /// Returns the number of crashes that count for a request.
     fn count(&self, print: RequestPrint) -> usize {
         self.suspects.get(&print).map_or(0, Suspect::count)
     }
 
-    /// Takes what another box tells, or what was kept; requests that are known by it now are returned.
+    /// Applies reports from another box or from the platform store. Returns the requests that are refused from now on.
     pub fn hear(&mut self, words: &[FatalWord], now: Instant) -> Vec<RequestPrint> {
         let mut known = Vec::new();
         for (life, age) in words.iter().flat_map(|word| &word.ended) {
@@ -308,7 +313,7 @@
         let known = self.suspects.get(&word.print).cloned();
         let mut suspect = known.unwrap_or_else(|| Suspect::new(now));
         let served = word.served.and_then(ago);
-        // Boxes reckon the same moment a little differently.
+        // Boxes compute slightly different times for the same event.
         let mut is_news = served > suspect.served.map(|at| at + FRESH);
         suspect.served = suspect.served.max(served);
         for (life, age) in &word.ended {
@@ -322,7 +327,7 @@
         }
     }
 
-    /// What this box noted itself of late, for the hubs of a large zone.
+    /// Returns what this box itself observed recently, for the hubs of a large zone.
     pub fn found(&self, now: Instant) -> Vec<FatalWord> {
         let is_late = |suspect: &Suspect| {
             let found = suspect.found;
@@ -335,7 +340,7 @@
             .collect()
     }
 
-    /// What is told to other boxes: what changed of late, and the rest in turn, for boxes that start or were cut off.
+    /// Returns the next reports to other boxes: recent changes, and the rest in rotation, for boxes that start or were partitioned.
     pub fn told(&mut self, now: Instant) -> Vec<FatalWord> {
         self.forget(now);
         let is_fresh = |suspect: &Suspect| now.saturating_duration_since(suspect.changed) < FRESH;
@@ -359,7 +364,7 @@
         prints.into_iter().filter_map(word).collect()
     }
 
-    /// The next requests behind `after`, from the start again at the end.
+    /// Returns the next requests after `after`, wrapping around at the end.
     fn in_turn(
         &self,
         after: Option<RequestPrint>,
@@ -377,7 +382,7 @@
             .collect()
     }
 
-    /// Requests under which at least `count` targets ended, as they are kept: those under which the most ended, the newest first.
+    /// Returns at most `most` requests with at least `count` crashes, for persistence: most crashes first, then newest first.
     pub fn worth_keeping(&self, count: usize, most: usize, now: Instant) -> Vec<FatalWord> {
         let enough = |(_, suspect): &(&RequestPrint, &Suspect)| suspect.count() >= count;
         let mut kept: Vec<_> = self.suspects.iter().filter(enough).collect();
@@ -387,18 +392,18 @@
         kept.into_iter().map(word).collect()
     }
 
-    /// Whether this box itself noted the last of what is known of a request.
+    /// Returns whether this box itself observed the last change of a request.
     pub fn is_found_here(&self, print: RequestPrint) -> bool {
         let suspect = self.suspects.get(&print);
         suspect.is_some_and(|suspect| suspect.found == Some(suspect.changed))
     }
 
-    /// Requests that are remembered.
+    /// Returns the number of requests in the history.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Whether none is.
+    /// Returns whether the history contains no requests.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
@@ -425,8 +430,8 @@
     }
 }
 
-/// Whether a request under which `others` targets ended is the likelier reason for an end than one under which `own` did. If as many ended under both,
-/// each may be sent on once more, and the next end tells them apart.
+/// Returns whether a request with `others` crashes is a likelier cause of a crash than one with `own`. If both have the same number,
+/// each may be sent once more, and the next crash distinguishes them.
 fn explains(others: usize, own: usize) -> bool {
     others > own || (others == own && own == KNOWN_AFTER)
 }
--- a/crates/sillpin-gateway/src/fatal/witness.rs
+++ b/crates/sillpin-gateway/src/fatal/witness.rs
@@ -1,8 +1,9 @@
-//! Whether a target ended under requests.
+//! Detects whether a target crashed while it ran requests.
 //!
-//! A connection that breaks says little: it may have been reset on its way, or the target may have broken off one answer. That nobody listens at the target's
-//! address says more, but a zone that is cut off may refuse connections as well: in one such cut boxes were refused within 3 ms by 61 targets that
-//! lived. So a target counts as ended if it refuses connections while another one of its zone accepts them, or if its entry tells of another life.
+//! A broken connection is weak evidence: it may have been reset in transit, or the target may have aborted one response. A refused
+//! connection is stronger, but a partitioned zone may refuse connections as well: in one such partition boxes were refused within 3 ms
+//! by 61 targets that were alive. So a target counts as crashed if it refuses connections while another target of its zone accepts
+//! them, or if its entry shows another incarnation.
 
 use super::{Fatal, RequestPrint};
 use crate::beliefs::FleetHandle;
@@ -17,46 +18,48 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A connection that opened is looked at again after this: a process that ends may close its connections before it stops listening.
+/// Time after which a new connection is checked again: a process that exits may close its connections before it stops listening.
 const SETTLE: Duration = Duration::from_millis(100);
 
-/// Time between two looks at a target of which it is not clear whether it ended.
+/// Time between two checks of a target of which it is unclear whether it crashed.
 const LOOK_EVERY: Duration = Duration::from_millis(400);
 
-/// Such a target is given up on after this. A zone that is cut off for longer leaves it open; the request counts the next target that ends.
+/// Time after which the checks of such a target end. If its zone is partitioned for longer, the crash is not recorded; the next crash
+/// under the request counts.
 const LOOK_FOR: Duration = Duration::from_secs(6);
 
-/// Other targets of the zone that are tried, since one of them may have ended too.
+/// Number of other targets of the zone that are tried, since one of them may have crashed too.
 const NEIGHBOURS: usize = 2;
 
-/// Requests of one target that are remembered until it is clear whether it ended: more than a box has under way at one.
+/// Maximum number of requests per target that are retained until it is clear whether the target crashed: more than a box has in
+/// flight at one.
 const MAX_WAITING: usize = 256;
 
-/// A request whose answer broke off.
+/// A request whose response was cut off.
 #[derive(Debug, Clone)]
 pub struct Broken {
     /// Its id.
     pub id: String,
-    /// What makes it like others.
+    /// Its fingerprint.
     pub print: RequestPrint,
 }
 
-/// Looks after targets whose answers broke off; clones share what is being looked at.
+/// Checks targets whose responses were cut off; clones share the pending checks.
 #[derive(Clone)]
 pub struct Witness {
     /// Connections to targets.
     pub pool: Pool,
-    /// What is known of the fleet.
+    /// State of the fleet.
     pub fleet: FleetHandle,
-    /// Who is told.
+    /// History that detected crashes are added to.
     pub fatal: Fatal,
-    /// Log.
+    /// Logger.
     pub log: Logger,
     waiting: Arc<Mutex<HashMap<LifeHash, Vec<Broken>>>>,
 }
 
 impl Witness {
-    /// Looks at nothing yet.
+    /// Creates a detector without pending checks.
     pub fn new(pool: Pool, fleet: FleetHandle, fatal: Fatal, log: Logger) -> Self {
         Self {
             pool,
@@ -67,12 +70,12 @@
         }
     }
 
-    /// The answer to a request broke off at a target: finds out whether the target ended.
+    /// Checks whether a target crashed, after its response to a request was cut off.
     pub fn broke_off(&self, target: &Arc<TargetEntry>, broken: Broken) {
         self.look(target, Some(broken));
     }
 
-    /// A target could not be reached where this box left a request of late: finds out whether it ended.
+    /// Checks whether an unreachable target crashed, if this box recently abandoned an attempt there.
     pub fn unreachable(&self, target: &Arc<TargetEntry>) {
         let life = LifeHash::of(target);
         if self.fatal.record().has_left(life, Instant::now()) {
@@ -129,8 +132,8 @@
         false
     }
 
-    /// Whether a target that has just refused a connection does so again after another one of its zone has accepted one: a cut may end between
-    /// the two.
+    /// Returns whether a target that has just refused a connection does so again after another target of its zone has accepted one: a
+    /// partition may end between the two.
     async fn refuses_alone(&self, target: &TargetEntry) -> bool {
         if !self.reaches_neighbour(target).await {
             return false;
@@ -138,7 +141,7 @@
         matches!(Conn::open(target).await, Err(SendError::Refused { .. }))
     }
 
-    /// Whether another target of the zone accepts connections.
+    /// Returns whether another target of the zone accepts connections.
     async fn reaches_neighbour(&self, target: &TargetEntry) -> bool {
         let view = self.fleet.view();
         let is_neighbour =
@@ -157,7 +160,7 @@
         false
     }
 
-    /// Whether the target is listed as started again since, or another one at its address.
+    /// Returns whether the target is listed in another incarnation, or another target is listed at its address.
     fn has_another_life(&self, target: &TargetEntry) -> bool {
         let view = self.fleet.view();
         let at_its_place =
--- a/crates/sillpin-gateway/src/kept/directory.rs
+++ b/crates/sillpin-gateway/src/kept/directory.rs
@@ -1,4 +1,4 @@
-//! What each store holds, as far as its events tell.
+//! Content of each store, as derived from its listings and change events.
 
 use super::links::Links;
 use super::retire::{MAX_FETCH_TIME, Retirements};
@@ -14,22 +14,23 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long after the last reading a store's content counts as known. Readings wait less than a
-/// second; a store takes longer than the rest to restart and write a part anew.
+/// Time after the last poll during which a store's content counts as known. A poll waits less than a
+/// second; a store takes longer than the remainder to restart and write a part again.
 pub const BELIEF: Duration = Duration::from_millis(1_600);
 
-/// Nothing is saved in a life of a store for so long after this box found that the one before was over: other boxes may have
-/// believed in that one until then, and a fetch that they sent last may still wait in an engine's queue.
+/// Time after this box detects a restart of a store during which nothing is saved there. Until the restart other boxes may have
+/// used the content of the previous incarnation, and the last fetch that they sent may still wait in an engine's queue.
 pub const NEW_LIFE: Duration = BELIEF.saturating_add(MAX_FETCH_TIME);
 
-/// How long a save that was asked for is not asked for again: a part of 10,000 tokens is read in 180 ms
-/// and written in 100.
+/// Time during which a requested save is not requested again: a part of 10,000 tokens is computed in 180 ms
+/// and written in 100 ms.
 pub const SAVE_MEMORY: Duration = Duration::from_millis(1_500);
 
-/// Changes of a store that are kept for boxes that lack some: more than a busy store makes in the second that a box needs to notice.
+/// Recent changes of a store that are retained for boxes that missed some: more than a busy store makes in the second that a box
+/// needs to detect the gap.
 const RECENT_CHANGES: usize = 400;
 
-/// What one store holds.
+/// Known content of one store.
 #[derive(Debug, Default)]
 struct StoreState {
     epoch: u64,
@@ -43,7 +44,7 @@
 /// The newest changes of a store, in order.
 #[derive(Debug, Default)]
 struct Recent {
-    /// The position that they begin at.
+    /// Position before the first of `changes`.
     since: u64,
     changes: VecDeque<KeptChange>,
 }
@@ -57,7 +58,7 @@
         self.changes.push_back(change);
     }
 
-    /// All changes after a position, if none is missing.
+    /// Returns all changes after a position, or `None` if some are no longer retained.
     fn after(&self, position: u64) -> Option<Vec<KeptChange>> {
         let newer = |change: &&KeptChange| change.number > position;
         let covers = self.since <= position;
@@ -79,24 +80,24 @@
     }
 }
 
-/// The newest life of a store that this box has found.
+/// The newest incarnation of a store that this box has detected.
 #[derive(Debug, Default)]
 struct Life {
-    /// None was found yet.
+    /// Its epoch; `None` before the first answer of the store.
     epoch: Option<u64>,
-    /// When it was found that any earlier one was over. A call that failed does not show it: a store that is cut off from this
-    /// box may serve others, and restart behind the cut.
+    /// When this box detected that the previous incarnation had ended. A failed call does not prove that: a store that is
+    /// partitioned from this box may serve others, and restart behind the partition.
     found: Option<Instant>,
 }
 
-/// A clock reading and when it was made.
+/// A reading of the engines' clock and the local time at which it was taken.
 #[derive(Debug, Clone, Copy)]
 struct ClockReading {
     engine: EngineTime,
     at: Instant,
 }
 
-/// What all stores hold.
+/// Known content of all stores.
 #[derive(Debug, Default)]
 pub struct Directory {
     stores: HashMap<SocketAddr, StoreState>,
@@ -105,23 +106,23 @@
     clock: Option<ClockReading>,
 }
 
-/// Where a reading of a store goes on.
+/// Position in a store's sequence of changes, from which the next poll continues.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Position {
-    /// The store's life.
+    /// Epoch of the store's incarnation.
     pub epoch: u64,
-    /// The next change.
+    /// Number of the newest change that is applied.
     pub next: u64,
 }
 
 impl Directory {
-    /// From now on this box follows a store. It may have started, or been told of the store, just after a life of it ended that
-    /// other boxes still believe in, so the first life that it finds counts as one that replaced another.
+    /// Starts to track a store. This box may have started, or received the configuration that names the store, just after a
+    /// restart of the store that other boxes have not detected yet, so the first incarnation that is found counts as a restart.
     pub fn follow(&mut self, addr: SocketAddr, now: Instant) {
         self.lives.entry(addr).or_default().found = Some(now);
     }
 
-    /// A store was found in a life. Whatever one was before is over, if it is not the same.
+    /// Records the incarnation in which a store answered; a changed epoch counts as a restart.
     fn note_life(&mut self, addr: SocketAddr, epoch: u64, now: Instant) {
         let new = || Life {
             epoch: Some(epoch),
@@ -134,19 +135,19 @@
         }
     }
 
-    /// Whether fetches may go on that were sent for an earlier life of a store.
+    /// Returns whether fetches sent to an earlier incarnation of a store may still run.
     fn is_new_life(&self, addr: SocketAddr, now: Instant) -> bool {
         let found = self.lives.get(&addr).and_then(|life| life.found);
         found.is_some_and(|at| now - at < NEW_LIFE)
     }
 
-    /// Takes everything that a store holds, unless the store was asked since: an older copy may tell of a
-    /// life of the store that is over.
+    /// Replaces the content of a store with a listing that was requested at `asked`, unless newer data is known: an older copy
+    /// may be of an incarnation that has ended.
     pub fn take_list(&mut self, addr: SocketAddr, list: KeptList, asked: Instant) {
         if self.heard(addr) > Some(asked) {
             return;
         }
-        // The store may have restarted between the question and the answer.
+        // The store may have restarted between the request and the response.
         self.note_life(addr, list.epoch, Instant::now());
         let mut state = StoreState {
             epoch: list.epoch,
@@ -164,7 +165,8 @@
         self.stores.insert(addr, state);
     }
 
-    /// Takes news since a position; `false` if they do not follow what is known, so that a list is needed.
+    /// Applies changes after the position `since`. Returns `false` if they do not connect to the known content, so that a
+    /// listing is needed.
     pub fn take_news(
         &mut self,
         addr: SocketAddr,
@@ -183,7 +185,7 @@
             return false;
         }
         for change in news.changes {
-            // Another box's word may have brought it before.
+            // An update from another box may have delivered it already.
             if change.number > state.next {
                 state.recent.push(change.clone());
                 state.set(change.key, change.tokens);
@@ -194,20 +196,21 @@
         true
     }
 
-    /// Changes after a position of this life of a store, if all of them are still known.
+    /// Returns the changes after a position, if it is of the current incarnation and all of them are still retained.
     pub fn changes_after(&self, addr: SocketAddr, position: Position) -> Option<Vec<KeptChange>> {
         let state = self.stores.get(&addr)?;
         let same_life = state.epoch == position.epoch;
         same_life.then(|| state.recent.after(position.next))?
     }
 
-    /// Whether changes that begin at a position of a life of a store go on from what is known.
+    /// Returns whether changes that begin at a position connect to the known content without a gap.
     pub fn follows(&self, addr: SocketAddr, begin: Position) -> bool {
         let known = self.position(addr);
         known.is_some_and(|known| known.epoch == begin.epoch && begin.next <= known.next)
     }
 
-    /// Another box found a store at a position; `false` if this box lacks something.
+    /// Takes another box's confirmation, requested at `asked`, that a store is at a position. Returns `false` if this box lacks
+    /// changes up to there.
     pub fn confirm(&mut self, addr: SocketAddr, position: Position, asked: Instant) -> bool {
         let Some(state) = self.stores.get_mut(&addr) else {
             return false;
@@ -221,35 +224,35 @@
         true
     }
 
-    /// When a store was last asked and found as it is known here.
+    /// Returns when the last call that confirmed the known content of a store was sent.
     pub fn heard(&self, addr: SocketAddr) -> Option<Instant> {
         self.stores.get(&addr).and_then(|state| state.heard)
     }
 
-    /// Stores that are known.
+    /// Returns the stores whose content is known.
     pub fn known(&self) -> Vec<SocketAddr> {
         self.stores.keys().copied().collect()
     }
 
-    /// The reading counts as made when it arrived, so it lags by the way here: deadlines come early
-    /// rather than late.
+    /// Records a reading of the engines' clock. It counts as taken when it arrived, so it lags by the network delay, and
+    /// deadlines derived from it are early rather than late.
     pub fn take_clock(&mut self, engine: Option<EngineTime>, at: Instant) {
         if let Some(engine) = engine {
             self.clock = Some(ClockReading { engine, at });
         }
     }
 
-    /// Whether the engines' clock was ever read.
+    /// Returns whether a reading of the engines' clock is known.
     pub fn has_clock(&self) -> bool {
         self.clock.is_some()
     }
 
-    /// Forgets a store that cannot be read.
+    /// Removes the content of a store that cannot be read.
     pub fn forget(&mut self, addr: SocketAddr) {
         self.stores.remove(&addr);
     }
 
-    /// Where to go on reading a store, if anything is known of it.
+    /// Returns the position from which to continue polling a store, if its content is known.
     pub fn position(&self, addr: SocketAddr) -> Option<Position> {
         let state = self.stores.get(&addr)?;
         Some(Position {
@@ -258,13 +261,13 @@
         })
     }
 
-    /// Whether a store's content is known well enough to fetch and save.
+    /// Returns whether a store's content was confirmed recently enough to fetch and save.
     pub fn is_known(&self, addr: SocketAddr, now: Instant) -> bool {
         let heard = self.stores.get(&addr).and_then(|state| state.heard);
         heard.is_some_and(|at| now - at < BELIEF)
     }
 
-    /// Whether a store holds a whole part of that length.
+    /// Returns whether a store holds a complete part of at least `tokens`.
     pub fn holds(&self, addr: SocketAddr, key: &KeptKey, tokens: Tokens, now: Instant) -> bool {
         if !self.is_known(addr, now) {
             return false;
@@ -276,14 +279,14 @@
         kept.is_some_and(|kept| *kept >= tokens)
     }
 
-    /// Tokens that whole parts take in a store.
+    /// Returns the number of tokens that complete parts occupy in a store.
     pub fn used(&self, addr: SocketAddr) -> Tokens {
         let state = self.stores.get(&addr);
         state.map(|state| state.used).unwrap_or_default()
     }
 
-    /// Whether to ask for a save: the part is not there, no fetch for an earlier life of the store can meet the save, and nobody
-    /// here asked a moment ago.
+    /// Returns whether to request a save, and records the request: the part is missing, no fetch for an earlier incarnation of
+    /// the store can run into the save, and this box has not requested it within [`SAVE_MEMORY`].
     pub fn should_save(
         &mut self,
         addr: SocketAddr,
@@ -305,7 +308,7 @@
         }
     }
 
-    /// The moment `later` on the engines' clock, if it was read.
+    /// Returns the time `later` after `now` on the engines' clock, if a reading of that clock is known.
     pub fn engine_time(&self, now: Instant, later: Duration) -> Option<EngineTime> {
         let reading = self.clock?;
         Some(
@@ -315,14 +318,14 @@
         )
     }
 
-    /// Used share of the fullest managed store.
+    /// Returns the used share of the fullest managed store.
     pub fn fullness(&self, stores: &[StoreSpec]) -> f64 {
         let managed = stores.iter().filter(|store| store.managed);
         let used = managed.map(|s| self.used(s.addr).0 as f64 / s.room.0.max(1) as f64);
         used.fold(0.0, f64::max)
     }
 
-    /// All whole parts of a store.
+    /// Returns all complete parts of a store and their lengths.
     pub fn whole(&self, addr: SocketAddr) -> Vec<(KeptKey, Tokens)> {
         let state = self.stores.get(&addr);
         let parts = state.map(|state| state.whole.iter());
@@ -333,7 +336,7 @@
     }
 }
 
-/// What is known of kept parts, shared between its readers and placement; clones share it.
+/// State of kept parts, shared by the store readers and request placement; clones share it.
 #[derive(Debug, Clone, Default)]
 pub struct Kept {
     directory: Arc<Mutex<Directory>>,
@@ -342,17 +345,17 @@
 }
 
 impl Kept {
-    /// The directory. Held only for look-ups, never across a wait.
+    /// Locks the directory. The guard is held only for look-ups, never across an `await`.
     pub fn lock(&self) -> MutexGuard<'_, Directory> {
         self.directory.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Which parts are retired.
+    /// Locks the retirement state.
     pub fn retirements(&self) -> MutexGuard<'_, Retirements> {
         self.retirements.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// How many fetches the stores bear.
+    /// Locks the fetch shares of the stores.
     pub fn links(&self) -> MutexGuard<'_, Links> {
         self.links.lock().unwrap_or_else(|e| e.into_inner())
     }
--- a/crates/sillpin-gateway/src/kept/freer.rs
+++ b/crates/sillpin-gateway/src/kept/freer.rs
@@ -1,4 +1,4 @@
-//! Frees parts that nobody uses any more. Run by the holder of the fleet's duty.
+//! Frees parts that are no longer used. Runs on the leader only.
 
 use super::Kept;
 use super::retire::{place_of, weights_of};
@@ -19,49 +19,49 @@
 /// Time between two rounds.
 const ROUND: Duration = Duration::from_millis(300);
 
-/// Parts freed by one call: about 4 KB of names.
+/// Maximum number of parts freed by one call: about 4 KB of names.
 const BATCH: usize = 100;
 
-/// A store carries an order out within this time or not at all.
+/// A store rejects an order that arrives later than this.
 const ORDER_TIME: Duration = Duration::from_millis(400);
 
-/// Parts that broke off are freed within this time of the listing that shows them, or not at all: one that a
-/// new save completes in between is told to boxes 60 ms later at the earliest (`events_lag_ms` of both sites), so
-/// that no fetch of it can have begun.
+/// Incomplete parts are freed within this time of the listing that shows them, or not at all: if a new save
+/// completes one in between, boxes receive that event 60 ms later at the earliest (`events_lag_ms` of both sites), so
+/// no fetch of it can have begun.
 const PARTIAL_ORDER_TIME: Duration = Duration::from_millis(40);
 
-/// How long parts that were ordered to be freed are not ordered again.
+/// Time after an order to free a part during which the order is not repeated.
 const ORDERED_MEMORY: Duration = Duration::from_secs(3);
 
-/// Time between two listings of a store, for parts that broke off.
+/// Time between two listings of a store, in search of incomplete parts.
 const LIST_EVERY: Duration = Duration::from_secs(7);
 
-/// Frees parts while this box holds the duty.
+/// Frees parts while this box is the leader.
 pub struct Freer<C> {
-    /// Calls of stores.
+    /// Client for calls to stores.
     pub control: C,
-    /// What the stores hold.
+    /// Content of the stores.
     pub kept: Kept,
-    /// What is known of the fleet.
+    /// State of the fleet.
     pub fleet: FleetHandle,
-    /// Nothing is ordered after this moment of [`Awake::now`].
+    /// Time of [`Awake::now`] after which no order is sent.
     pub until: watch::Receiver<Instant>,
-    /// Time asleep.
+    /// Clock that includes suspended time.
     pub awake: Awake,
-    /// Log.
+    /// Logger.
     pub log: Logger,
 }
 
 #[derive(Default)]
 struct Memory {
     ordered: HashMap<(SocketAddr, KeptKey), Instant>,
-    /// Parts that were not whole at the last listing of a store.
+    /// Parts that were incomplete at the last listing of a store.
     partial: HashMap<SocketAddr, Vec<PartialPart>>,
     listed: HashMap<SocketAddr, Instant>,
 }
 
 impl<C: Control> Freer<C> {
-    /// Runs until the task is ended with the tenure.
+    /// Runs until the task is aborted, at the end of this box's leadership.
     pub async fn run(self) {
         let mut memory = Memory::default();
         let mut rounds = tokio::time::interval(ROUND);
@@ -94,14 +94,14 @@
             .await;
     }
 
-    /// Parts of a store that no box fetches.
+    /// Returns the parts of a store that no box fetches.
     fn unused(&self, store: &StoreSpec, view: &View, now: Instant) -> Vec<KeptKey> {
         if !self.kept.retirements().has_any() {
             return Vec::new();
         }
         let whole = self.kept.lock().whole(store.addr);
         let retirements = self.kept.retirements();
-        // A store holds thousands of parts under a few salts.
+        // Cached by salt: a store holds thousands of parts under a few salts.
         let mut shares: HashMap<Salt, f64> = HashMap::new();
         let share_of = |salt: &Salt| match salt.0.parse::<SaltParts>() {
             Ok(salt) => retirements.unused_share(&weights_of(&salt), view, now),
@@ -124,7 +124,7 @@
         unused
     }
 
-    /// Frees parts of which nothing more has arrived since the last listing: whoever wrote them has gone.
+    /// Frees incomplete parts that have not grown since the last listing: their writer has stopped.
     async fn free_partial(&self, store: &StoreSpec, memory: &mut Memory) {
         let now = Instant::now();
         let last = memory.listed.get(&store.addr);
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Orders a store to free parts within `time` of the moment `from` at which they were found unused.
+    /// Orders a store to free parts within `time` after `from`, the time at which they were found unused.
     async fn order(
         &self,
         store: &StoreSpec,
--- a/crates/sillpin-gateway/src/kept/homes.rs
+++ b/crates/sillpin-gateway/src/kept/homes.rs
@@ -1,7 +1,7 @@
-//! Which store keeps a part.
+//! Choice of the store that keeps a part.
 //!
-//! Every box gives the same answer from the configuration alone, by rendezvous hashing over the
-//! stores, weighted by their room: nothing is exchanged and nothing kept.
+//! Every box computes the same answer from the configuration alone, by rendezvous hashing over the
+//! stores, weighted by their capacity. No state is exchanged or stored.
 
 use crate::config::StoreSpec;
 use crate::dialect::PartId;
@@ -9,26 +9,26 @@
 use std::cmp::Ordering;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The last shared part of a prompt may take at most this share of a store's room, so that small fast
-/// stores hold many small parts rather than a few large ones. From both sites: 158,767 tokens of a fast store
-/// / 200 = 793, above a short session's 531 and below a long one's 5,000.
+/// The last shared part of a prompt may take at most 1/200 of a store's capacity, so that small fast
+/// stores hold many small parts rather than a few large ones. On both sites this is 158,767 tokens of a fast
+/// store / 200 = 793, above a short session's 531 and below a long one's 5,000.
 const LAST_PART_SHARE: u64 = 200;
 
-/// A part that others follow may take this share: every prompt that has a later part has it too, so it is
-/// fetched more often, and there are fewer of them. 158,767 / 25 = 6,350, the longest on both sites.
+/// A part that is followed by other shared parts may take 1/25: every prompt with one of the later parts contains it too, so
+/// it is fetched more often, and there are fewer such parts. 158,767 / 25 = 6,350, the longest on both sites.
 const INNER_PART_SHARE: u64 = 25;
 
-/// Where a shared part stands in its prompt.
+/// Position of a shared part in its prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Place {
-    /// Other shared parts follow.
+    /// Followed by other shared parts.
     Inner,
-    /// It is the last shared part.
+    /// The last shared part.
     Last,
 }
 
-/// Stores that may keep a part, the best first: those whose room suits its size and whose transfers
-/// start soonest, each class in the part's own order.
+/// Returns the stores that may keep a part, best first: by whether their capacity suits the part's size, then by the
+/// start-up time of a transfer, then by the part's rendezvous rank.
 pub fn homes<'a>(
     stores: &'a [StoreSpec],
     part: &PartId,
@@ -51,7 +51,7 @@
     ranked.into_iter().map(|ranked| ranked.store).collect()
 }
 
-/// A store and what its place among the homes of a part follows from; reckoned once, since the order compares each many times.
+/// A store with its sort key for one part; computed once per store, since sorting compares each store many times.
 struct Ranked<'a> {
     suits: bool,
     rank: f64,
@@ -63,27 +63,27 @@
         let suited = b.suits.cmp(&a.suits);
         let class = match a.suits && b.suits {
             true => a.store.first.cmp(&b.store.first),
-            // Where no store suits, the roomiest is best.
+            // If the part is too large for the stores, the one of largest capacity comes first.
             false => b.store.room.cmp(&a.store.room),
         };
         suited.then(class).then(b.rank.total_cmp(&a.rank))
     }
 }
 
-/// Weighted rendezvous hashing: the largest rank wins, and each store wins in proportion to its room.
+/// Weighted rendezvous hashing: the largest rank wins, and each store wins in proportion to its capacity.
 fn weighted_rank(store: &PoolId, part: &PartId, room: Tokens) -> f64 {
     let hash = hash_pair(store.as_str(), &part.0);
     room.0.max(1) as f64 / -unit(hash).ln()
 }
 
-/// A number in (0, 1) from a hash.
+/// Maps a hash to a number in the open interval (0, 1).
 pub fn unit(hash: u64) -> f64 {
     const BITS: u32 = 53;
     let top = (hash >> (64 - BITS)) as f64;
     (top + 0.5) / (1u64 << BITS) as f64
 }
 
-/// Hash of two names, alike in every process.
+/// Returns a hash of two names that is the same in every process.
 pub fn hash_pair(a: &str, b: &str) -> u64 {
     let mut buf = Vec::with_capacity(a.len() + b.len() + 1);
     buf.extend_from_slice(a.as_bytes());
--- a/crates/sillpin-gateway/src/kept/links.rs
+++ b/crates/sillpin-gateway/src/kept/links.rs
@@ -1,10 +1,10 @@
-//! How many fetches a store's link bears.
+//! Limits the share of prompts that fetch from a store while its link is overloaded.
 //!
-//! Links are queues that nobody reports. Each box compares how long prompts of about the same length take
-//! with a fetch from a store and without one, beyond what reading and transfer explain: a busy engine makes
+//! A link is a queue whose length is not reported. Each box compares the time that prompts of similar length take
+//! with and without a fetch from a store, beyond the time explained by prefill and transfer: a busy engine makes
 //! long prompts wait for memory either way. While fetches take much longer, the box
-//! fetches for a smaller share of its prompts and has the rest read anew. Reading again what is kept costs
-//! about as much as a late answer, so the share falls only when fetches are late by more than an aim.
+//! fetches for a smaller share of its prompts and has the rest recomputed. Recomputing a stored part costs
+//! about as much as a late answer, so the share falls only when fetches are late by a large part of the latency objective.
 
 use sillpin_core::Tokens;
 use std::collections::HashMap;
@@ -12,27 +12,27 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Fetches that take longer than other prompts by this part of the aim are late: what is left of it is for the prompt's
-/// queue and reading.
+/// Fetches count as late if they take longer than other prompts by more than this fraction of the latency objective: the remainder
+/// is for the prompt's queueing and prefill.
 const LATE_AIM_PART: f64 = 0.6;
 
-/// What a late fetch leaves of the share.
+/// Factor applied to the share when fetches are late.
 const DECREASE: f64 = 0.85;
 
-/// What the share regains in a second.
+/// Increase of the share per second.
 const INCREASE_PER_S: f64 = 0.15;
 
-/// Least share: some fetches go on, to notice when the link is well again.
+/// Minimum share: some fetches continue, to detect when the link has recovered.
 const LEAST: f64 = 0.1;
 
-/// Weight of the newest sample in an average.
+/// Weight of the newest sample in the moving averages.
 const WEIGHT: f64 = 0.2;
 
-/// Share and average of one store.
+/// State of one store's link.
 #[derive(Debug, Clone, Copy)]
 struct Link {
     share: f64,
-    /// How much longer fetches take than prompts that are alike, on average, in times of the prompt's aim.
+    /// Average extra time of fetches over similar prompts without one, as a multiple of the latency objective.
     beyond_aims: f64,
     at: Instant,
 }
@@ -44,35 +44,35 @@
     }
 }
 
-/// Shares by store, and what prompts take without a fetch.
+/// Fetch shares by store, and the time that prompts take without a fetch.
 #[derive(Debug, Default)]
 pub struct Links {
     links: HashMap<SocketAddr, Link>,
-    /// By class of length.
+    /// Average extra time of prompts without a fetch, by length class.
     read_excess_ms: HashMap<u32, f64>,
 }
 
-/// Prompts whose lengths differ by less than two times are alike.
+/// Returns the length class of a prompt: each class spans a factor of two.
 fn class(prompt: Tokens) -> u32 {
     prompt.0.max(1).ilog2()
 }
 
 impl Links {
-    /// Share of prompts that may fetch from a store.
+    /// Returns the share of prompts that may fetch from a store.
     pub fn share(&self, store: SocketAddr, now: Instant) -> f64 {
         self.links
             .get(&store)
             .map_or(1.0, |link| link.share_at(now))
     }
 
-    /// A prompt without a fetch took this much longer than its reading explains.
+    /// Records that a prompt without a fetch took `excess` longer than its prefill explains.
     pub fn note_read(&mut self, prompt: Tokens, excess: Duration) {
         let average = self.read_excess_ms.entry(class(prompt)).or_insert(0.0);
         *average += WEIGHT * (millis(excess) - *average);
     }
 
-    /// A prompt with a fetch, whose first event is wanted within `aim`, took this much longer than reading and transfer
-    /// explain.
+    /// Records that a prompt with a fetch took `excess` longer than prefill and transfer explain. `aim` is the latency objective for
+    /// its first event.
     pub fn note_fetch(
         &mut self,
         store: SocketAddr,
--- a/crates/sillpin-gateway/src/kept/mod.rs
+++ b/crates/sillpin-gateway/src/kept/mod.rs
@@ -1,16 +1,16 @@
-//! Which parts of prompts the stores of kept KV cache hold.
+//! KV cache kept in external stores: which parts of prompts each store holds.
 //!
-//! A part may be fetched only while it is known to be whole, so what is known of a store lapses soon
-//! after the store was last heard, and at once when a reading fails: a store that restarted may be
-//! writing the part anew.
+//! A part may be fetched only while it is known to be complete. The known content of a store therefore
+//! expires soon after the last successful poll, and immediately when a poll fails: a store that
+//! restarted may be in the middle of writing the part again.
 //!
-//! - [`directory`]: what each store holds,
-//! - [`homes`]: which store keeps a part,
-//! - [`salt`]: under which weights a part was made,
-//! - [`retire`]: parts of replaced weights that are no longer used,
-//! - [`links`]: how many fetches a store bears,
-//! - [`reader`]: tasks that read the stores' events,
-//! - [`freer`]: frees parts that nobody uses.
+//! - [`directory`]: content of each store,
+//! - [`homes`]: choice of the store that keeps a part,
+//! - [`salt`]: model, weight version and isolation that a part's key names,
+//! - [`retire`]: parts of replaced weights that are no longer fetched or saved,
+//! - [`links`]: share of prompts that may fetch from each store,
+//! - [`reader`]: tasks that poll the stores for changes,
+//! - [`freer`]: frees unused parts.
 
 pub mod directory;
 pub mod freer;
--- a/crates/sillpin-gateway/src/kept/reader.rs
+++ b/crates/sillpin-gateway/src/kept/reader.rs
@@ -1,4 +1,4 @@
-//! Tasks that read the stores' events, one for each store of the configuration.
+//! Tasks that poll the stores for changes, one for each store that this box polls.
 
 use super::Kept;
 use crate::beliefs::{BoxEntry, FleetHandle, View};
@@ -20,57 +20,59 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, MissedTickBehavior};
 
-/// How long a reading waits for changes. What it finds is as old as the moment it began, and other boxes lose
-/// patience with knowledge older than 1.5 s; waits below 200 ms cost as much as a probe.
+/// Maximum time that a store holds a poll open until changes arrive. The result counts as known from the start of the poll, and
+/// other boxes poll the store themselves once their data is older than 1.5 s; waits below 200 ms cost as much as a probe.
 const NEWS_WAIT: Duration = Duration::from_millis(500);
 
-/// Least time between two readings.
+/// Minimum time between the starts of two polls.
 const READ_PAUSE: Duration = Duration::from_millis(150);
 
-/// The same in a large fleet, whose dozens of stores change all the time: each reading is a call of the store and news for a whole zone,
-/// and prompts come back after seconds.
+/// The same in a large fleet, whose dozens of stores change all the time: each poll is a call to the store and an update to a whole
+/// zone, and prompts return after seconds.
 const LARGE_READ_PAUSE: Duration = Duration::from_millis(400);
 
-/// How often a box looks whether a store that it does not read is its turn.
+/// Interval at which a box checks whether to poll a store that it does not poll yet.
 const TURN_CHECK: Duration = Duration::from_millis(200);
 
-/// A box of a large fleet that has just started lists each store itself, after a draw of at most this much for each box of the fleet: boxes may all have
-/// started, a store serves few readers at once, and each listing holds it up for some milliseconds. If a box waited for the zone's reader instead, prompts
-/// would be read whole meanwhile: after all of 71 boxes had lost power, nothing was fetched for 1.7 s, and engines read for 3 s what had come in one.
+/// A box that has just started lists each store itself, after a random delay of at most this much times the number of boxes in the
+/// fleet: all boxes may have started together, a store serves few clients concurrently, and each listing occupies it for some
+/// milliseconds. If a box waited for the zone's reader instead, whole prompts would be recomputed meanwhile: after all of 71 boxes
+/// had lost power, nothing was fetched for 1.7 s, and engines needed 3 s to prefill what had arrived in one.
 const LIST_SPREAD: Duration = Duration::from_millis(4);
 
-/// A box that knows no other is alone if it still knows none after this: it reads who is registered within some 20 ms of its start.
+/// Time after which a box that knows no other box assumes that it is the only one: it reads the registered boxes within some 20 ms
+/// of its start.
 const ALONE: Duration = Duration::from_millis(250);
 
-/// Wait after a failed reading.
+/// Delay after a failed poll.
 const RETRY_PAUSE: Duration = Duration::from_millis(400);
 
-/// What readers of stores use.
+/// Dependencies of the tasks that poll stores.
 pub struct Readers<C> {
-    /// Calls of stores.
+    /// Client for calls to stores.
     pub control: C,
     /// This box.
     pub me: BoxEntry,
-    /// Who is told.
+    /// State that the results update.
     pub kept: Kept,
-    /// What is known of the fleet.
+    /// State of the fleet.
     pub fleet: FleetHandle,
-    /// Which boxes live.
+    /// Load and liveness of boxes.
     pub loads: Loads,
-    /// News for the boxes of the zone.
+    /// Updates for the boxes of the zone.
     pub news: mpsc::Sender<News>,
-    /// Log.
+    /// Logger.
     pub log: Logger,
 }
 
-/// When a box lists a store at its start, unless it is told before.
+/// When a box lists a store after its own start, unless another box sends the content first.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Listing {
-    /// It does not know how many others do so as well.
+    /// Not scheduled, since the number of boxes is not known yet.
     Unplanned,
-    /// At this moment.
+    /// Scheduled for this time.
     At(Instant),
-    /// It has, or was told.
+    /// Listed, or no longer needed.
     Done,
 }
 
@@ -83,24 +85,24 @@
     }
 }
 
-/// One store that the configuration names.
+/// A store that the configuration names.
 struct Followed {
-    /// Since when it is waited for others to tell of it, while nothing is known.
+    /// Since when this box waits for another box to send the content, while nothing is known.
     since: Instant,
-    /// When this box lists it itself at its start.
+    /// When this box lists the store after its own start.
     listing: Listing,
     role: Role,
     reader: Option<AbortHandle>,
 }
 
 impl Followed {
-    /// Whether its reader is at work.
+    /// Returns whether its reader task runs.
     fn is_read(&self) -> bool {
         let reader = self.reader.as_ref();
         reader.is_some_and(|reader| !reader.is_finished())
     }
 
-    /// Draws when this box lists the store at its start, as soon as it knows how many others do.
+    /// Schedules the listing after this box's start at random, as soon as the number of boxes is known.
     fn plan_listing(&mut self, view: &View, now: Instant) {
         let is_known = !view.boxes.is_empty() || now - self.since >= ALONE;
         if self.listing == Listing::Unplanned && is_known {
@@ -113,8 +115,8 @@
     }
 }
 
-/// Follows the stores that the configuration names, and reads those whose turn is this box's. One task looks after all of
-/// them: most boxes of a large zone read one store of dozens.
+/// Tracks the stores that the configuration names, and starts a reader for each one that this box is to poll. One task manages all
+/// of them: most boxes of a large zone poll one store of dozens.
 pub async fn run<C: Control>(readers: Readers<C>) {
     let mut followed: HashMap<SocketAddr, Followed> = HashMap::new();
     let mut config: Option<Arc<FleetConfig>> = None;
@@ -127,7 +129,7 @@
         let is_starting = config.is_none() || plans().any(|plan| plan == Listing::Unplanned);
         tokio::select! {
             _ = look.tick() => {}
-            // At the start nothing can be fetched before the stores are known.
+            // After the start nothing can be fetched before the stores' content is known, so act on each new view.
             Ok(()) = views.changed(), if is_starting => {}
             () = reached(listing) => {}
         }
@@ -146,7 +148,7 @@
     }
 }
 
-/// Waits for a moment, if there is one.
+/// Waits until a time, or forever if there is none.
 async fn reached(at: Option<Instant>) {
     match at {
         Some(at) => tokio::time::sleep_until(at).await,
@@ -155,7 +157,7 @@
 }
 
 impl<C: Control> Readers<C> {
-    /// Begins to follow stores that were not named before, and forgets those that are not named any more.
+    /// Starts to track stores that the configuration names anew, and drops those that it no longer names.
     fn follow(&self, followed: &mut HashMap<SocketAddr, Followed>, stores: &[StoreSpec]) {
         let named: HashSet<SocketAddr> = stores.iter().map(|store| store.addr).collect();
         followed.retain(|addr, store| {
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Starts the readers of stores whose turn is this box's.
+    /// Starts the readers of the stores that this box is to poll now.
     fn start_due(&self, followed: &mut HashMap<SocketAddr, Followed>, view: &View) {
         let now = Instant::now();
         let large = view.box_count() > SMALL_FLEET;
@@ -199,7 +201,8 @@
             }
             let heard = self.kept.lock().heard(*addr);
             let lists = lists && heard.is_none();
-            // In a large fleet the reader tells all others what it finds; they do not all read dozens of stores whenever one is lost.
+            // In a large fleet the zone's reader sends its results to all others; they do not all poll dozens of stores whenever
+            // one is lost.
             let heard = heard.or(large.then_some(store.since));
             let alive = |id: &BoxId| self.loads.may_live(id, now);
             if !store.role.should_read(view, &self.me, alive, heard, now) && !lists {
@@ -234,7 +237,7 @@
 }
 
 impl<C: Control> StoreReader<C> {
-    /// Reads while it is this box's turn.
+    /// Polls the store as long as this box is to poll it.
     async fn run(mut self) {
         let mut reachable = true;
         let mut readings: u32 = 0;
@@ -258,7 +261,7 @@
                             "store" => self.addr.to_string(), "why" => &e.what);
                     }
                     reachable = false;
-                    // The others need not all find out when it is back.
+                    // Not all boxes need to poll for its recovery.
                     if self.is_large_fleet() && !self.role.is_reader() {
                         return;
                     }
@@ -279,23 +282,24 @@
         }
     }
 
-    /// Whether the zone is told of a reading. In a large fleet also of one that found nothing: boxes hear of the stores in no
-    /// other way while all goes well.
+    /// Returns whether to send the result of a poll to the zone. In a large fleet also a result without changes is sent: while no
+    /// fault occurs, boxes have no other source about the stores.
     fn has_news(&self, news: &KeptNews) -> bool {
         !news.changes.is_empty() || self.is_large_fleet()
     }
 
-    /// Whether there is one more reading after so many. What the first one was begun for may not last until it is made.
+    /// Returns whether to poll again after `readings` polls. The first poll is always made, also if the reason for it has passed.
     fn goes_on(&mut self, readings: u32) -> bool {
         readings == 0 || self.should_ask_clock(readings) || self.is_my_turn()
     }
 
-    /// A listing does not tell the engines' clock, without which nothing is fetched: the first changes do.
+    /// Returns whether to poll for changes right after the listing: a listing does not contain the engines' clock, without which
+    /// nothing is fetched.
     fn should_ask_clock(&self, readings: u32) -> bool {
         readings == 1 && !self.kept.lock().has_clock()
     }
 
-    /// Whether this box reads for its zone, or knows too little to wait for whoever does.
+    /// Returns whether this box polls for its zone, or its data is too old to wait for the box that does.
     fn is_my_turn(&mut self) -> bool {
         let (view, now) = (self.fleet.view(), Instant::now());
         let heard = self.kept.lock().heard(self.addr);
@@ -304,7 +308,7 @@
         self.role.should_read(&view, &self.me, alive, heard, now)
     }
 
-    /// Tells the zone what a store holds, if it is little: others ask for a copy else.
+    /// Sends a listing to the zone if it is short; other boxes request a copy of a long one.
     fn tell_listing(&self, list: &KeptList, asked: Instant) {
         if !self.is_large_fleet() || list.whole.len() > MAX_CHANGES {
             return;
@@ -318,7 +322,7 @@
             age_ms: asked.elapsed().as_millis() as u64,
             whole: list.whole.clone(),
         };
-        // Boxes that miss it see in a digest that they lack something.
+        // Boxes that miss it detect the gap from a digest.
         let _ = self.news.try_send(News::Listed(listing));
     }
 
@@ -350,7 +354,7 @@
                 age_ms: asked.elapsed().as_millis() as u64,
                 changes: news.changes.clone(),
             };
-            // Boxes that miss it see in a digest that they lack something.
+            // Boxes that miss it detect the gap from a digest.
             let _ = self.news.try_send(News::Kept(word));
         }
         if !self
--- a/crates/sillpin-gateway/src/kept/retire.rs
+++ b/crates/sillpin-gateway/src/kept/retire.rs
@@ -1,15 +1,14 @@
 //! Retirement of parts that were made under replaced weights.
 //!
-//! While engines change to new weights, the stores hold parts of both versions and may have room for one. So
-//! parts of the old version are retired as the stores fill up, in step with the engines at most: when a share
-//! of the engines serves newer weights, up to the same share of the parts, by their hash, is neither fetched
-//! nor saved any more, and the holder of the fleet's duty may free them. What no engine serves is retired
-//! whole.
+//! While engines change to new weights, the stores hold parts of both versions and may have capacity for one
+//! only. Parts of the old version are therefore retired as the stores fill up, but no faster than the engines change: when a
+//! share of the engines serves newer weights, up to the same share of the parts, by hash, is no longer fetched
+//! or saved, and the leader may free them. Parts of a version that no engine serves are all retired.
 //!
-//! A part is never freed under a reader. Each box tells in its digests which share it has retired, and never goes back
-//! within its life; a box that starts anew takes over what the others tell. A box that was not heard may at worst use
-//! what it knew when it was last in touch, because a box out of touch fetches nothing, unless all boxes are, and then
-//! nobody frees. Fetches are thrown away after a known time.
+//! A part is never freed while it is being fetched. Each box reports in its digests which share it has retired, and never
+//! lowers it while it runs; a box that restarts takes the shares over from the others. A box from which no digest arrives
+//! uses at most the parts that were in use at its last contact with the platform store, because a box without contact fetches
+//! nothing, unless no box has contact, and then nothing is freed. Fetches are aborted after a known time.
 
 use super::homes::{hash_pair, unit};
 use super::salt::SaltParts;
@@ -22,30 +21,31 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A box that has not heard of the targets for this long is out of touch. It reads the store every 0.9 to
-/// 1.8 s.
+/// A box that has not read the list of targets for this long counts as out of contact with the platform store. It reads that
+/// store every 0.9 to 1.8 s.
 const TOUCH: Duration = Duration::from_millis(2_500);
 
-/// Added to [`TOUCH`] for the way of news and clocks of different speed.
+/// Added to [`TOUCH`] for the delay of updates and for clocks of different speed.
 const TOUCH_MARGIN: Duration = Duration::from_millis(500);
 
-/// A box that was not heard for this long may have changed its mind: five rounds of news.
+/// Time after which the last digest of a box no longer counts: five gossip rounds.
 const WORD_TIME: Duration = Duration::from_millis(2_000);
 
-/// A box whose last word from the store is older than this does not hold the fleet's duty.
+/// A box whose last answer from the platform store is older than this is not the leader.
 const STORE_SILENCE: Duration = Duration::from_millis(2_200);
 
-/// A share counts for a new box, which read the store when it started, after this time.
+/// Time after which a share also binds a box that has just started, since that box reads the store at its start.
 const NEW_BOX: Duration = Duration::from_millis(1_000);
 
-/// Parts of replaced weights are retired from this fullness of a store on, while engines still use them.
+/// Used share of a store from which parts of replaced weights that engines still serve are retired.
 const RETIRE_FROM: f64 = 0.70;
 
-/// At this fullness they are retired in step with the engines. New parts are no longer saved at 0.975.
+/// Used share at which the retired share reaches the share of engines that serve newer weights. New parts are no longer saved
+/// at 0.975.
 const RETIRE_ALL: f64 = 0.92;
 
-/// No fetch goes on for longer, whatever the aim of its request. A part of replaced weights is freed only when the last
-/// fetch of it that may have begun is over, so a longer time keeps room from new parts.
+/// Maximum duration of a fetch, whatever the latency objective of its request. A part of replaced weights is freed only when the
+/// last fetch of it that may have begun is over, so a longer time keeps capacity from new parts.
 pub const MAX_FETCH_TIME: Duration = Duration::from_millis(2_000);
 
 /// A version of a model's weights.
@@ -57,16 +57,16 @@
     pub version: WeightVersion,
 }
 
-/// How much of a version's parts is retired.
+/// Share of a version's parts that is retired.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Retired {
     /// The version.
     pub weights: Weights,
-    /// Share of its parts, by hash.
+    /// The share of its parts, by hash.
     pub share: f64,
 }
 
-/// Shares by version.
+/// Retired shares by version.
 type Shares = BTreeMap<Weights, f64>;
 
 #[derive(Debug)]
@@ -83,29 +83,30 @@
 }
 
 impl Heard {
-    /// Whether the box may still use what it has not retired: it was heard of late, and said that it was in touch.
+    /// Returns whether the box may still use what it has not retired: its digest is recent and reported contact with the
+    /// platform store.
     fn is_binding(&self, now: Instant) -> bool {
         now - self.at < WORD_TIME && self.store_silence < TOUCH
     }
 }
 
-/// What this box has retired, and what it knows of the others.
+/// Shares that this box has retired, and those that other boxes reported.
 #[derive(Debug, Default)]
 pub struct Retirements {
     applied: Shares,
     history: VecDeque<Sample>,
     others: HashMap<BoxId, Heard>,
-    /// Time asleep that what is known was made older by.
+    /// Total suspended time that the times in `others` are adjusted for.
     slept: Duration,
 }
 
 impl Retirements {
-    /// Makes what other boxes told older by the time that this one was suspended, which comes to `slept` in all.
+    /// Ages the reports of other boxes by the time that this box was suspended since the last call; `slept` is the total.
     pub fn wake(&mut self, slept: Duration) {
         let time = slept.saturating_sub(self.slept);
         self.slept = slept;
         if !time.is_zero() {
-            // What is too old for the clock counts as not heard.
+            // A report too old for the clock to represent is dropped.
             self.others
                 .retain(|_, heard| match heard.at.checked_sub(time) {
                     Some(at) => {
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Retires parts as the fullest store, `fullness` of whose room is used, and the engines' entries demand.
+    /// Retires parts according to `fullness`, the used share of the fullest store, and to the weights that engines serve.
     /// Shares only grow.
     pub fn update(&mut self, view: &View, fullness: f64, now: Instant) {
         let pressure = (fullness - RETIRE_FROM) / (RETIRE_ALL - RETIRE_FROM);
@@ -136,19 +137,19 @@
         }
     }
 
-    /// Retires a share of a version's parts, unless more is retired.
+    /// Retires a share of a version's parts, unless a larger one is retired.
     fn retire(&mut self, weights: Weights, share: f64) {
         let applied = self.applied.entry(weights).or_insert(0.0);
         *applied = applied.max(share);
     }
 
-    /// Whether any part of any version is retired.
+    /// Returns whether any part of any version is retired.
     pub fn has_any(&self) -> bool {
         self.applied.values().any(|share| *share > 0.0)
     }
 
-    /// What this box tells the others: shares that it applied so long ago that its fetches of these parts are
-    /// over.
+    /// Returns the shares that this box reports to others: those applied so long ago that its fetches of these parts
+    /// are over.
     pub fn told(&self, now: Instant) -> Vec<Retired> {
         let told = |weights: &Weights| Retired {
             weights: weights.clone(),
@@ -157,8 +158,8 @@
         self.applied.keys().map(told).collect()
     }
 
-    /// What this box has retired. Through hubs all boxes learn it within a second: they hear too few digests to be sure to learn it from
-    /// those before parts are freed that nobody was heard to use.
+    /// Returns the shares that this box has retired. Hubs deliver them to all boxes within a second: a box receives too few
+    /// digests to be sure to get them in time, before parts are freed that no digest reported as used.
     pub fn applied(&self) -> Vec<Retired> {
         let applied = self.applied.iter().filter(|(_, share)| **share > 0.0);
         let retired = applied.map(|(weights, share)| Retired {
@@ -168,15 +169,15 @@
         retired.collect()
     }
 
-    /// Retires what other boxes have retired.
+    /// Retires the shares that other boxes have retired.
     pub fn learn(&mut self, applied: &[Retired]) {
         for retired in applied {
             self.retire(retired.weights.clone(), retired.share);
         }
     }
 
-    /// Takes what another box tells: what it has retired, which this box retires too, and since when it has no word from the
-    /// store.
+    /// Records another box's digest: the shares that it has retired, which this box retires too, and the time since its last
+    /// answer from the platform store.
     pub fn hear(
         &mut self,
         from: BoxId,
@@ -196,10 +197,10 @@
         self.others.insert(from, heard);
     }
 
-    /// Whether this box may fetch: it knows what was retired of late, or nobody can free anything because
-    /// the store answers no box.
+    /// Returns whether this box may fetch: it knows what was retired recently, or nothing can be freed because
+    /// the platform store answers no box.
     pub fn may_fetch(&self, view: &View, slept: Duration, now: Instant) -> bool {
-        // What was known before the box was suspended may have been freed since, until its age is reckoned with that time.
+        // Parts known before the box was suspended may have been freed since, until all ages include the suspended time.
         if slept > view.slept || slept > self.slept {
             return false;
         }
@@ -215,16 +216,16 @@
         confirmed.is_some() && view.boxes.iter().all(|peer| is_cut_off_too(&peer.id))
     }
 
-    /// Whether this box neither fetches nor saves a part any more.
+    /// Returns whether this box no longer fetches or saves a part.
     pub fn is_retired(&self, salt: &SaltParts, key: &KeptKey) -> bool {
         let weights = weights_of(salt);
         let share = self.applied.get(&weights).copied().unwrap_or(0.0);
         place_of(key) < share
     }
 
-    /// Share of a version's parts that no box fetches: told by every box that is in touch, or known for so long that a box
-    /// that says nothing has either learned it too or stopped fetching. What a box says counts, however long this one has
-    /// known more: one that started anew has not seen how full the stores were before.
+    /// Returns the share of a version's parts that no box fetches: reported by every box that is in contact, or known for so
+    /// long that a box without a recent report has either received it too or stopped fetching. A box's report counts even if
+    /// this box has known a larger share for long: a box that restarted has not seen how full the stores were before.
     pub fn unused_share(&self, weights: &Weights, view: &View, now: Instant) -> f64 {
         let long_known = self.known_at(weights, now, TOUCH + TOUCH_MARGIN + MAX_FETCH_TIME);
         let told_by = |id: &BoxId| {
@@ -238,7 +239,7 @@
         told.fold(known, f64::min)
     }
 
-    /// The share that was applied here at least `age` ago.
+    /// Returns the share that was in force on this box at least `age` ago.
     fn known_at(&self, weights: &Weights, now: Instant, age: Duration) -> f64 {
         let mut old = self.history.iter().filter(|sample| now - sample.at >= age);
         let newest = old.next_back();
@@ -247,12 +248,12 @@
     }
 }
 
-/// Where a part stands in the order in which its version is retired.
+/// Returns a part's rank, in (0, 1), in the order in which the parts of its version are retired.
 pub fn place_of(key: &KeptKey) -> f64 {
     unit(hash_pair("retire", &key.part.0))
 }
 
-/// The version that a salt names.
+/// Returns the version that a salt names.
 pub fn weights_of(salt: &SaltParts) -> Weights {
     Weights {
         model: salt.model.clone(),
@@ -260,8 +261,8 @@
     }
 }
 
-/// For each version that engines have left or are leaving: the share of the model's engines that serve
-/// newer weights, as their entries say.
+/// Returns, for each version older than the wanted one, the share of the model's engines whose entries
+/// list newer weights.
 fn replaced_shares(view: &View) -> Vec<(Weights, f64)> {
     let mut shares = Vec::new();
     for (model, wanted) in view.wanted.iter() {
--- a/crates/sillpin-gateway/src/kept/salt.rs
+++ b/crates/sillpin-gateway/src/kept/salt.rs
@@ -1,11 +1,12 @@
-//! Salts: under which weights, and behind which wall, a part was made.
+//! Cache salts: the model, weight version and isolated organisation that a part belongs to.
 
 use crate::dialect::Salt;
 use derive_more::{Display, Error};
 use sillpin_core::{ModelId, OrgId, WeightVersion};
 use std::str::FromStr;
 
-/// What a salt keeps apart. No name holds a slash, so the text reads back.
+/// The fields of a salt, written as `model/version` or `model/version/organisation`. No name contains a slash, so parsing is
+/// unambiguous.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Display)]
 #[display("{model}/{version}{}", self.wall_text())]
 pub struct SaltParts {
@@ -13,7 +14,7 @@
     pub model: ModelId,
     /// The version of its weights.
     pub version: WeightVersion,
-    /// The organisation, if it shares nothing with others.
+    /// The organisation, if it is isolated and shares no parts with others.
     pub wall: Option<OrgId>,
 }
 
@@ -23,13 +24,13 @@
         wall.map(|org| format!("/{org}")).unwrap_or_default()
     }
 
-    /// The salt's text.
+    /// Returns the salt as text.
     pub fn salt(&self) -> Salt {
         Salt(self.to_string())
     }
 }
 
-/// A salt that sillpin did not make.
+/// Error for a salt that sillpin did not write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 #[display("not a salt of sillpin")]
 pub struct ForeignSalt;
--- a/crates/sillpin-gateway/src/weights/duty.rs
+++ b/crates/sillpin-gateway/src/weights/duty.rs
@@ -1,4 +1,4 @@
-//! Who holds the duty to order engines.
+//! Election of the leader, the one box that orders engines.
 
 use crate::awake::Awake;
 use crate::beliefs::wanted::NamedAge;
@@ -11,65 +11,66 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Key of the holder.
+/// Key whose value is the leader's id.
 pub const DUTY_KEY: &str = "sillpin/weights-holder";
 
-/// Key of the engines that holders ordered of late.
+/// Key of the record of engines that leaders ordered recently.
 pub const ORDERED_KEY: &str = "sillpin/weights-ordered";
 
-/// Time to live of the holder's lease. Short, since a holder that dies holds up a change of weights by
-/// this long; three renewals fit, each at a tenth of a call's price.
+/// Time to live of the leader's lease. Short, since the failure of a leader delays a change of weights by
+/// this long; three renewals fit in, each at a tenth of a call's price.
 const LEASE: Duration = Duration::from_millis(1_400);
 
 /// Time between two renewals.
 pub const RENEW_EVERY: Duration = Duration::from_millis(400);
 
-/// Nothing is ordered in the last part of a lease: an order may be under way this long.
+/// Last part of a lease in which no order is sent: an order may be in flight for this long.
 const QUIET_END: Duration = Duration::from_millis(500);
 
-/// Time between two records while engines serve replaced weights. After the loss of all boxes the times of namings are taken for later than they are by
-/// this, and by the time without a holder; boxes stop sending to replaced weights 2.5 s before they must. Each record is a call.
+/// Time between two records while engines serve replaced weights. After the loss of all boxes the restored times of requests for
+/// weights are too late by up to this and by the time without a leader; boxes stop sending to replaced weights 2.5 s before the
+/// deadline. Each record is a call.
 const RECORD_EVERY: Duration = Duration::from_secs(1);
 
-/// Added to the wait before an engine that another holder ordered, for orders on their way.
+/// Added to the wait before ordering an engine that another leader ordered, for orders in flight.
 const TAKEOVER_MARGIN: Duration = Duration::from_millis(300);
 
-/// The duty, held.
+/// Leadership held by this box.
 #[derive(Debug)]
 pub struct Tenure {
     /// The lease.
     pub lease: LeaseId,
-    /// Orders this holder's orders behind those of all before.
+    /// Fencing token, larger than that of all earlier leaders.
     pub fence: Fence,
-    /// No order after this moment of [`Awake::now`], unless the lease is renewed.
+    /// Time of [`Awake::now`] after which no order is sent, unless the lease is renewed.
     pub orders_until: Instant,
-    /// Engines that holders before ordered, and until when each is left alone.
+    /// Engines that earlier leaders ordered, and until when no order is sent to each.
     others: HashMap<TargetId, Instant>,
-    /// Engines that this holder ordered or is about to order.
+    /// Engines that this leader ordered or is about to order.
     own: HashMap<TargetId, Own>,
-    /// Until when all engines are left alone: the store lost which of them were ordered before.
+    /// Time until which no engine is ordered, since the store lost the record of earlier orders.
     lost_until: Option<Instant>,
-    /// The era whose orders the record has until then.
+    /// Era of the store whose orders the record covers until `lost_until`.
     recorded_era: StoreEra,
-    /// When weights were named, for the record: what the holder before wrote at first.
+    /// When operators requested weights, for the record; initially as the previous leader wrote it.
     pub named: Vec<NamedAge>,
     /// Revision of the record of orders.
     record: KvRevision,
-    /// When the record was written.
+    /// When the record was last written.
     recorded: Instant,
 }
 
-/// What a holder knows of its own orders to an engine.
+/// State of this leader's own orders to an engine.
 #[derive(Debug, Default)]
 struct Own {
-    /// An order may go out at any time.
+    /// Whether an order may be sent at any time.
     underway: bool,
-    /// When the last order had ended.
+    /// When the call of the last order returned.
     last: Option<Instant>,
 }
 
 impl Own {
-    /// How long ago the last order was, if there is or may be one.
+    /// Returns the age of the last order, if one was or may have been sent.
     fn age(&self, now: Instant) -> Option<Duration> {
         match self.underway {
             true => Some(Duration::ZERO),
@@ -78,18 +79,19 @@
     }
 }
 
-/// Engines ordered of late, as recorded before each order.
+/// Record of the engines that were ordered recently, written before each order.
 #[derive(Debug, Default, Serialize, Deserialize)]
 struct Ordered {
     targets: Vec<TargetId>,
-    /// How long the last order to each was over when this was written, in milliseconds, in the order of `targets`;
-    /// at least that much of the time between two holders' orders is over. None where a box of an earlier version wrote.
+    /// Age of the last order to each engine of `targets`, in the same order, in milliseconds when this was written. At least that
+    /// much of the wait between two leaders' orders has passed. Empty if a box of an earlier version wrote the record.
     #[serde(default)]
     ages_ms: Vec<u64>,
-    /// How long ago weights had been named when this was written. Boxes tell each other; this outlives the loss of all.
+    /// Age of the operators' requests for weights when this was written. Boxes exchange these; the record survives the loss of all
+    /// boxes.
     #[serde(default)]
     named: Vec<NamedAge>,
-    /// The era of the store whose orders it has. A later one has lost what was recorded last.
+    /// Era of the store whose orders the record covers. A store of a later era has lost the newest records.
     #[serde(default)]
     era: StoreEra,
 }
@@ -97,11 +99,11 @@
 impl Ordered {
     fn push(&mut self, target: TargetId, age: Duration) {
         self.targets.push(target);
-        // Rounded down: an order is never taken for older than it is.
+        // Rounded down, so that no order counts as older than it is.
         self.ages_ms.push(age.as_millis() as u64);
     }
 
-    /// Each engine with the age of the last order to it.
+    /// Returns each engine with the age of the last order to it.
     fn entries(self) -> impl Iterator<Item = (TargetId, Duration)> {
         let ages = self.ages_ms.into_iter().chain(std::iter::repeat(0));
         let ages = ages.map(Duration::from_millis);
@@ -110,18 +112,18 @@
 }
 
 impl Tenure {
-    /// Whether an order may go out at this moment of [`Awake::now`].
+    /// Returns whether an order may be sent at `now`, a time of [`Awake::now`].
     pub fn may_order(&self, now: Instant) -> bool {
         now < self.orders_until
     }
 
-    /// Whether an engine may be ordered now: no other holder's order to it can be near.
+    /// Returns whether an engine may be ordered now: no order of another leader to it can be recent.
     pub fn may_order_target(&self, target: &TargetId, now: Instant) -> bool {
         let is_over = |until: &Instant| now >= *until;
         self.lost_until.as_ref().is_none_or(is_over) && self.others.get(target).is_none_or(is_over)
     }
 
-    /// The era whose orders are all recorded.
+    /// Returns the era of the store whose orders are all recorded.
     fn era(&self, now: Instant) -> StoreEra {
         match self.lost_until.is_some_and(|until| now < until) {
             true => self.recorded_era,
@@ -129,12 +131,12 @@
         }
     }
 
-    /// Whether the record says anew how long ago weights were named, while engines serve replaced ones.
+    /// Returns whether the record is due to be written again while engines serve replaced weights.
     pub fn is_record_old(&self, now: Instant) -> bool {
         now - self.recorded >= RECORD_EVERY
     }
 
-    /// Takes note that orders to an engine are over for now, and when the last one had ended, if any went out.
+    /// Records that no further order to an engine is pending, and when the last one returned, if any was sent.
     pub fn ended(&mut self, target: &TargetId, last: Option<Instant>) {
         if let Some(own) = self.own.get_mut(target) {
             own.underway = false;
@@ -142,32 +144,34 @@
         }
     }
 
-    /// Takes note of a renewal that was asked for at `asked` of [`Awake::now`].
+    /// Records a renewal that was requested at `asked`, a time of [`Awake::now`].
     pub fn renewed(&mut self, asked: Instant) {
         self.orders_until = asked + LEASE - QUIET_END;
     }
 }
 
-/// Takes and gives up the duty.
+/// Acquires, renews and resigns leadership.
 #[derive(Clone)]
 pub struct Duty<P> {
-    /// The platform's store.
+    /// The platform store.
     pub platform: P,
     /// This box.
     pub me: BoxId,
-    /// Least time between two holders' orders to one engine.
+    /// Minimum time between two leaders' orders to one engine.
     pub apart: Duration,
-    /// How long a box that is not the holder waits for news of the key. Each wait costs a call, and one more to look at the key
-    /// after a wait without news.
+    /// Maximum time of one watch of the key by a box that is not the leader. Each watch costs a call, and another one to read the
+    /// key after a watch without changes.
     pub hold: Duration,
-    /// Time asleep: a lease that ran out meanwhile allows nothing.
+    /// Clock that includes suspended time, in which a lease may have expired.
     pub awake: Awake,
-    /// Log.
+    /// Logger.
     pub log: Logger,
 }
 
 impl<P: Platform> Duty<P> {
-    /// Waits until nobody holds the duty and takes it.
+    /// Waits until there is no leader, and becomes the leader.
+    ///
+    /// Fails if the store does not answer or another box was faster.
     pub async fn take(&self) -> Result<Tenure, PlatformError> {
         let (held, at) = self.look().await?;
         if held {
@@ -209,7 +213,7 @@
         Ok(tenure)
     }
 
-    /// Reads which engines the holder before ordered, and writes the record anew: a holder that was
+    /// Reads which engines the previous leader ordered, and rewrites the record: a previous leader that was
     /// paused then fails to record, and so to order, any further engine.
     async fn take_record(&self) -> Result<(Ordered, KvRevision), PlatformError> {
         let entry = self.platform.get(ORDERED_KEY).await?;
@@ -229,7 +233,7 @@
         Ok((ordered, record))
     }
 
-    /// How long after an order other holders leave the engine alone.
+    /// Returns the time after an order during which other leaders do not order the engine.
     fn left_alone(&self) -> Duration {
         self.apart + TAKEOVER_MARGIN
     }
@@ -243,7 +247,7 @@
         self.platform.put(ORDERED_KEY, &text, expect, None).await
     }
 
-    /// Records engines that are about to be ordered. Without the record nothing may be ordered.
+    /// Records engines that are about to be ordered. If this fails, none of them may be ordered.
     pub async fn record(
         &self,
         tenure: &mut Tenure,
@@ -259,7 +263,7 @@
         Ok(())
     }
 
-    /// Engines whose last order, of whichever holder, is not long over; others are forgotten.
+    /// Returns the engines whose last order by any leader is recent, and drops the others from `tenure`.
     fn ordered_of_late(&self, tenure: &mut Tenure, now: Instant) -> Ordered {
         let left_alone = self.left_alone();
         let near = |age: Duration| age < left_alone;
@@ -281,8 +285,8 @@
         ordered
     }
 
-    /// Whether somebody holds the duty, and the revision from which a watch goes on. The key's own revision would not
-    /// do: the store forgets its history after a while.
+    /// Returns whether there is a leader, and the store's revision from which to watch. The key's own revision does not
+    /// work for that, since the store discards old history.
     async fn look(&self) -> Result<(bool, KvRevision), PlatformError> {
         let snapshot = self.platform.snapshot(DUTY_KEY).await?;
         let held = snapshot.entries.iter().any(|entry| entry.key == DUTY_KEY);
@@ -299,7 +303,7 @@
             match last {
                 Some(entry) if entry.value.is_none() => return Ok(()),
                 Some(_) => {}
-                // A watch may have been cut: look again.
+                // The watch may have been cut off: read the key again.
                 None => {
                     let (held, at) = self.look().await?;
                     if !held {
@@ -311,7 +315,7 @@
         }
     }
 
-    /// Renews the lease; `false` if the duty is lost.
+    /// Renews the lease. Returns `false` if leadership is lost.
     pub async fn renew(&self, tenure: &mut Tenure) -> bool {
         let asked = self.awake.now();
         match self.platform.renew_lease(tenure.lease).await {
@@ -334,11 +338,11 @@
         }
     }
 
-    /// Gives the duty up before the box ends.
+    /// Resigns before the box stops.
     pub async fn give_up(&self, tenure: &Tenure) {
         let revision = KvRevision(tenure.fence.0);
         if let Err(e) = self.platform.delete(DUTY_KEY, revision).await {
-            // The lease lapses by itself.
+            // The lease expires by itself.
             event!(self.log, events::DUTY_LOST, "fence" => tenure.fence.0, "why" => e.to_string());
         }
     }
--- a/crates/sillpin-gateway/src/weights/load.rs
+++ b/crates/sillpin-gateway/src/weights/load.rs
@@ -1,4 +1,4 @@
-//! One engine's load of new weights.
+//! Load of new weights by one engine: orders it and waits until the engine serves them.
 
 use crate::awake::Awake;
 use crate::beliefs::FleetHandle;
@@ -13,54 +13,55 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Boxes send nothing to the engine from this long before the order, so that most of its runs end under
-/// the weights that they began on: a run takes 0.1 to 0.5 s.
+/// Time between the announcement of a load, after which boxes send the engine no requests, and the order, so that most of its
+/// runs end under the weights that they began on: a run takes 0.1 to 0.5 s.
 const NEWS_LEAD: Duration = Duration::from_millis(250);
 
-/// First look after an order: a load takes 0.76 s, and of 1,151 looks after 0.9 s 23 in 100 found it done.
+/// Delay of the first poll after an order: a load takes 0.76 s, and of 1,151 polls after 0.9 s 23 in 100 found it complete.
 const FIRST_LOOK: Duration = Duration::from_millis(900);
 
-/// Time between further looks: a place stands empty for up to this long. Each is priced as a probe.
+/// Time between further polls: a load slot stays idle for up to this long. Each poll costs as much as a probe.
 const LOOK_EVERY: Duration = Duration::from_millis(100);
 
-/// Pause after an order that came behind another: reports are some 0.1 to 0.3 s old, and do not show that one before.
+/// Delay after an order that was rejected in favour of another one: reports are some 0.1 to 0.3 s old, and do not show that other
+/// order earlier.
 const OVERTAKEN: Duration = Duration::from_millis(250);
 
-/// Pause after an order without an answer: calls that fail at once are not repeated more often than this.
+/// Delay after an order without an answer: calls that fail immediately are not repeated more often than this.
 const AGAIN: Duration = Duration::from_millis(100);
 
-/// Longest wait for a load, or for an order to be accepted, before other engines are let go first.
+/// Maximum wait for a load, or for an order to be accepted, before other engines take precedence.
 const GIVE_UP: Duration = Duration::from_millis(4_000);
 
-/// How a load ended.
+/// Result of a load.
 #[derive(Debug)]
 pub struct Loaded {
     /// The engine.
     pub target: TargetId,
-    /// The life that it was last found in.
+    /// The incarnation of the engine in its last report.
     pub life: Option<Life>,
     /// The model.
     pub model: ModelId,
-    /// What it serves now, if that is what was wanted.
+    /// The version that it serves now, if the load succeeded.
     pub version: Option<WeightVersion>,
-    /// When the last order had ended, if any went out.
+    /// When the call of the last order returned, if any was sent.
     pub ordered: Option<Instant>,
-    /// Whether the engine did not answer.
+    /// Whether the engine did not answer the last call for a report.
     pub silent: bool,
 }
 
-/// Whether an engine counts among those that load at once. An engine that was silent takes one
-/// when it carries an order out.
+/// Whether an engine occupies one of the slots for concurrent loads. An engine that had not answered occupies one
+/// only when it carries out an order.
 #[derive(Debug, Clone, Default)]
 pub struct Place(Arc<AtomicBool>);
 
 impl Place {
-    /// A place that is taken or not.
+    /// Creates a slot that is occupied or not.
     pub fn new(taken: bool) -> Self {
         Self(Arc::new(AtomicBool::new(taken)))
     }
 
-    /// Whether it is taken.
+    /// Returns whether the slot is occupied.
     pub fn is_taken(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
@@ -72,63 +73,63 @@
 
 /// A load of new weights.
 pub struct LoadJob<C> {
-    /// Calls of engines.
+    /// Client for calls to engines.
     pub control: C,
     /// The engine.
     pub target: Arc<TargetEntry>,
     /// The model.
     pub model: ModelId,
-    /// The weights.
+    /// The version to load.
     pub version: WeightVersion,
-    /// What is known of the fleet, for weights that are named meanwhile.
+    /// State of the fleet, for weights that operators request meanwhile.
     pub fleet: FleetHandle,
-    /// Who orders.
+    /// The leader's id, for the order.
     pub holder: String,
-    /// The holder's fence.
+    /// The leader's fencing token.
     pub fence: Fence,
-    /// Its place among the engines that load.
+    /// Its slot among the concurrent loads.
     pub place: Place,
-    /// Nothing is ordered after this moment of [`Awake::now`].
+    /// Time of [`Awake::now`] after which no order is sent.
     pub until: watch::Receiver<Instant>,
-    /// Time asleep.
+    /// Clock that includes suspended time.
     pub awake: Awake,
-    /// Log.
+    /// Logger.
     pub log: Logger,
 }
 
-/// How far a job is.
+/// Progress of a job.
 struct Progress {
-    /// The life that the engine was last found in.
+    /// The incarnation of the engine in its last report.
     life: Option<Life>,
-    /// The weights to be loaded: those wanted at the last order.
+    /// The version to load: the one wanted at the last order.
     version: WeightVersion,
-    /// The job ends without success after this moment.
+    /// Time after which the job fails.
     until: Instant,
-    /// When the last order had ended, if any went out.
+    /// When the call of the last order returned, if any was sent.
     ordered: Option<Instant>,
-    /// Whether the engine said that it carries an order out.
+    /// Whether the engine accepted an order.
     accepted: bool,
-    /// Whether the engine did not answer when it was last asked for a report.
+    /// Whether the engine did not answer the last call for a report.
     silent: bool,
 }
 
 impl Progress {
-    /// How long ago the last order had ended, in milliseconds.
+    /// Returns the time since the call of the last order returned, in milliseconds, or 0 without an order.
     fn ordered_ms(&self) -> u128 {
         self.ordered.map_or(0, |at| at.elapsed().as_millis())
     }
 }
 
-/// What an engine is to be asked next.
+/// Next step of a job.
 enum Next {
-    /// Nothing: the job is over, and the weights are served or not.
+    /// The job is over; whether the engine serves the weights.
     Over(bool),
-    /// For a report, after a while.
+    /// Poll the engine's report after this delay.
     Look(Duration),
 }
 
 impl<C: Control> LoadJob<C> {
-    /// Orders the load and waits until it is done.
+    /// Orders the load and waits until it is complete or has failed.
     pub async fn run(self) -> Loaded {
         tokio::time::sleep(NEWS_LEAD).await;
         let mut progress = Progress {
@@ -157,7 +158,7 @@
             self.take_life(progress, report.as_ref());
             let next = match report {
                 Some(report) => self.proceed(progress, &report).await,
-                // A load that is under way goes on.
+                // The engine continues a load that it accepted.
                 None if progress.accepted => Next::Look(LOOK_EVERY),
                 None => Next::Over(false),
             };
@@ -173,14 +174,14 @@
         false
     }
 
-    /// An engine that started again has forgotten the order.
+    /// Records the engine's incarnation; an engine that restarted has lost the order.
     fn take_life(&self, progress: &mut Progress, report: Option<&EngineReport>) {
         let life = report.and_then(|report| report.life).or(progress.life);
         progress.accepted &= life == progress.life;
         progress.life = life;
     }
 
-    /// Waits while the engine loads, and orders when it does not.
+    /// Sends an order unless the engine serves the weights or is busy with a load.
     async fn proceed(&self, progress: &mut Progress, report: &EngineReport) -> Next {
         if self.is_served(report, progress.version) {
             self.say_loaded(progress);
@@ -193,7 +194,7 @@
         if self.awake.now() >= *self.until.borrow() {
             return Next::Over(false);
         }
-        // Operators may have named further weights while an order went unanswered.
+        // Operators may have requested newer weights while an order was unanswered.
         progress.version = self.wanted().max(self.version);
         self.order(progress, report.orders_taken).await
     }
@@ -226,16 +227,16 @@
                 progress.until = now + GIVE_UP;
                 Next::Look(FIRST_LOOK)
             }
-            // The report was older than an order that came before.
+            // Another order was accepted after the report was made.
             Ok(OrderOutcome::Overtaken) => Next::Look(OVERTAKEN),
             Ok(OrderOutcome::Refused) => Next::Over(false),
-            // It may have been taken all the same, or be taken late: the next report tells. The call's timeout is longer
-            // than reports are old, and of two orders that expect the same count the engine carries out one.
+            // The engine may have accepted the order nevertheless, or may accept it later: the next report shows it. The call's
+            // timeout is longer than the age of reports, and of two orders that expect the same count the engine carries out one.
             Err(_) => Next::Look(AGAIN),
         }
     }
 
-    /// The version that operators want now, as far as this box knows.
+    /// Returns the newest version that operators want, as known to this box.
     fn wanted(&self) -> WeightVersion {
         let view = self.fleet.view();
         view.wanted
--- a/crates/sillpin-gateway/src/weights/mod.rs
+++ b/crates/sillpin-gateway/src/weights/mod.rs
@@ -1,14 +1,14 @@
-//! Brings engines to the weights that operators want.
+//! Rolls out the weights that operators request to the engines.
 //!
-//! One box at a time holds the duty, by a key under a lease in the platform's store; the key's revision
-//! is the fence of its orders. A holder orders nothing in the last part of its lease, and records in the
-//! store which engines it is about to order; a new holder leaves those alone for a while, so that the orders
-//! of two holders to one engine are never close, and goes on with the others at once. Orders name the
-//! engine's count of orders, so one that arrives late, behind a newer one, is refused.
+//! One box at a time is the leader, through a key under a lease in the platform store; the key's revision
+//! is the fencing token of its orders. A leader sends no order in the last part of its lease, and records in the
+//! store which engines it is about to order. A new leader sends those no order for a while, so that the orders
+//! of two leaders to one engine are never close, and continues with the other engines immediately. Orders contain the
+//! engine's count of orders, so one that arrives late, after a newer one, is rejected.
 //!
-//! - [`duty`]: who holds the duty,
-//! - [`load`]: one engine's load of new weights,
-//! - [`rollout`]: which engines are ordered next.
+//! - [`duty`]: election of the leader,
+//! - [`load`]: load of new weights by one engine,
+//! - [`rollout`]: choice of the engines to order next.
 
 pub mod duty;
 pub mod load;
--- a/crates/sillpin-gateway/src/weights/rollout.rs
+++ b/crates/sillpin-gateway/src/weights/rollout.rs
@@ -1,4 +1,4 @@
-//! Which engines are ordered next.
+//! Chooses the engines to order next, while this box is the leader.
 
 use super::duty::{Duty, RENEW_EVERY, Tenure};
 use super::load::{LoadJob, Loaded, Place};
@@ -26,88 +26,88 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Engines of a fleet that are under way at once: three of 18 load at full speed, and one or two more end
-/// their runs before the order.
+/// Share of the fleet's engines that are being changed concurrently: three of 18 load at full speed, and one or two more
+/// finish their runs before the order.
 const SHARE_AT_ONCE: f64 = 0.28;
 
-/// Engines ordered at once at least.
+/// Minimum number of concurrent loads.
 const LEAST_AT_ONCE: usize = 3;
 
-/// Engines under way at once, as a multiple of those that load: beside these, some do not answer. Other boxes pass over all
-/// engines under way, so there may not be too many.
+/// Maximum number of engines with a job, as a multiple of the concurrent loads: some engines do not answer. Other boxes send no
+/// requests to any engine with a job, so the number is limited.
 const MOST_UNDERWAY: usize = 2;
 
-/// How often the holder looks for engines to order, beside changes of what it knows.
+/// Interval at which the leader looks for engines to order.
 const LOOK_EVERY: Duration = Duration::from_millis(100);
 
-/// Wait after the duty could not be taken.
+/// Delay after a failed attempt to become the leader.
 const RETRY: Duration = Duration::from_millis(700);
 
-/// How long an engine whose load failed is left alone.
+/// Time during which an engine whose load failed gets no order.
 const FAILED_REST: Duration = Duration::from_millis(800);
 
-/// Boxes of a zone that wait for the duty. Each wait is a call of the platform's store, and all that wait wake at once
-/// when the duty is free; a box that is not heard any more is replaced within seconds.
+/// Number of boxes of a zone that stand for election. Each watch is a call to the platform store, and all watches return together
+/// when leadership becomes free; a candidate that is no longer heard from is replaced within seconds.
 const CANDIDATES: usize = 3;
 
-/// What the candidates wait for, in the choice of who they are.
+/// Name of the leader's role in the hash that chooses the candidates.
 const DUTY_ROLE: &str = "weights-duty";
 
-/// How often a box that is no candidate looks whether it is one by now.
+/// Interval at which a box checks whether it is a candidate.
 const CANDIDATE_CHECK: Duration = Duration::from_millis(500);
 
-/// A box that started so recently has not heard the others yet and takes all that are registered to be alive.
+/// Time after its start during which a box assumes that all registered boxes are alive, since it has not heard from them yet.
 const NEWCOMER: Duration = Duration::from_secs(3);
 
-/// A box that was told of others and knows none yet waits for so long before it takes itself for the only one: it reads who is registered
-/// within a second.
+/// Time that a box configured with peers waits, while it knows no other box, before it assumes that it is the only one: it reads the
+/// registered boxes within a second.
 pub const ALONE: Duration = Duration::from_millis(1_200);
 
-/// Time between two lines about engines that serve replaced weights.
+/// Time between two log records about engines that serve replaced weights.
 const SAY_EVERY: Duration = Duration::from_secs(1);
 
-/// Holds the duty whenever nobody else does.
+/// Stands for election, and rolls out weights and frees parts while this box is the leader.
 pub struct Rollout<P, C> {
     /// This box.
     pub me: BoxEntry,
-    /// How long it waits to hear of others, if it knows none.
+    /// Time to wait for other boxes to become known, if there are none.
     pub alone: Duration,
-    /// The duty.
+    /// Election of the leader.
     pub duty: Duty<P>,
-    /// Calls of engines.
+    /// Client for calls to engines.
     pub control: C,
-    /// What is known of the fleet.
+    /// State of the fleet.
     pub fleet: FleetHandle,
-    /// Loads of targets.
+    /// Load of targets and liveness of boxes.
     pub loads: Loads,
-    /// What is known of kept parts.
+    /// State of kept parts.
     pub kept: Kept,
-    /// News for all boxes.
+    /// Updates for all boxes.
     pub news: mpsc::Sender<LoadNews>,
-    /// Cancelled when the box is told to stop.
+    /// Cancelled when the box shuts down.
     pub stopping: CancellationToken,
-    /// Log.
+    /// Logger.
     pub log: Logger,
 }
 
-/// Loads that a holder has under way.
+/// Jobs of a leader, and engines that get no order now.
 #[derive(Default)]
 struct Underway {
     jobs: JoinSet<Loaded>,
     targets: HashMap<TargetId, Place>,
     resting: HashMap<TargetId, Instant>,
-    /// Engines that did not answer when they were last tried.
+    /// Engines that did not answer at the last attempt.
     silent: HashSet<TargetId>,
     said: Option<Instant>,
 }
 
 impl Underway {
-    /// Engines that load or are about to.
+    /// Returns the number of engines that occupy a load slot.
     fn loading(&self) -> usize {
         self.targets.values().filter(|p| p.is_taken()).count()
     }
 
-    /// Takes note of a job that is over.
+    /// Records the end of a job.
     fn ended(&mut self, loaded: &Loaded) {
         self.targets.remove(&loaded.target);
         match loaded.silent {
@@ -118,7 +118,7 @@
 }
 
 impl<P: Platform, C: Control> Rollout<P, C> {
-    /// Runs until the box is told to stop.
+    /// Runs until the box shuts down.
     pub async fn run(self) {
         let started = Instant::now();
         while !self.stopping.is_cancelled() {
@@ -142,23 +142,23 @@
         }
     }
 
-    /// Resolves when others are to wait for the duty in this box's place.
+    /// Resolves when this box is no longer a candidate.
     async fn is_replaced(&self, started: Instant) {
         while self.is_candidate(started, Instant::now()) {
             tokio::time::sleep(CANDIDATE_CHECK).await;
         }
     }
 
-    /// Whether this box is to wait for the duty. Safety does not hang on it: the lease decides who holds it.
+    /// Returns whether this box is to stand for election. Safety does not depend on it: the lease decides who the leader is.
     fn is_candidate(&self, started: Instant, now: Instant) -> bool {
         let newcomer = now - started < NEWCOMER;
         let view = self.fleet.view();
-        // In a fleet that starts as a whole all boxes would take themselves for the first ones, until they know each other.
+        // If the whole fleet starts together, every box would consider itself a candidate until it knows the others.
         if view.boxes.is_empty() && now - started < self.alone {
             return false;
         }
         let zone = view.boxes.iter().filter(|peer| peer.zone == self.me.zone);
-        // Boxes of a large zone hear each other through a hub alone.
+        // Boxes of a large zone exchange liveness through a hub only.
         let large = zone.count() >= LARGE_ZONE;
         let alive = |id: &BoxId| match newcomer {
             true => true,
@@ -168,13 +168,13 @@
         roles::is_among(&view, &self.me, DUTY_ROLE, CANDIDATES, alive)
     }
 
-    /// Orders engines until the duty is lost or given up.
+    /// Orders engines until leadership is lost or resigned.
     async fn hold(&self, mut tenure: Tenure) {
         self.learn_named(&tenure.named).await;
         let mut underway = Underway::default();
         let mut look = tokio::time::interval(LOOK_EVERY);
         let mut renew = tokio::time::interval(RENEW_EVERY);
-        // Jobs check this before each order: an order must not outlive the tenure.
+        // Jobs check this before each order, since no order may be in flight after leadership has ended.
         let (limit, until) = watch::channel(tenure.orders_until);
         let freer = Freer {
             control: self.control.clone(),
@@ -184,7 +184,7 @@
             awake: self.duty.awake.clone(),
             log: self.log.clone(),
         };
-        // Ends with the tenure.
+        // Dropped, and so aborted, at the end of leadership.
         let mut freeing = JoinSet::new();
         freeing.spawn(freer.run());
         loop {
@@ -215,7 +215,7 @@
         }
     }
 
-    /// Takes over when weights were named, as the holder before recorded it.
+    /// Applies the times at which operators requested weights, as the previous leader recorded them.
     async fn learn_named(&self, named: &[NamedAge]) {
         let now = Instant::now();
         for age in named {
@@ -247,7 +247,7 @@
             version,
             done: true,
         };
-        // Boxes that miss the news see it in the engine's entry.
+        // Boxes that miss this update see the new version in the engine's entry.
         let _ = self.news.try_send(news);
         self.fleet
             .tell(FleetMsg::Serves {
@@ -259,7 +259,7 @@
             .await;
     }
 
-    /// Orders further engines; `false` if the duty is lost.
+    /// Orders further engines. Returns `false` if leadership is lost.
     async fn order_more(
         &self,
         tenure: &mut Tenure,
@@ -291,7 +291,7 @@
         true
     }
 
-    /// Says now and then which engines serve replaced weights, and what they wait for.
+    /// Logs periodically how many engines serve replaced weights, and what they wait for.
     fn say_outdated(&self, view: &View, tenure: &Tenure, underway: &mut Underway, now: Instant) {
         if underway.said.is_some_and(|at| now - at < SAY_EVERY) {
             return;
@@ -310,7 +310,7 @@
             "ordered_by_others" => outdated.iter().filter(left_alone).count());
     }
 
-    /// Engines to be ordered now.
+    /// Returns the engines to order now.
     fn next_batch(
         &self,
         view: &View,
@@ -331,7 +331,7 @@
             let known = underway.targets.contains_key(id) || underway.resting.contains_key(id);
             !known && tenure.may_order_target(id, now)
         };
-        // A silent engine takes no place until it answers.
+        // An engine that did not answer takes no slot until it does.
         let mut has_place = |outdated: &Outdated| {
             if underway.silent.contains(&outdated.target.id) {
                 return true;
@@ -370,7 +370,7 @@
             version,
             done: false,
         };
-        // Boxes that miss the news are refused by the engine and go elsewhere.
+        // If a box misses this update, the engine refuses its requests and the box sends them elsewhere.
         let _ = self.news.try_send(news);
         let place = Place::new(!underway.silent.contains(&target.id));
         underway.targets.insert(target.id.clone(), place.clone());
@@ -391,7 +391,7 @@
     }
 }
 
-/// An engine that serves older weights than wanted.
+/// An engine that serves older weights than operators want.
 struct Outdated {
     serves: WeightVersion,
     target: Arc<TargetEntry>,
@@ -399,7 +399,7 @@
     version: WeightVersion,
 }
 
-/// Engines that serve older weights than wanted.
+/// Returns the engines that serve older weights than operators want, oldest weights first.
 fn outdated(view: &View) -> Vec<Outdated> {
     let ready = view
         .targets
@@ -422,7 +422,7 @@
             }
         }
     }
-    // The oldest weights go first: each version has its own time to be replaced in.
+    // Oldest weights first: each version has its own deadline to be replaced.
     found.sort_by(|a, b| (a.serves, &a.target.id).cmp(&(b.serves, &b.target.id)));
     found
 }
