--- a/crates/sillpin-gateway/src/fatal/keep.rs
+++ b/crates/sillpin-gateway/src/fatal/keep.rs
@@ -5,7 +5,7 @@
 //! reads that key when it starts.
 
 use super::record::KNOWN_AFTER;
-use super::{Fatal, FatalWord, RequestPrint};
+use super::{FatalRequests, CrashReport, RequestFingerprint};
 use crate::beliefs::{FleetHandle, View};
 use crate::place::work::LifeHash;
 use serde::{Deserialize, Serialize};
@@ -41,24 +41,24 @@
 /// retention time longer or shorter by as much.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct KeptRequest {
-    print: RequestPrint,
+    print: RequestFingerprint,
     /// Targets that crashed under it, and when, in Unix milliseconds.
     ended: Vec<(LifeHash, u64)>,
 }
 
 /// Persists and restores the crash history.
-pub struct Keep<P> {
+pub struct CrashRecordSync<P> {
     /// The platform store.
     pub platform: P,
     /// Crash history of this box.
-    pub fatal: Fatal,
+    pub fatal: FatalRequests,
     /// State of the fleet, which shows when the platform store was restored from a backup.
     pub fleet: FleetHandle,
     /// Logger.
     pub log: Logger,
 }
 
-impl<P: Platform> Keep<P> {
+impl<P: Platform> CrashRecordSync<P> {
     /// Runs until the process ends.
     pub async fn run(self) {
         let noticed = self.fatal.clone();
@@ -72,7 +72,7 @@
         };
         let keeping = async {
             // Number of crashes that the store is known to hold, by request.
-            let mut written: HashMap<RequestPrint, usize> = HashMap::new();
+            let mut written: HashMap<RequestFingerprint, usize> = HashMap::new();
             let mut views = self.fleet.subscribe();
             let mut era = StoreEra::default();
             loop {
@@ -107,31 +107,31 @@
     }
 
     /// Returns whether this box observed crashes that the store lacks. Crashes beyond [`KNOWN_AFTER`] need not be written.
-    fn has_news(&self, written: &HashMap<RequestPrint, usize>) -> bool {
+    fn has_news(&self, written: &HashMap<RequestFingerprint, usize>) -> bool {
         let kept = self.kept_here();
         let record = self.fatal.record();
-        let lacks = |word: &FatalWord| {
+        let lacks = |word: &CrashReport| {
             let count = word.ended.len().min(KNOWN_AFTER);
-            record.is_found_here(word.print)
-                && written.get(&word.print).is_none_or(|known| *known < count)
+            record.is_found_here(word.fingerprint)
+                && written.get(&word.fingerprint).is_none_or(|known| *known < count)
         };
         kept.iter().any(lacks)
     }
 
     /// Returns the part of this box's history that is to be persisted.
-    fn kept_here(&self) -> Vec<FatalWord> {
+    fn kept_here(&self) -> Vec<CrashReport> {
         let record = self.fatal.record();
         record.worth_keeping(KEEP_FROM, MAX_KEPT, Instant::now())
     }
 
-    async fn write(&self, written: &mut HashMap<RequestPrint, usize>) {
+    async fn write(&self, written: &mut HashMap<RequestFingerprint, usize>) {
         let mut backoff = MIN_BACKOFF;
         loop {
             match self.write_once().await {
                 Ok(words) => {
                     *written = words
                         .iter()
-                        .map(|word| (word.print, word.ended.len()))
+                        .map(|word| (word.fingerprint, word.ended.len()))
                         .collect();
                     return;
                 }
@@ -143,7 +143,7 @@
     }
 
     /// Merges the persisted history into that of this box, and writes the result.
-    async fn write_once(&self) -> Result<Vec<FatalWord>, PlatformError> {
+    async fn write_once(&self) -> Result<Vec<CrashReport>, PlatformError> {
         let entry = self.platform.get(FATAL_KEY).await?;
         if let Some(entry) = &entry {
             let words = self.read(entry);
@@ -151,8 +151,8 @@
         }
         let words = self.kept_here();
         let now = unix_ms();
-        let kept = |word: &FatalWord| KeptRequest {
-            print: word.print,
+        let kept = |word: &CrashReport| KeptRequest {
+            print: word.fingerprint,
             ended: word
                 .ended
                 .iter()
@@ -166,7 +166,7 @@
         Ok(words)
     }
 
-    fn read(&self, entry: &KvEntry) -> Vec<FatalWord> {
+    fn read(&self, entry: &KvEntry) -> Vec<CrashReport> {
         let text = entry.value.as_deref().unwrap_or_default();
         let kept: Vec<KeptRequest> = match serde_json::from_str(text) {
             Ok(kept) => kept,
@@ -177,8 +177,8 @@
         };
         let now = unix_ms();
         let age = |at: u64| u32::try_from(now.saturating_sub(at)).unwrap_or(u32::MAX);
-        let word = |kept: KeptRequest| FatalWord {
-            print: kept.print,
+        let word = |kept: KeptRequest| CrashReport {
+            fingerprint: kept.print,
             ended: kept
                 .ended
                 .iter()
--- a/crates/sillpin-gateway/src/fatal/mod.rs
+++ b/crates/sillpin-gateway/src/fatal/mod.rs
@@ -4,19 +4,19 @@
 //! therefore record which requests ran on a target when it crashed, exchange these records, and refuse a request that is known to
 //! be fatal: it has not run, and will not. Without this, one of 18 engines was lost each second, and up to ten streams with it.
 //!
-//! - [`print`]: identifies identical requests,
+//! - [`fingerprint`]: identifies identical requests,
 //! - [`witness`]: detects whether a target crashed,
 //! - [`record`]: history of crashes by request,
 //! - [`keep`]: persists the history, so that it survives the loss of all boxes.
 
 pub mod keep;
-pub mod print;
+pub mod fingerprint;
 pub mod record;
 pub mod witness;
 
-pub use print::RequestPrint;
-pub use record::{FatalWord, Record};
-pub use witness::Witness;
+pub use fingerprint::RequestFingerprint;
+pub use record::{CrashReport, Record};
+pub use witness::CrashDetector;
 
 use crate::place::work::LifeHash;
 use sillpin_telemetry::{event, events};
@@ -27,14 +27,14 @@
 
 /// Crash history of a box; clones share it.
 #[derive(Debug, Clone)]
-pub struct Fatal {
+pub struct FatalRequests {
     record: Arc<Mutex<Record>>,
     /// Notified when this box itself has observed a crash.
     pub found: Arc<Notify>,
     log: Logger,
 }
 
-impl Fatal {
+impl FatalRequests {
     /// Creates an empty history.
     pub fn new(log: Logger) -> Self {
         Self {
@@ -53,7 +53,7 @@
     pub fn ended(
         &self,
         life: LifeHash,
-        under: impl IntoIterator<Item = RequestPrint>,
+        under: impl IntoIterator<Item = RequestFingerprint>,
         at: Instant,
     ) {
         let known = self.record().ended(life, under, at, Instant::now());
@@ -62,7 +62,7 @@
     }
 
     /// Applies reports from another box.
-    pub fn hear(&self, words: &[FatalWord]) {
+    pub fn hear(&self, words: &[CrashReport]) {
         if !words.is_empty() {
             let known = self.record().hear(words, Instant::now());
             self.log_known(&known, "other boxes");
@@ -70,24 +70,24 @@
     }
 
     /// Applies reports that were persisted in the platform store.
-    pub fn restore(&self, words: &[FatalWord]) {
+    pub fn restore(&self, words: &[CrashReport]) {
         let known = self.record().hear(words, Instant::now());
         self.log_known(&known, "store");
     }
 
     /// Tracks an attempt that is about to be sent to a target. It counts as abandoned there unless [`Sent::end`] is called.
-    pub fn sent(&self, print: RequestPrint, life: LifeHash) -> Sent<'_> {
+    pub fn sent(&self, fingerprint: RequestFingerprint, life: LifeHash) -> Sent<'_> {
         Sent {
             fatal: self,
-            print,
+            fingerprint,
             life,
             left: true,
         }
     }
 
-    fn log_known(&self, known: &[RequestPrint], source: &'static str) {
-        for print in known {
-            event!(self.log, events::REQUEST_FATAL, "print" => print.to_string(), "source" => source);
+    fn log_known(&self, known: &[RequestFingerprint], source: &'static str) {
+        for fingerprint in known {
+            event!(self.log, events::REQUEST_FATAL, "print" => fingerprint.to_string(), "source" => source);
         }
     }
 }
@@ -95,8 +95,8 @@
 /// An attempt at a target. If it is dropped while it waits, for example because its caller disconnects, it counts as abandoned: the
 /// target may still run it, and crash.
 pub struct Sent<'a> {
-    fatal: &'a Fatal,
-    print: RequestPrint,
+    fatal: &'a FatalRequests,
+    fingerprint: RequestFingerprint,
     life: LifeHash,
     left: bool,
 }
@@ -112,7 +112,7 @@
     fn drop(&mut self) {
         if self.left {
             let mut record = self.fatal.record();
-            record.left(self.print, self.life, Instant::now());
+            record.left(self.fingerprint, self.life, Instant::now());
         }
     }
 }
--- a/crates/sillpin-gateway/src/fatal/record.rs
+++ b/crates/sillpin-gateway/src/fatal/record.rs
@@ -7,7 +7,7 @@
 //! Boxes exchange their histories. Merging two of them takes the union of the crashed targets and the later of the times at which
 //! the request was served, so the order, number and route of the reports do not matter.
 
-use super::RequestPrint;
+use super::RequestFingerprint;
 use crate::place::work::LifeHash;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -59,9 +59,9 @@
 
 /// Crashes under one request, as boxes report them to each other. Ages are in milliseconds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FatalWord {
+pub struct CrashReport {
     /// The request.
-    pub print: RequestPrint,
+    pub fingerprint: RequestFingerprint,
     /// Targets that crashed under it, with the age of each crash.
     pub ended: Vec<(LifeHash, u32)>,
     /// Age of the last time that it was served.
@@ -143,13 +143,13 @@
         oldest.is_some_and(|life| self.ended.remove(&life).is_some())
     }
 
-    fn word(&self, print: RequestPrint, now: Instant) -> FatalWord {
+    fn word(&self, fingerprint: RequestFingerprint, now: Instant) -> CrashReport {
         let age = |at: Instant| {
             let age = now.saturating_duration_since(at);
             u32::try_from(age.as_millis()).unwrap_or(u32::MAX)
         };
-        FatalWord {
-            print,
+        CrashReport {
+            fingerprint,
             ended: self
                 .ended
                 .iter()
@@ -163,7 +163,7 @@
 /// An attempt that this box abandoned before the response.
 #[derive(Debug)]
 struct Left {
-    print: RequestPrint,
+    fingerprint: RequestFingerprint,
     life: LifeHash,
     at: Instant,
 }
@@ -171,11 +171,11 @@
 /// Requests under which targets crashed.
 #[derive(Debug, Default)]
 pub struct Record {
-    suspects: BTreeMap<RequestPrint, Suspect>,
+    suspects: BTreeMap<RequestFingerprint, Suspect>,
     /// Attempts that this box abandoned before the response, oldest first.
     left: VecDeque<Left>,
-    told_fatal: Option<RequestPrint>,
-    told_other: Option<RequestPrint>,
+    told_fatal: Option<RequestFingerprint>,
+    told_other: Option<RequestFingerprint>,
 }
 
 impl Record {
@@ -183,33 +183,33 @@
     pub fn ended(
         &mut self,
         life: LifeHash,
-        under: impl IntoIterator<Item = RequestPrint>,
+        under: impl IntoIterator<Item = RequestFingerprint>,
         at: Instant,
         now: Instant,
-    ) -> Vec<RequestPrint> {
+    ) -> Vec<RequestFingerprint> {
         let mut prints = self.take_left(life, at);
         prints.extend(under);
         prints.sort_unstable();
         prints.dedup();
-        prints.retain(|print| self.note(*print, life, at, now));
+        prints.retain(|fingerprint| self.note(*fingerprint, life, at, now));
         self.bound(now);
-        prints.retain(|print| self.refused_until(*print, now).is_some());
+        prints.retain(|fingerprint| self.refused_until(*fingerprint, now).is_some());
         prints
     }
 
     /// Removes the attempts that this box abandoned at a target, and returns the requests of those abandoned shortly before it
     /// crashed.
-    fn take_left(&mut self, life: LifeHash, ended: Instant) -> Vec<RequestPrint> {
+    fn take_left(&mut self, life: LifeHash, ended: Instant) -> Vec<RequestFingerprint> {
         let is_of = |left: &Left| left.life == life;
         let is_late = |left: &&Left| ended.saturating_duration_since(left.at) < LEFT_FOR;
         let late = self.left.iter().filter(|left| is_of(left)).filter(is_late);
-        let prints = late.map(|left| left.print).collect();
+        let prints = late.map(|left| left.fingerprint).collect();
         self.left.retain(|left| !is_of(left));
         prints
     }
 
-    fn note(&mut self, print: RequestPrint, life: LifeHash, at: Instant, now: Instant) -> bool {
-        let suspect = self.suspects.entry(print);
+    fn note(&mut self, fingerprint: RequestFingerprint, life: LifeHash, at: Instant, now: Instant) -> bool {
+        let suspect = self.suspects.entry(fingerprint);
         let suspect = suspect.or_insert_with(|| Suspect::new(now));
         let is_new = suspect.add(life, at);
         if is_new {
@@ -220,12 +220,12 @@
     }
 
     /// Records that this box abandoned an attempt before the response: its target may still run it.
-    pub fn left(&mut self, print: RequestPrint, life: LifeHash, now: Instant) {
+    pub fn left(&mut self, fingerprint: RequestFingerprint, life: LifeHash, now: Instant) {
         if self.left.len() >= MAX_LEFT {
             self.left.pop_front();
         }
         let at = now;
-        self.left.push_back(Left { print, life, at });
+        self.left.push_back(Left { fingerprint, life, at });
     }
 
     /// Returns whether this box recently abandoned an attempt at a target.
@@ -237,8 +237,8 @@
     }
 
     /// Records that a request was served, which clears it of all earlier crashes.
-    pub fn served(&mut self, print: RequestPrint, now: Instant) {
-        if let Some(suspect) = self.suspects.get_mut(&print) {
+    pub fn served(&mut self, fingerprint: RequestFingerprint, now: Instant) {
+        if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
             suspect.served = Some(now);
             suspect.changed = now;
             suspect.found = Some(now);
@@ -246,14 +246,14 @@
     }
 
     /// Returns until when a request is refused, if it is known to be fatal.
-    pub fn refused_until(&self, print: RequestPrint, now: Instant) -> Option<Instant> {
-        let suspect = self.suspects.get(&print)?;
+    pub fn refused_until(&self, fingerprint: RequestFingerprint, now: Instant) -> Option<Instant> {
+        let suspect = self.suspects.get(&fingerprint)?;
         let count = suspect.count();
         if count < KNOWN_AFTER {
             return None;
         }
         let is_explained = |life: &LifeHash| {
-            let others = self.suspects.iter().filter(|(other, _)| **other != print);
+            let others = self.suspects.iter().filter(|(other, _)| **other != fingerprint);
             let mut there = others.filter(|(_, other)| other.ended.contains_key(life));
             there.any(|(_, other)| explains(other.count(), count))
         };
@@ -281,36 +281,36 @@
     }
 
     /// Returns the number of crashes that count for a request.
-    fn count(&self, print: RequestPrint) -> usize {
-        self.suspects.get(&print).map_or(0, Suspect::count)
+    fn count(&self, fingerprint: RequestFingerprint) -> usize {
+        self.suspects.get(&fingerprint).map_or(0, Suspect::count)
     }
 
     /// Applies reports from another box or from the platform store. Returns the requests that are refused from now on.
-    pub fn hear(&mut self, words: &[FatalWord], now: Instant) -> Vec<RequestPrint> {
+    pub fn hear(&mut self, words: &[CrashReport], now: Instant) -> Vec<RequestFingerprint> {
         let mut known = Vec::new();
         for (life, age) in words.iter().flat_map(|word| &word.ended) {
             let ended = now.checked_sub(Duration::from_millis(u64::from(*age)));
             if let Some(ended) = ended.filter(|_| !self.left.is_empty()) {
-                for print in self.take_left(*life, ended) {
-                    self.note(print, *life, ended, now);
+                for fingerprint in self.take_left(*life, ended) {
+                    self.note(fingerprint, *life, ended, now);
                 }
             }
         }
         for word in words {
-            let before = self.refused_until(word.print, now);
+            let before = self.refused_until(word.fingerprint, now);
             self.hear_one(word, now);
-            let after = self.refused_until(word.print, now);
+            let after = self.refused_until(word.fingerprint, now);
             if before.is_none() && after.is_some() {
-                known.push(word.print);
+                known.push(word.fingerprint);
             }
         }
         self.bound(now);
         known
     }
 
-    fn hear_one(&mut self, word: &FatalWord, now: Instant) {
+    fn hear_one(&mut self, word: &CrashReport, now: Instant) {
         let ago = |age: u32| now.checked_sub(Duration::from_millis(u64::from(age)));
-        let known = self.suspects.get(&word.print).cloned();
+        let known = self.suspects.get(&word.fingerprint).cloned();
         let mut suspect = known.unwrap_or_else(|| Suspect::new(now));
         let served = word.served.and_then(ago);
         // Boxes compute slightly different times for the same event.
@@ -323,12 +323,12 @@
             suspect.changed = now;
         }
         if !suspect.is_over(now) {
-            self.suspects.insert(word.print, suspect);
+            self.suspects.insert(word.fingerprint, suspect);
         }
     }
 
     /// Returns what this box itself observed recently, for the hubs of a large zone.
-    pub fn found(&self, now: Instant) -> Vec<FatalWord> {
+    pub fn found(&self, now: Instant) -> Vec<CrashReport> {
         let is_late = |suspect: &Suspect| {
             let found = suspect.found;
             found.is_some_and(|at| now.saturating_duration_since(at) < FRESH)
@@ -336,21 +336,21 @@
         let found = self.suspects.iter().filter(|(_, suspect)| is_late(suspect));
         let found = found.take(FRESH_IN_WORD);
         found
-            .map(|(print, suspect)| suspect.word(*print, now))
+            .map(|(fingerprint, suspect)| suspect.word(*fingerprint, now))
             .collect()
     }
 
     /// Returns the next reports to other boxes: recent changes, and the rest in rotation, for boxes that start or were partitioned.
-    pub fn told(&mut self, now: Instant) -> Vec<FatalWord> {
+    pub fn told(&mut self, now: Instant) -> Vec<CrashReport> {
         self.forget(now);
         let is_fresh = |suspect: &Suspect| now.saturating_duration_since(suspect.changed) < FRESH;
-        let mut prints: Vec<RequestPrint> = self
+        let mut prints: Vec<RequestFingerprint> = self
             .suspects
             .iter()
             .filter(|(_, suspect)| is_fresh(suspect))
-            .map(|(print, _)| *print)
+            .map(|(fingerprint, _)| *fingerprint)
             .collect();
-        prints.sort_by_key(|print| std::cmp::Reverse(self.count(*print)));
+        prints.sort_by_key(|fingerprint| std::cmp::Reverse(self.count(*fingerprint)));
         prints.truncate(FRESH_IN_WORD);
         let fatal = self.in_turn(self.told_fatal, FATAL_IN_WORD, |count| count >= KNOWN_AFTER);
         self.told_fatal = fatal.last().copied();
@@ -360,21 +360,21 @@
         prints.extend(others);
         prints.sort_unstable();
         prints.dedup();
-        let word = |print: RequestPrint| Some(self.suspects.get(&print)?.word(print, now));
+        let word = |fingerprint: RequestFingerprint| Some(self.suspects.get(&fingerprint)?.word(fingerprint, now));
         prints.into_iter().filter_map(word).collect()
     }
 
     /// Returns the next requests after `after`, wrapping around at the end.
     fn in_turn(
         &self,
-        after: Option<RequestPrint>,
+        after: Option<RequestFingerprint>,
         most: usize,
         takes: impl Fn(usize) -> bool,
-    ) -> Vec<RequestPrint> {
+    ) -> Vec<RequestFingerprint> {
         let begin = after.map_or(Bound::Unbounded, Bound::Excluded);
         let behind = self.suspects.range((begin, Bound::Unbounded));
         let taken =
-            |(print, suspect): (&RequestPrint, &Suspect)| takes(suspect.count()).then_some(*print);
+            |(fingerprint, suspect): (&RequestFingerprint, &Suspect)| takes(suspect.count()).then_some(*fingerprint);
         behind
             .chain(self.suspects.iter())
             .filter_map(taken)
@@ -383,18 +383,18 @@
     }
 
     /// Returns at most `most` requests with at least `count` crashes, for persistence: most crashes first, then newest first.
-    pub fn worth_keeping(&self, count: usize, most: usize, now: Instant) -> Vec<FatalWord> {
-        let enough = |(_, suspect): &(&RequestPrint, &Suspect)| suspect.count() >= count;
+    pub fn worth_keeping(&self, count: usize, most: usize, now: Instant) -> Vec<CrashReport> {
+        let enough = |(_, suspect): &(&RequestFingerprint, &Suspect)| suspect.count() >= count;
         let mut kept: Vec<_> = self.suspects.iter().filter(enough).collect();
         kept.sort_by_key(|(_, suspect)| std::cmp::Reverse((suspect.count(), suspect.changed)));
         kept.truncate(most);
-        let word = |(print, suspect): (&RequestPrint, &Suspect)| suspect.word(*print, now);
+        let word = |(fingerprint, suspect): (&RequestFingerprint, &Suspect)| suspect.word(*fingerprint, now);
         kept.into_iter().map(word).collect()
     }
 
     /// Returns whether this box itself observed the last change of a request.
-    pub fn is_found_here(&self, print: RequestPrint) -> bool {
-        let suspect = self.suspects.get(&print);
+    pub fn is_found_here(&self, fingerprint: RequestFingerprint) -> bool {
+        let suspect = self.suspects.get(&fingerprint);
         suspect.is_some_and(|suspect| suspect.found == Some(suspect.changed))
     }
 
@@ -420,12 +420,12 @@
         let mut order: Vec<_> = self
             .suspects
             .iter()
-            .map(|(print, suspect)| (suspect.count(), suspect.changed, *print))
+            .map(|(fingerprint, suspect)| (suspect.count(), suspect.changed, *fingerprint))
             .collect();
         order.sort_unstable();
         let surplus = self.suspects.len().saturating_sub(MAX_REQUESTS);
-        for (_, _, print) in order.into_iter().take(surplus) {
-            self.suspects.remove(&print);
+        for (_, _, fingerprint) in order.into_iter().take(surplus) {
+            self.suspects.remove(&fingerprint);
         }
     }
 }
--- a/crates/sillpin-gateway/src/fatal/witness.rs
+++ b/crates/sillpin-gateway/src/fatal/witness.rs
@@ -5,7 +5,7 @@
 //! by 61 targets that were alive. So a target counts as crashed if it refuses connections while another target of its zone accepts
 //! them, or if its entry shows another incarnation.
 
-use super::{Fatal, RequestPrint};
+use super::{FatalRequests, RequestFingerprint};
 use crate::beliefs::FleetHandle;
 use crate::control::TargetEntry;
 use crate::place::work::LifeHash;
@@ -37,30 +37,30 @@
 
 /// A request whose response was cut off.
 #[derive(Debug, Clone)]
-pub struct Broken {
+pub struct BrokenRequest {
     /// Its id.
     pub id: String,
     /// Its fingerprint.
-    pub print: RequestPrint,
+    pub fingerprint: RequestFingerprint,
 }
 
 /// Checks targets whose responses were cut off; clones share the pending checks.
 #[derive(Clone)]
-pub struct Witness {
+pub struct CrashDetector {
     /// Connections to targets.
     pub pool: Pool,
     /// State of the fleet.
     pub fleet: FleetHandle,
     /// History that detected crashes are added to.
-    pub fatal: Fatal,
+    pub fatal: FatalRequests,
     /// Logger.
     pub log: Logger,
-    waiting: Arc<Mutex<HashMap<LifeHash, Vec<Broken>>>>,
+    waiting: Arc<Mutex<HashMap<LifeHash, Vec<BrokenRequest>>>>,
 }
 
-impl Witness {
+impl CrashDetector {
     /// Creates a detector without pending checks.
-    pub fn new(pool: Pool, fleet: FleetHandle, fatal: Fatal, log: Logger) -> Self {
+    pub fn new(pool: Pool, fleet: FleetHandle, fatal: FatalRequests, log: Logger) -> Self {
         Self {
             pool,
             fleet,
@@ -71,7 +71,7 @@
     }
 
     /// Checks whether a target crashed, after its response to a request was cut off.
-    pub fn broke_off(&self, target: &Arc<TargetEntry>, broken: Broken) {
+    pub fn response_broken(&self, target: &Arc<TargetEntry>, broken: BrokenRequest) {
         self.look(target, Some(broken));
     }
 
@@ -83,7 +83,7 @@
         }
     }
 
-    fn look(&self, target: &Arc<TargetEntry>, broken: Option<Broken>) {
+    fn look(&self, target: &Arc<TargetEntry>, broken: Option<BrokenRequest>) {
         let mut waiting = self.waiting();
         let known = waiting.get_mut(&LifeHash::of(target));
         if let Some(of_life) = known {
@@ -101,11 +101,11 @@
         if !ended {
             return;
         }
-        let prints = under_way.iter().map(|broken| broken.print);
+        let prints = under_way.iter().map(|broken| broken.fingerprint);
         self.fatal.ended(life, prints, began);
         for broken in under_way {
             event!(self.log, events::TARGET_ENDED, "request" => broken.id,
-                "print" => broken.print.to_string(), "target" => target.id.as_str(),
+                "print" => broken.fingerprint.to_string(), "target" => target.id.as_str(),
                 "elapsed_ms" => began.elapsed().as_millis());
         }
     }
@@ -169,7 +169,7 @@
         there.any(|other| LifeHash::of(other) != LifeHash::of(target))
     }
 
-    fn waiting(&self) -> MutexGuard<'_, HashMap<LifeHash, Vec<Broken>>> {
+    fn waiting(&self) -> MutexGuard<'_, HashMap<LifeHash, Vec<BrokenRequest>>> {
         self.waiting.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
--- a/crates/sillpin-gateway/src/front/admit.rs
+++ b/crates/sillpin-gateway/src/front/admit.rs
@@ -6,7 +6,7 @@
 use crate::beliefs::View;
 use crate::config::{FleetConfig, Organisation, Priority, Route};
 use crate::dialect::{Demand, Dialect};
-use crate::fatal::RequestPrint;
+use crate::fatal::RequestFingerprint;
 use hyper::body::Incoming;
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Method, StatusCode};
@@ -44,7 +44,7 @@
     /// Body.
     pub body: HeldBody,
     /// What makes it like a request that came before.
-    pub print: RequestPrint,
+    pub fingerprint: RequestFingerprint,
 }
 
 impl Run {
@@ -105,9 +105,9 @@
             Some(org) => org.id.as_str(),
             None => demand.key.as_deref().unwrap_or_default(),
         };
-        let print = RequestPrint::of(caller, &demand.host, &parts.method, &path, &body.bytes);
+        let fingerprint = RequestFingerprint::of(caller, &demand.host, &parts.method, &path, &body.bytes);
         Ok(Run {
-            print,
+            fingerprint,
             demand,
             config,
             route,
--- a/crates/sillpin-gateway/src/front/drive.rs
+++ b/crates/sillpin-gateway/src/front/drive.rs
@@ -13,7 +13,7 @@
 use crate::config::Repeat;
 use crate::control::TargetEntry;
 use crate::dialect::{Dialect, Sending};
-use crate::fatal::witness::Broken;
+use crate::fatal::witness::BrokenRequest;
 use crate::place::load::Outcome as Health;
 use crate::place::work::LifeHash;
 use hyper::Response;
@@ -143,7 +143,7 @@
         if let Some(left) = self.withheld_for(run) {
             self.metrics.sending("withheld");
             event!(self.log, events::REQUEST_WITHHELD, "request" => &run.demand.id,
-                "print" => run.print.to_string(), "for_ms" => left.as_millis());
+                "print" => run.fingerprint.to_string(), "for_ms" => left.as_millis());
             return Err(match progress.runs {
                 0 => GivenUp::Refused(Refusal::not_run(FATAL).come_back_after(left)),
                 _ => give_up(progress, FATAL),
@@ -177,7 +177,7 @@
             may_leave: || self.should_leave(run, pool, progress),
             begin_by: || self.begin_by(run, pool, version?),
         };
-        let sent_there = self.fatal.sent(run.print, LifeHash::of(&target));
+        let sent_there = self.fatal.sent(run.fingerprint, LifeHash::of(&target));
         let ended = self.attempt(attempt, leaving).await;
         sent_there.end(matches!(ended, Ended::TimedOut(_) | Ended::TakenBack));
         if matches!(ended, Ended::Streaming(_)) {
@@ -195,7 +195,7 @@
             .loads
             .words(|words| words.limits.rate(LifeHash::of(&chosen.target)));
         event!(self.log, events::SENDING,
-            "request" => &run.demand.id, "print" => run.print.to_string(),
+            "request" => &run.demand.id, "print" => run.fingerprint.to_string(),
             "target" => chosen.target.id.as_str(),
             "addr" => chosen.target.addr.to_string(), "offer" => progress.offered.len(),
             "limit_per_s" => limit.map_or(String::new(), |rate| rate.to_string()),
@@ -243,7 +243,7 @@
     ) {
         self.metrics.sending(ended.name());
         if let Ended::Unknown(_) = ended {
-            self.broke_off(run, target);
+            self.response_broken(run, target);
         }
         if let Ended::Unsent(why) = ended {
             self.prober.start(&target.id, why);
@@ -291,12 +291,12 @@
     }
 
     /// The answer to a request broke off at a target, which may have ended.
-    pub fn broke_off(&self, run: &Run, target: &Arc<TargetEntry>) {
-        let broken = Broken {
+    pub fn response_broken(&self, run: &Run, target: &Arc<TargetEntry>) {
+        let broken = BrokenRequest {
             id: run.demand.id.clone(),
-            print: run.print,
+            fingerprint: run.fingerprint,
         };
-        self.witness.broke_off(target, broken);
+        self.witness.response_broken(target, broken);
     }
 
     /// Whether a misdirected request, sent for weights of `version`, shows that the target's address belongs to another.
@@ -327,7 +327,7 @@
     /// For how long a request is sent to no target, if targets ended under it.
     pub fn withheld_for(&self, run: &Run) -> Option<Duration> {
         let now = Instant::now();
-        let until = self.fatal.record().refused_until(run.print, now);
+        let until = self.fatal.record().refused_until(run.fingerprint, now);
         until.map(|until| until.saturating_duration_since(now))
     }
 
@@ -384,7 +384,7 @@
             false => "failed",
         };
         if answer.status.is_success() {
-            self.fatal.record().served(run.print, Instant::now());
+            self.fatal.record().served(run.fingerprint, Instant::now());
         }
         let elapsed = run.arrival.elapsed();
         self.metrics.request(&run.route.name, outcome);
--- a/crates/sillpin-gateway/src/front/relay.rs
+++ b/crates/sillpin-gateway/src/front/relay.rs
@@ -71,7 +71,7 @@
                 .await
             {
                 Pumped::Whole => {
-                    self.fatal.record().served(run.print, Instant::now());
+                    self.fatal.record().served(run.fingerprint, Instant::now());
                     self.metrics.answered(run.arrival.elapsed());
                     self.metrics.request(&run.route.name, "answered");
                     event!(self.log, events::STREAM_WHOLE, "request" => id,
@@ -80,7 +80,7 @@
                     return;
                 }
                 Pumped::CallerGone => {
-                    self.fatal.sent(run.print, LifeHash::of(&entry)).end(true);
+                    self.fatal.sent(run.fingerprint, LifeHash::of(&entry)).end(true);
                     self.metrics.request(&run.route.name, "caller-gone");
                     event!(self.log, events::CALLER_GONE, "request" => id,
                         "target" => target.as_str(),
@@ -88,11 +88,11 @@
                     return;
                 }
                 Pumped::TimeOver => {
-                    self.fatal.sent(run.print, LifeHash::of(&entry)).end(true);
+                    self.fatal.sent(run.fingerprint, LifeHash::of(&entry)).end(true);
                     "the request's time is over".to_owned()
                 }
                 Pumped::Broken(why) => {
-                    self.broke_off(&run, &entry);
+                    self.response_broken(&run, &entry);
                     self.loads.note_life(&target, life, Health::Failed);
                     event!(self.log, events::SENDING_FAILED, "request" => id,
                         "target" => target.as_str(), "outcome" => "broken", "why" => &why,
--- a/crates/sillpin-gateway/src/front/shared.rs
+++ b/crates/sillpin-gateway/src/front/shared.rs
@@ -5,7 +5,7 @@
 use crate::beliefs::FleetHandle;
 use crate::budget::RetryBudget;
 use crate::dialect::Dialect;
-use crate::fatal::{Fatal, Witness};
+use crate::fatal::{FatalRequests, CrashDetector};
 use crate::kept::Kept;
 use crate::metrics::BoxMetrics;
 use crate::place::Loads;
@@ -43,9 +43,9 @@
     /// Time asleep.
     pub awake: Awake,
     /// Requests that end the targets that run them.
-    pub fatal: Fatal,
+    pub fatal: FatalRequests,
     /// Finds out whether targets ended under requests.
-    pub witness: Witness,
+    pub witness: CrashDetector,
     /// Second sendings.
     pub budget: Mutex<RetryBudget>,
     /// Memory for bodies.
@@ -69,7 +69,7 @@
     /// What the stores hold.
     pub kept: Kept,
     /// Requests that end the targets that run them.
-    pub fatal: Fatal,
+    pub fatal: FatalRequests,
     /// Time asleep.
     pub awake: Awake,
 }
@@ -102,7 +102,7 @@
             log: log.clone(),
             probed: Arc::default(),
         };
-        let witness = Witness::new(pool.clone(), fleet.clone(), fatal.clone(), log.clone());
+        let witness = CrashDetector::new(pool.clone(), fleet.clone(), fatal.clone(), log.clone());
         Self {
             dialect,
             awake,
--- a/crates/sillpin-gateway/src/ops.rs
+++ b/crates/sillpin-gateway/src/ops.rs
@@ -8,8 +8,8 @@
 use crate::config::CallerLimits;
 use crate::control::{Control, Published};
 use crate::dialect::Dialect;
-use crate::fatal::Fatal;
-use crate::fatal::keep::Keep;
+use crate::fatal::FatalRequests;
+use crate::fatal::keep::CrashRecordSync;
 use crate::front::shared::Learned;
 use crate::front::{Front, Shared};
 use crate::kept::reader::Readers;
@@ -182,7 +182,7 @@
         fleet: fleet.clone(),
         loads,
         kept: Kept::default(),
-        fatal: Fatal::new(log.clone()),
+        fatal: FatalRequests::new(log.clone()),
         awake,
     };
     let shared = Arc::new(Shared::new(
@@ -318,7 +318,7 @@
         log: log.clone(),
     };
     tokio::spawn(registry.run());
-    let keep = Keep {
+    let keep = CrashRecordSync {
         platform: adapter.platform.clone(),
         fatal: shared.fatal.clone(),
         fleet: fleet.clone(),
--- a/crates/sillpin-gateway/src/peers/datagram.rs
+++ b/crates/sillpin-gateway/src/peers/datagram.rs
@@ -5,7 +5,7 @@
 use crate::beliefs::{BoxEntry, Topic};
 use crate::control::{KeptChange, KeptKey, Life};
 use crate::dialect::EngineTime;
-use crate::fatal::FatalWord;
+use crate::fatal::CrashReport;
 use crate::kept::directory::Position;
 use crate::kept::homes::hash_pair;
 use crate::kept::retire::Retired;
@@ -65,7 +65,7 @@
     /// Which parts it uses no more.
     pub retired: Vec<Retired>,
     /// Requests under which targets ended.
-    pub fatal: Vec<FatalWord>,
+    pub fatal: Vec<CrashReport>,
     /// Limits that targets name.
     pub limits: Vec<LimitNews>,
     /// Whether it is about to end.
@@ -334,7 +334,7 @@
     /// Which parts it uses no more.
     pub retired: Vec<Retired>,
     /// Requests under which it saw targets end of late.
-    pub fatal: Vec<FatalWord>,
+    pub fatal: Vec<CrashReport>,
     /// Limits that it saw targets name or end of late.
     pub limits: Vec<LimitNews>,
     /// What it has to tell the zone.
@@ -366,7 +366,7 @@
     /// Which parts no box is to use any more.
     pub retired: Vec<Retired>,
     /// Requests under which targets ended.
-    pub fatal: Vec<FatalWord>,
+    pub fatal: Vec<CrashReport>,
     /// Limits that targets name.
     pub limits: Vec<LimitNews>,
 }
@@ -385,7 +385,7 @@
     /// Which parts it uses no more.
     pub retired: Vec<Retired>,
     /// Requests under which targets ended.
-    pub fatal: Vec<FatalWord>,
+    pub fatal: Vec<CrashReport>,
     /// Limits that targets name.
     pub limits: Vec<LimitNews>,
     /// Loads of weights.
--- a/crates/sillpin-gateway/src/peers/digest.rs
+++ b/crates/sillpin-gateway/src/peers/digest.rs
@@ -12,7 +12,7 @@
 use crate::beliefs::transfers::Transfers;
 use crate::beliefs::wanted::ages;
 use crate::beliefs::{BoxEntry, FleetHandle, Known, View};
-use crate::fatal::Fatal;
+use crate::fatal::FatalRequests;
 use crate::kept::Kept;
 use crate::metrics::BoxMetrics;
 use crate::place::Loads;
@@ -66,7 +66,7 @@
     /// Time asleep.
     pub awake: Awake,
     /// Requests that end the targets that run them.
-    pub fatal: Fatal,
+    pub fatal: FatalRequests,
     /// News of this box's own orders, for all boxes.
     pub news: mpsc::Receiver<LoadNews>,
     /// News of what this box reads, for its zone.
--- a/crates/sillpin-gateway/src/peers/ear.rs
+++ b/crates/sillpin-gateway/src/peers/ear.rs
@@ -11,7 +11,7 @@
 use crate::beliefs::transfers::Transfers;
 use crate::beliefs::wanted::NamedAge;
 use crate::beliefs::{BoxEntry, FleetHandle, FleetMsg, Known, Named, Source, Topic};
-use crate::fatal::Fatal;
+use crate::fatal::FatalRequests;
 use crate::kept::Kept;
 use crate::kept::directory::Directory;
 use crate::metrics::BoxMetrics;
@@ -84,7 +84,7 @@
     /// What is known of kept parts.
     pub kept: Kept,
     /// Requests that end the targets that run them.
-    pub fatal: Fatal,
+    pub fatal: FatalRequests,
     /// Calls under way.
     pub asking: Asking,
     /// Asks the boxes that know more.
--- a/crates/sillpin-gateway/tests/fatal.rs
+++ b/crates/sillpin-gateway/tests/fatal.rs
@@ -9,13 +9,13 @@
 use rstest::rstest;
 use sillpin_gateway::control::TargetEntry;
 use sillpin_gateway::fatal::record::MAX_REQUESTS;
-use sillpin_gateway::fatal::{FatalWord, Record, RequestPrint};
+use sillpin_gateway::fatal::{CrashReport, Record, RequestFingerprint};
 use sillpin_gateway::place::work::LifeHash;
 use std::time::Duration;
 use tokio::time::Instant;
 
-const FATAL: RequestPrint = RequestPrint(1);
-const OTHER: RequestPrint = RequestPrint(2);
+const FATAL: RequestFingerprint = RequestFingerprint(1);
+const OTHER: RequestFingerprint = RequestFingerprint(2);
 
 fn life(number: usize) -> LifeHash {
     LifeHash::of(&TargetEntry {
@@ -31,8 +31,8 @@
     }
 }
 
-fn is_refused(record: &Record, print: RequestPrint, now: Instant) -> bool {
-    record.refused_until(print, now).is_some()
+fn is_refused(record: &Record, fingerprint: RequestFingerprint, now: Instant) -> bool {
+    record.refused_until(fingerprint, now).is_some()
 }
 
 #[tokio::test(start_paused = true)]
@@ -92,11 +92,11 @@
     for number in 0..3 {
         record.left(FATAL, life(number), now);
         record.left(OTHER, life(number + 10), now);
-        record.ended(life(number), [RequestPrint(9 + number as u64)], now, now);
+        record.ended(life(number), [RequestFingerprint(9 + number as u64)], now, now);
     }
     let late = now + Duration::from_secs(3);
     for number in 10..13 {
-        record.ended(life(number), [RequestPrint(50)], late, late);
+        record.ended(life(number), [RequestFingerprint(50)], late, late);
     }
     assert!(is_refused(&record, FATAL, now));
     assert!(!is_refused(&record, OTHER, late), "it had left long before");
@@ -121,7 +121,7 @@
     let (mut record, now) = (Record::default(), Instant::now());
     ended(&mut record, 0..3, now);
     for number in 0..3 * MAX_REQUESTS as u64 {
-        record.ended(life(100), [RequestPrint(10 + number)], now, now);
+        record.ended(life(100), [RequestFingerprint(10 + number)], now, now);
     }
     assert!(record.len() <= MAX_REQUESTS, "{}", record.len());
     assert!(is_refused(&record, FATAL, now));
@@ -135,25 +135,25 @@
 #[tokio::test(start_paused = true)]
 async fn a_box_that_starts_hears_of_every_fatal_request_however_many_others_there_are() {
     let (mut record, mut now) = (Record::default(), Instant::now());
-    for print in 0..40 {
+    for fingerprint in 0..40 {
         for number in 0..3 {
             now += Duration::from_millis(100);
             record.ended(
-                life(print * 3 + number),
-                [RequestPrint(print as u64)],
+                life(fingerprint * 3 + number),
+                [RequestFingerprint(fingerprint as u64)],
                 now,
                 now,
             );
         }
     }
-    record.ended(life(999), (1_000..1_500).map(RequestPrint), now, now);
+    record.ended(life(999), (1_000..1_500).map(RequestFingerprint), now, now);
     let later = now + Duration::from_secs(5);
     let mut new = Record::default();
     for _ in 0..8 {
         new.hear(&record.told(later), later);
     }
-    for print in 0..40 {
-        assert!(is_refused(&new, RequestPrint(print), later), "{print}");
+    for fingerprint in 0..40 {
+        assert!(is_refused(&new, RequestFingerprint(fingerprint), later), "{fingerprint}");
     }
 }
 
@@ -167,15 +167,15 @@
         let start = Instant::now();
         let mut boxes: Vec<Record> = (0..4).map(|_| Record::default()).collect();
         let mut now = start;
-        for (at, print, target, served) in notes {
+        for (at, fingerprint, target, served) in notes {
             // Longer than the ages told are rounded.
             now += Duration::from_millis(5);
             match served {
-                true => boxes[at].served(RequestPrint(print), now),
-                false => drop(boxes[at].ended(life(target), [RequestPrint(print)], now, now)),
+                true => boxes[at].served(RequestFingerprint(fingerprint), now),
+                false => drop(boxes[at].ended(life(target), [RequestFingerprint(fingerprint)], now, now)),
             }
         }
-        let words: Vec<Vec<FatalWord>> = boxes.iter_mut().map(|record| record.told(now)).collect();
+        let words: Vec<Vec<CrashReport>> = boxes.iter_mut().map(|record| record.told(now)).collect();
         let mut one = Record::default();
         let mut other = Record::default();
         for word in &words {
@@ -184,9 +184,9 @@
         for at in order.into_iter().chain([3, 2, 1, 0]) {
             other.hear(&words[at], now);
         }
-        for print in 1..4 {
-            let print = RequestPrint(print);
-            prop_assert_eq!(is_refused(&one, print, now), is_refused(&other, print, now));
+        for fingerprint in 1..4 {
+            let fingerprint = RequestFingerprint(fingerprint);
+            prop_assert_eq!(is_refused(&one, fingerprint, now), is_refused(&other, fingerprint, now));
         }
     }
 }
@@ -228,7 +228,7 @@
     for wave in 0..5 {
         for number in 0..5 {
             let at = now + Duration::from_millis(10 * number as u64);
-            let beside = RequestPrint((100 + 10 * wave + number) as u64);
+            let beside = RequestFingerprint((100 + 10 * wave + number) as u64);
             record.ended(life(10 * wave + number), [beside], at, at);
         }
         record.ended(life(10 * wave), [OTHER], now, now);
@@ -247,22 +247,22 @@
 async fn fatal_requests_do_not_clear_each_other(#[case] count: u64) {
     let mut rng = StdRng::seed_from_u64(count);
     let mut record = Record::default();
-    let mut ends: Vec<(u64, RequestPrint)> = Vec::new();
-    for print in 0..count {
+    let mut ends: Vec<(u64, RequestFingerprint)> = Vec::new();
+    for fingerprint in 0..count {
         let mut at = 0;
         for _ in 0..6 {
             at += rng.random_range(600..1_400);
-            ends.push((at, RequestPrint(print)));
+            ends.push((at, RequestFingerprint(fingerprint)));
         }
     }
     ends.sort_unstable();
     let start = Instant::now();
     let mut reached = vec![0; count as usize];
-    for (number, (at, print)) in ends.into_iter().enumerate() {
+    for (number, (at, fingerprint)) in ends.into_iter().enumerate() {
         let now = start + Duration::from_millis(at);
-        if !is_refused(&record, print, now) {
-            reached[print.0 as usize] += 1;
-            record.ended(life(number), [print], now, now);
+        if !is_refused(&record, fingerprint, now) {
+            reached[fingerprint.0 as usize] += 1;
+            record.ended(life(number), [fingerprint], now, now);
         }
     }
     assert!(reached.iter().all(|reached| *reached <= 5), "{reached:?}");
--- a/crates/sillpin-gateway/tests/fatal_fleet.rs
+++ b/crates/sillpin-gateway/tests/fatal_fleet.rs
@@ -10,7 +10,7 @@
 use rand::seq::IndexedRandom;
 use rstest::rstest;
 use sillpin_gateway::control::TargetEntry;
-use sillpin_gateway::fatal::{FatalWord, Record, RequestPrint};
+use sillpin_gateway::fatal::{CrashReport, Record, RequestFingerprint};
 use sillpin_gateway::peers::hub::Hub;
 use sillpin_gateway::place::work::LifeHash;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 /// How often the request reaches targets at most once boxes must know it.
 const MOST_MORE: usize = 3;
 
-const FATAL: RequestPrint = RequestPrint(7);
+const FATAL: RequestFingerprint = RequestFingerprint(7);
 
 /// What becomes of some boxes while the request comes.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -34,17 +34,17 @@
 }
 
 impl Memory for Record {
-    type Word = FatalWord;
+    type Word = CrashReport;
 
-    fn found(&mut self, now: Instant) -> Vec<FatalWord> {
+    fn found(&mut self, now: Instant) -> Vec<CrashReport> {
         Record::found(self, now)
     }
 
-    fn told(&mut self, now: Instant) -> Vec<FatalWord> {
+    fn told(&mut self, now: Instant) -> Vec<CrashReport> {
         Record::told(self, now)
     }
 
-    fn hear(&mut self, words: &[FatalWord], now: Instant) {
+    fn hear(&mut self, words: &[CrashReport], now: Instant) {
         Record::hear(self, words, now);
     }
 }
