--- a/crates/sillpin-gateway/src/fatal/mod.rs
+++ b/crates/sillpin-gateway/src/fatal/mod.rs
@@ -5,18 +5,18 @@
 //! be fatal: it has not run, and will not. Without this, one of 18 engines was lost each second, and up to ten streams with it.
 //!
 //! - [`fingerprint`]: identifies identical requests,
-//! - [`witness`]: detects whether a target crashed,
+//! - [`crash_detector`]: detects whether a target crashed,
 //! - [`record`]: history of crashes by request,
-//! - [`keep`]: persists the history, so that it survives the loss of all boxes.
+//! - [`persist`]: persists the history, so that it survives the loss of all boxes.
 
-pub mod keep;
+pub mod persist;
 pub mod fingerprint;
 pub mod record;
-pub mod witness;
+pub mod crash_detector;
 
 pub use fingerprint::RequestFingerprint;
 pub use record::{CrashReport, Record};
-pub use witness::CrashDetector;
+pub use crash_detector::CrashDetector;
 
 use crate::place::work::LifeHash;
 use sillpin_telemetry::{event, events};
--- a/crates/sillpin-gateway/src/front/drive.rs
+++ b/crates/sillpin-gateway/src/front/drive.rs
@@ -13,7 +13,7 @@
 use crate::config::Repeat;
 use crate::control::TargetEntry;
 use crate::dialect::{Dialect, Sending};
-use crate::fatal::witness::BrokenRequest;
+use crate::fatal::crash_detector::BrokenRequest;
 use crate::place::load::Outcome as Health;
 use crate::place::work::LifeHash;
 use hyper::Response;
@@ -247,7 +247,7 @@
         }
         if let Ended::Unsent(why) = ended {
             self.prober.start(&target.id, why);
-            self.witness.unreachable(target);
+            self.crash_detector.unreachable(target);
         }
         let health = match ended {
             Ended::Unsent(_) => Some(Health::Unreachable),
@@ -296,7 +296,7 @@
             id: run.demand.id.clone(),
             fingerprint: run.fingerprint,
         };
-        self.witness.response_broken(target, broken);
+        self.crash_detector.response_broken(target, broken);
     }
 
     /// Whether a misdirected request, sent for weights of `version`, shows that the target's address belongs to another.
--- a/crates/sillpin-gateway/src/front/shared.rs
+++ b/crates/sillpin-gateway/src/front/shared.rs
@@ -45,7 +45,7 @@
     /// Requests that end the targets that run them.
     pub fatal: FatalRequests,
     /// Finds out whether targets ended under requests.
-    pub witness: CrashDetector,
+    pub crash_detector: CrashDetector,
     /// Second sendings.
     pub budget: Mutex<RetryBudget>,
     /// Memory for bodies.
@@ -102,12 +102,12 @@
             log: log.clone(),
             probed: Arc::default(),
         };
-        let witness = CrashDetector::new(pool.clone(), fleet.clone(), fatal.clone(), log.clone());
+        let crash_detector = CrashDetector::new(pool.clone(), fleet.clone(), fatal.clone(), log.clone());
         Self {
             dialect,
             awake,
             fatal,
-            witness,
+            crash_detector,
             fleet,
             kept,
             loads,
--- a/crates/sillpin-gateway/src/ops.rs
+++ b/crates/sillpin-gateway/src/ops.rs
@@ -9,7 +9,7 @@
 use crate::control::{Control, Published};
 use crate::dialect::Dialect;
 use crate::fatal::FatalRequests;
-use crate::fatal::keep::CrashRecordSync;
+use crate::fatal::persist::CrashRecordSync;
 use crate::front::shared::Learned;
 use crate::front::{Front, Shared};
 use crate::kept::reader::Readers;
@@ -318,13 +318,13 @@
         log: log.clone(),
     };
     tokio::spawn(registry.run());
-    let keep = CrashRecordSync {
+    let persist = CrashRecordSync {
         platform: adapter.platform.clone(),
         fatal: shared.fatal.clone(),
         fleet: fleet.clone(),
         log: log.clone(),
     };
-    tokio::spawn(keep.run());
+    tokio::spawn(persist.run());
     let name = BoxHash::of(&me);
     let gossip = Gossip {
         fleet_key,
