--- a/crates/sillpin-gateway/src/ops.rs
+++ b/crates/sillpin-gateway/src/ops.rs
@@ -26,8 +26,8 @@
 use crate::place::Loads;
 use crate::reload::Settings;
 use crate::settings::BoxConfig;
-use crate::weights::duty::Duty;
-use crate::weights::rollout::{ALONE, Rollout};
+use crate::weights::duty::Election;
+use crate::weights::rollout::{DISCOVERY_TIMEOUT, Rollout};
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{Request, Response};
 use sillpin_http::server::{BindError, HeadLimits, listen};
@@ -347,14 +347,14 @@
     tokio::spawn(gossip.run(socket));
     let rollout = Rollout {
         me: candidate,
-        alone: match shared.cfg.seeds.is_empty() {
+        discovery_timeout: match shared.cfg.seeds.is_empty() {
             true => Duration::ZERO,
-            false => ALONE,
+            false => DISCOVERY_TIMEOUT,
         },
-        duty: Duty {
+        duty: Election {
             platform: adapter.platform.clone(),
             me: id,
-            apart: shared.cfg.lease,
+            min_order_gap: shared.cfg.lease,
             hold: hold_wait(shared.cfg.history),
             awake: shared.awake.clone(),
             log: log.clone(),
--- a/crates/sillpin-gateway/src/weights/duty.rs
+++ b/crates/sillpin-gateway/src/weights/duty.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 /// Key whose value is the leader's id.
-pub const DUTY_KEY: &str = "sillpin/weights-holder";
+pub const LEADER_KEY: &str = "sillpin/weights-holder";
 
 /// Key of the record of engines that leaders ordered recently.
 pub const ORDERED_KEY: &str = "sillpin/weights-ordered";
@@ -37,7 +37,7 @@
 
 /// Leadership held by this box.
 #[derive(Debug)]
-pub struct Tenure {
+pub struct Leadership {
     /// The lease.
     pub lease: LeaseId,
     /// Fencing token, larger than that of all earlier leaders.
@@ -111,7 +111,7 @@
     }
 }
 
-impl Tenure {
+impl Leadership {
     /// Returns whether an order may be sent at `now`, a time of [`Awake::now`].
     pub fn may_order(&self, now: Instant) -> bool {
         now < self.orders_until
@@ -152,13 +152,13 @@
 
 /// Acquires, renews and resigns leadership.
 #[derive(Clone)]
-pub struct Duty<P> {
+pub struct Election<P> {
     /// The platform store.
     pub platform: P,
     /// This box.
     pub me: BoxId,
     /// Minimum time between two leaders' orders to one engine.
-    pub apart: Duration,
+    pub min_order_gap: Duration,
     /// Maximum time of one watch of the key by a box that is not the leader. Each watch costs a call, and another one to read the
     /// key after a watch without changes.
     pub hold: Duration,
@@ -168,11 +168,11 @@
     pub log: Logger,
 }
 
-impl<P: Platform> Duty<P> {
+impl<P: Platform> Election<P> {
     /// Waits until there is no leader, and becomes the leader.
     ///
     /// Fails if the store does not answer or another box was faster.
-    pub async fn take(&self) -> Result<Tenure, PlatformError> {
+    pub async fn acquire(&self) -> Result<Leadership, PlatformError> {
         let (held, at) = self.look().await?;
         if held {
             self.wait_until_free(at).await?;
@@ -182,7 +182,7 @@
         let absent = KvRevision::ABSENT;
         let put = self
             .platform
-            .put(DUTY_KEY, self.me.as_str(), absent, Some(lease));
+            .put(LEADER_KEY, self.me.as_str(), absent, Some(lease));
         let revision = put.await?;
         let (ordered, record) = self.take_record().await?;
         let now = Instant::now();
@@ -195,7 +195,7 @@
             .entries()
             .filter_map(|(target, age)| Some((target, now + near(age)?)))
             .collect();
-        let mut tenure = Tenure {
+        let mut leadership = Leadership {
             lease,
             fence: Fence(revision.0),
             orders_until: asked,
@@ -207,10 +207,10 @@
             record,
             recorded: now,
         };
-        tenure.renewed(asked);
+        leadership.renewed(asked);
         event!(self.log, events::DUTY_TAKEN, "fence" => revision.0,
-            "ordered_by_others" => tenure.others.len(), "record_lost" => is_lost);
-        Ok(tenure)
+            "ordered_by_others" => leadership.others.len(), "record_lost" => is_lost);
+        Ok(leadership)
     }
 
     /// Reads which engines the previous leader ordered, and rewrites the record: a previous leader that was
@@ -235,7 +235,7 @@
 
     /// Returns the time after an order during which other leaders do not order the engine.
     fn left_alone(&self) -> Duration {
-        self.apart + TAKEOVER_MARGIN
+        self.min_order_gap + TAKEOVER_MARGIN
     }
 
     async fn write_record(
@@ -250,35 +250,35 @@
     /// Records engines that are about to be ordered. If this fails, none of them may be ordered.
     pub async fn record(
         &self,
-        tenure: &mut Tenure,
+        leadership: &mut Leadership,
         targets: &[TargetId],
     ) -> Result<(), PlatformError> {
         for target in targets {
-            tenure.own.entry(target.clone()).or_default().underway = true;
+            leadership.own.entry(target.clone()).or_default().underway = true;
         }
         let now = Instant::now();
-        let ordered = self.ordered_of_late(tenure, now);
-        tenure.record = self.write_record(&ordered, tenure.record).await?;
-        tenure.recorded = now;
+        let ordered = self.ordered_of_late(leadership, now);
+        leadership.record = self.write_record(&ordered, leadership.record).await?;
+        leadership.recorded = now;
         Ok(())
     }
 
-    /// Returns the engines whose last order by any leader is recent, and drops the others from `tenure`.
-    fn ordered_of_late(&self, tenure: &mut Tenure, now: Instant) -> Ordered {
+    /// Returns the engines whose last order by any leader is recent, and drops the others from `leadership`.
+    fn ordered_of_late(&self, leadership: &mut Leadership, now: Instant) -> Ordered {
         let left_alone = self.left_alone();
         let near = |age: Duration| age < left_alone;
-        tenure.own.retain(|_, own| own.age(now).is_some_and(near));
-        tenure.others.retain(|_, until| now < *until);
+        leadership.own.retain(|_, own| own.age(now).is_some_and(near));
+        leadership.others.retain(|_, until| now < *until);
         let mut ordered = Ordered {
-            named: tenure.named.clone(),
-            era: tenure.era(now),
+            named: leadership.named.clone(),
+            era: leadership.era(now),
             ..Ordered::default()
         };
-        for (target, own) in &tenure.own {
+        for (target, own) in &leadership.own {
             ordered.push(target.clone(), own.age(now).unwrap_or_default());
         }
-        for (target, until) in &tenure.others {
-            if !tenure.own.contains_key(target) {
+        for (target, until) in &leadership.others {
+            if !leadership.own.contains_key(target) {
                 ordered.push(target.clone(), left_alone.saturating_sub(*until - now));
             }
         }
@@ -288,16 +288,16 @@
     /// Returns whether there is a leader, and the store's revision from which to watch. The key's own revision does not
     /// work for that, since the store discards old history.
     async fn look(&self) -> Result<(bool, KvRevision), PlatformError> {
-        let snapshot = self.platform.snapshot(DUTY_KEY).await?;
-        let held = snapshot.entries.iter().any(|entry| entry.key == DUTY_KEY);
+        let snapshot = self.platform.snapshot(LEADER_KEY).await?;
+        let held = snapshot.entries.iter().any(|entry| entry.key == LEADER_KEY);
         Ok((held, snapshot.revision))
     }
 
     async fn wait_until_free(&self, since: KvRevision) -> Result<(), PlatformError> {
         let mut after = since;
         loop {
-            let reply = self.platform.watch(DUTY_KEY, after, self.hold).await?;
-            let of_key = |key: &str| key == DUTY_KEY;
+            let reply = self.platform.watch(LEADER_KEY, after, self.hold).await?;
+            let of_key = |key: &str| key == LEADER_KEY;
             let last = reply.changed.iter().rfind(|entry| of_key(&entry.key));
             after = reply.revision;
             match last {
@@ -316,22 +316,22 @@
     }
 
     /// Renews the lease. Returns `false` if leadership is lost.
-    pub async fn renew(&self, tenure: &mut Tenure) -> bool {
+    pub async fn renew(&self, leadership: &mut Leadership) -> bool {
         let asked = self.awake.now();
-        match self.platform.renew_lease(tenure.lease).await {
+        match self.platform.renew_lease(leadership.lease).await {
             Ok(()) => {
-                tenure.renewed(asked);
+                leadership.renewed(asked);
                 true
             }
             Err(e) if e.fault == PlatformFault::LeaseLapsed => {
-                event!(self.log, events::DUTY_LOST, "fence" => tenure.fence.0, "why" => "lease lapsed");
+                event!(self.log, events::DUTY_LOST, "fence" => leadership.fence.0, "why" => "lease lapsed");
                 false
             }
             Err(e) => {
-                let over = tenure.orders_until + QUIET_END < self.awake.now();
+                let over = leadership.orders_until + QUIET_END < self.awake.now();
                 if over {
                     event!(self.log, events::DUTY_LOST,
-                        "fence" => tenure.fence.0, "why" => e.to_string());
+                        "fence" => leadership.fence.0, "why" => e.to_string());
                 }
                 !over
             }
@@ -339,11 +339,11 @@
     }
 
     /// Resigns before the box stops.
-    pub async fn give_up(&self, tenure: &Tenure) {
-        let revision = KvRevision(tenure.fence.0);
-        if let Err(e) = self.platform.delete(DUTY_KEY, revision).await {
+    pub async fn give_up(&self, leadership: &Leadership) {
+        let revision = KvRevision(leadership.fence.0);
+        if let Err(e) = self.platform.delete(LEADER_KEY, revision).await {
             // The lease expires by itself.
-            event!(self.log, events::DUTY_LOST, "fence" => tenure.fence.0, "why" => e.to_string());
+            event!(self.log, events::DUTY_LOST, "fence" => leadership.fence.0, "why" => e.to_string());
         }
     }
 }
--- a/crates/sillpin-gateway/src/weights/rollout.rs
+++ b/crates/sillpin-gateway/src/weights/rollout.rs
@@ -1,6 +1,6 @@
 //! Chooses the engines to order next, while this box is the leader.
 
-use super::duty::{Duty, RENEW_EVERY, Tenure};
+use super::duty::{Election, RENEW_EVERY, Leadership};
 use super::load::{LoadJob, Loaded, Place};
 use crate::beliefs::fleet::served;
 use crate::beliefs::wanted::{NamedAge, ages};
@@ -61,7 +61,7 @@
 
 /// Time that a box configured with peers waits, while it knows no other box, before it assumes that it is the only one: it reads the
 /// registered boxes within a second.
-pub const ALONE: Duration = Duration::from_millis(1_200);
+pub const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// Time between two log records about engines that serve replaced weights.
 const SAY_EVERY: Duration = Duration::from_secs(1);
@@ -71,9 +71,9 @@
     /// This box.
     pub me: BoxEntry,
     /// Time to wait for other boxes to become known, if there are none.
-    pub alone: Duration,
+    pub discovery_timeout: Duration,
     /// Election of the leader.
-    pub duty: Duty<P>,
+    pub duty: Election<P>,
     /// Client for calls to engines.
     pub control: C,
     /// State of the fleet.
@@ -132,7 +132,7 @@
                 () = self.stopping.cancelled() => return,
             };
             match taken {
-                Ok(tenure) => self.hold(tenure).await,
+                Ok(leadership) => self.hold(leadership).await,
                 Err(e) => {
                     event!(self.log, events::DUTY_NOT_TAKEN, "why" => e.to_string());
                     let pause = RETRY.mul_f64(rand::rng().random_range(0.5..1.5));
@@ -154,7 +154,7 @@
         let newcomer = now - started < NEWCOMER;
         let view = self.fleet.view();
         // If the whole fleet starts together, every box would consider itself a candidate until it knows the others.
-        if view.boxes.is_empty() && now - started < self.alone {
+        if view.boxes.is_empty() && now - started < self.discovery_timeout {
             return false;
         }
         let zone = view.boxes.iter().filter(|peer| peer.zone == self.me.zone);
@@ -169,13 +169,13 @@
     }
 
     /// Orders engines until leadership is lost or resigned.
-    async fn hold(&self, mut tenure: Tenure) {
-        self.learn_named(&tenure.named).await;
+    async fn hold(&self, mut leadership: Leadership) {
+        self.learn_named(&leadership.named).await;
         let mut underway = Underway::default();
         let mut look = tokio::time::interval(LOOK_EVERY);
         let mut renew = tokio::time::interval(RENEW_EVERY);
         // Jobs check this before each order, since no order may be in flight after leadership has ended.
-        let (limit, until) = watch::channel(tenure.orders_until);
+        let (limit, until) = watch::channel(leadership.orders_until);
         let freer = Freer {
             control: self.control.clone(),
             kept: self.kept.clone(),
@@ -190,25 +190,25 @@
         loop {
             tokio::select! {
                 _ = renew.tick() => {
-                    if !self.duty.renew(&mut tenure).await {
+                    if !self.duty.renew(&mut leadership).await {
                         return;
                     }
-                    limit.send_replace(tenure.orders_until);
+                    limit.send_replace(leadership.orders_until);
                 }
                 Some(done) = underway.jobs.join_next() => {
                     if let Ok(loaded) = done {
-                        tenure.ended(&loaded.target, loaded.ordered);
+                        leadership.ended(&loaded.target, loaded.ordered);
                         self.loaded(loaded, &mut underway).await;
                     }
                 }
                 _ = look.tick() => {
-                    if !self.order_more(&mut tenure, &until, &mut underway).await {
+                    if !self.order_more(&mut leadership, &until, &mut underway).await {
                         return;
                     }
                 }
                 () = self.stopping.cancelled() => {
                     underway.jobs.shutdown().await;
-                    self.duty.give_up(&tenure).await;
+                    self.duty.give_up(&leadership).await;
                     return;
                 }
             }
@@ -262,37 +262,37 @@
     /// Orders further engines. Returns `false` if leadership is lost.
     async fn order_more(
         &self,
-        tenure: &mut Tenure,
+        leadership: &mut Leadership,
         until: &watch::Receiver<Instant>,
         underway: &mut Underway,
     ) -> bool {
         let now = Instant::now();
         underway.resting.retain(|_, at| now < *at);
-        if !tenure.may_order(self.duty.awake.now()) {
+        if !leadership.may_order(self.duty.awake.now()) {
             return true;
         }
         let view = self.fleet.view();
         underway.silent.retain(|id| view.targets.contains_key(id));
-        self.say_outdated(&view, tenure, underway, now);
-        let next = self.next_batch(&view, tenure, underway, now);
-        let is_due = tenure.is_record_old(now) && !outdated(&view).is_empty();
+        self.say_outdated(&view, leadership, underway, now);
+        let next = self.next_batch(&view, leadership, underway, now);
+        let is_due = leadership.is_record_old(now) && !outdated(&view).is_empty();
         if next.is_empty() && !is_due {
             return true;
         }
-        tenure.named = ages(&view.wanted, now);
+        leadership.named = ages(&view.wanted, now);
         let ids: Vec<TargetId> = next.iter().map(|n| n.target.id.clone()).collect();
-        if let Err(e) = self.duty.record(tenure, &ids).await {
-            event!(self.log, events::DUTY_LOST, "fence" => tenure.fence.0, "why" => e.to_string());
+        if let Err(e) = self.duty.record(leadership, &ids).await {
+            event!(self.log, events::DUTY_LOST, "fence" => leadership.fence.0, "why" => e.to_string());
             return false;
         }
         for outdated in next {
-            self.start(outdated, tenure, until, underway);
+            self.start(outdated, leadership, until, underway);
         }
         true
     }
 
     /// Logs periodically how many engines serve replaced weights, and what they wait for.
-    fn say_outdated(&self, view: &View, tenure: &Tenure, underway: &mut Underway, now: Instant) {
+    fn say_outdated(&self, view: &View, leadership: &Leadership, underway: &mut Underway, now: Instant) {
         if underway.said.is_some_and(|at| now - at < SAY_EVERY) {
             return;
         }
@@ -301,7 +301,7 @@
             return;
         };
         underway.said = Some(now);
-        let left_alone = |o: &&Outdated| !tenure.may_order_target(&o.target.id, now);
+        let left_alone = |o: &&Outdated| !leadership.may_order_target(&o.target.id, now);
         event!(self.log, events::WEIGHTS_OUTDATED,
             "model" => oldest.model.as_str(), "wanted" => oldest.version.0,
             "oldest" => oldest.serves.0, "engines" => outdated.len(),
@@ -314,7 +314,7 @@
     fn next_batch(
         &self,
         view: &View,
-        tenure: &Tenure,
+        leadership: &Leadership,
         underway: &Underway,
         now: Instant,
     ) -> Vec<Outdated> {
@@ -329,7 +329,7 @@
         let may_order = |outdated: &Outdated| {
             let id = &outdated.target.id;
             let known = underway.targets.contains_key(id) || underway.resting.contains_key(id);
-            !known && tenure.may_order_target(id, now)
+            !known && leadership.may_order_target(id, now)
         };
         // An engine that did not answer takes no slot until it does.
         let mut has_place = |outdated: &Outdated| {
@@ -351,7 +351,7 @@
     fn start(
         &self,
         outdated: Outdated,
-        tenure: &Tenure,
+        leadership: &Leadership,
         until: &watch::Receiver<Instant>,
         underway: &mut Underway,
     ) {
@@ -381,7 +381,7 @@
             version,
             fleet: self.fleet.clone(),
             holder: self.duty.me.to_string(),
-            fence: tenure.fence,
+            fence: leadership.fence,
             place,
             until: until.clone(),
             awake: self.duty.awake.clone(),
--- a/crates/sillpin-gateway/tests/rollout.rs
+++ b/crates/sillpin-gateway/tests/rollout.rs
@@ -13,7 +13,7 @@
 };
 use sillpin_gateway::kept::Kept;
 use sillpin_gateway::place::Loads;
-use sillpin_gateway::weights::duty::Duty;
+use sillpin_gateway::weights::duty::Election;
 use sillpin_gateway::weights::rollout::Rollout;
 use sillpin_platform::{KvRevision, Snapshot};
 use std::collections::BTreeMap;
@@ -249,11 +249,11 @@
             link_mbps: 0,
         };
         Rollout {
-            alone: Duration::ZERO,
-            duty: Duty {
+            discovery_timeout: Duration::ZERO,
+            duty: Election {
                 platform: self.platform.clone(),
                 me: me.id.clone(),
-                apart: APART,
+                min_order_gap: APART,
                 hold: Duration::from_secs(25),
                 awake: Awake::manual(),
                 log: log.clone(),
