--- a/crates/sillpin-gateway/src/ops.rs
+++ b/crates/sillpin-gateway/src/ops.rs
@@ -26,7 +26,7 @@
 use crate::place::Loads;
 use crate::reload::Settings;
 use crate::settings::BoxConfig;
-use crate::weights::duty::Election;
+use crate::weights::election::Election;
 use crate::weights::rollout::{DISCOVERY_TIMEOUT, Rollout};
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{Request, Response};
@@ -351,7 +351,7 @@
             true => Duration::ZERO,
             false => DISCOVERY_TIMEOUT,
         },
-        duty: Election {
+        election: Election {
             platform: adapter.platform.clone(),
             me: id,
             min_order_gap: shared.cfg.lease,
--- a/crates/sillpin-gateway/src/weights/mod.rs
+++ b/crates/sillpin-gateway/src/weights/mod.rs
@@ -6,10 +6,10 @@
 //! of two leaders to one engine are never close, and continues with the other engines immediately. Orders contain the
 //! engine's count of orders, so one that arrives late, after a newer one, is rejected.
 //!
-//! - [`duty`]: election of the leader,
+//! - [`election`]: election of the leader,
 //! - [`load`]: load of new weights by one engine,
 //! - [`rollout`]: choice of the engines to order next.
 
-pub mod duty;
+pub mod election;
 pub mod load;
 pub mod rollout;
--- a/crates/sillpin-gateway/src/weights/rollout.rs
+++ b/crates/sillpin-gateway/src/weights/rollout.rs
@@ -1,6 +1,6 @@
 //! Chooses the engines to order next, while this box is the leader.
 
-use super::duty::{Election, RENEW_EVERY, Leadership};
+use super::election::{Election, RENEW_EVERY, Leadership};
 use super::load::{LoadJob, Loaded, Place};
 use crate::beliefs::fleet::served;
 use crate::beliefs::wanted::{NamedAge, ages};
@@ -73,7 +73,7 @@
     /// Time to wait for other boxes to become known, if there are none.
     pub discovery_timeout: Duration,
     /// Election of the leader.
-    pub duty: Election<P>,
+    pub election: Election<P>,
     /// Client for calls to engines.
     pub control: C,
     /// State of the fleet.
@@ -127,7 +127,7 @@
                 continue;
             }
             let taken = tokio::select! {
-                taken = self.duty.take() => taken,
+                taken = self.election.take() => taken,
                 () = self.is_replaced(started) => continue,
                 () = self.stopping.cancelled() => return,
             };
@@ -181,7 +181,7 @@
             kept: self.kept.clone(),
             fleet: self.fleet.clone(),
             until: until.clone(),
-            awake: self.duty.awake.clone(),
+            awake: self.election.awake.clone(),
             log: self.log.clone(),
         };
         // Dropped, and so aborted, at the end of leadership.
@@ -190,7 +190,7 @@
         loop {
             tokio::select! {
                 _ = renew.tick() => {
-                    if !self.duty.renew(&mut leadership).await {
+                    if !self.election.renew(&mut leadership).await {
                         return;
                     }
                     limit.send_replace(leadership.orders_until);
@@ -208,7 +208,7 @@
                 }
                 () = self.stopping.cancelled() => {
                     underway.jobs.shutdown().await;
-                    self.duty.give_up(&leadership).await;
+                    self.election.give_up(&leadership).await;
                     return;
                 }
             }
@@ -268,7 +268,7 @@
     ) -> bool {
         let now = Instant::now();
         underway.resting.retain(|_, at| now < *at);
-        if !leadership.may_order(self.duty.awake.now()) {
+        if !leadership.may_order(self.election.awake.now()) {
             return true;
         }
         let view = self.fleet.view();
@@ -281,7 +281,7 @@
         }
         leadership.named = ages(&view.wanted, now);
         let ids: Vec<TargetId> = next.iter().map(|n| n.target.id.clone()).collect();
-        if let Err(e) = self.duty.record(leadership, &ids).await {
+        if let Err(e) = self.election.record(leadership, &ids).await {
             event!(self.log, events::DUTY_LOST, "fence" => leadership.fence.0, "why" => e.to_string());
             return false;
         }
@@ -380,11 +380,11 @@
             model,
             version,
             fleet: self.fleet.clone(),
-            holder: self.duty.me.to_string(),
+            holder: self.election.me.to_string(),
             fence: leadership.fence,
             place,
             until: until.clone(),
-            awake: self.duty.awake.clone(),
+            awake: self.election.awake.clone(),
             log: self.log.clone(),
         };
         underway.jobs.spawn(job.run());
--- a/crates/sillpin-gateway/tests/awake.rs
+++ b/crates/sillpin-gateway/tests/awake.rs
@@ -12,7 +12,7 @@
 use sillpin_gateway::control::TargetEntry;
 use sillpin_gateway::kept::retire::Retirements;
 use sillpin_gateway::pool::Pool;
-use sillpin_gateway::weights::duty::Election;
+use sillpin_gateway::weights::election::Election;
 use sillpin_platform::{KvRevision, Snapshot};
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -94,7 +94,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_holder_that_wakes_after_its_lease_orders_nothing() {
     let awake = Awake::manual();
-    let duty = Election {
+    let election = Election {
         platform: MemoryStore::default(),
         me: name("box-1"),
         min_order_gap: Duration::from_secs(3),
@@ -102,12 +102,12 @@
         awake: awake.clone(),
         log: sillpin_telemetry::logs::discard(),
     };
-    let mut leadership = duty.acquire().await.unwrap();
+    let mut leadership = election.acquire().await.unwrap();
     assert!(leadership.may_order(awake.now()));
     awake.suspend(SLEEP);
     assert!(!leadership.may_order(awake.now()));
     assert!(
-        duty.renew(&mut leadership).await,
+        election.renew(&mut leadership).await,
         "the lease of this store holds"
     );
     assert!(leadership.may_order(awake.now()));
--- a/crates/sillpin-gateway/tests/duty.rs
+++ b/crates/sillpin-gateway/tests/election.rs
@@ -5,7 +5,7 @@
 use common::{MemoryStore, name, target};
 use sillpin_core::TargetId;
 use sillpin_gateway::awake::Awake;
-use sillpin_gateway::weights::duty::{Election, ORDERED_KEY, Leadership};
+use sillpin_gateway::weights::election::{Election, ORDERED_KEY, Leadership};
 use sillpin_platform::{KvRevision, Platform};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -13,7 +13,7 @@
 /// Least time between two holders' orders to one engine.
 const APART: Duration = Duration::from_millis(3_000);
 
-fn duty(store: &MemoryStore, me: &str) -> Election<MemoryStore> {
+fn election(store: &MemoryStore, me: &str) -> Election<MemoryStore> {
     Election {
         platform: store.clone(),
         me: name(me),
@@ -25,12 +25,12 @@
 }
 
 /// Records and orders an engine as a holder does, if it may.
-async fn order(duty: &Election<MemoryStore>, leadership: &mut Leadership, id: &TargetId) -> Option<Instant> {
+async fn order(election: &Election<MemoryStore>, leadership: &mut Leadership, id: &TargetId) -> Option<Instant> {
     let now = Instant::now();
     if !leadership.may_order(now) || !leadership.may_order_target(id, now) {
         return None;
     }
-    duty.record(leadership, std::slice::from_ref(id)).await.ok()?;
+    election.record(leadership, std::slice::from_ref(id)).await.ok()?;
     let now = Instant::now();
     leadership.may_order(now).then_some(now)
 }
@@ -38,9 +38,9 @@
 #[tokio::test(start_paused = true)]
 async fn a_second_box_takes_the_duty_only_when_the_lease_is_over() {
     let store = MemoryStore::default();
-    let first = duty(&store, "box-1");
+    let first = election(&store, "box-1");
     let mut leadership = first.acquire().await.unwrap();
-    let second = duty(&store, "box-2");
+    let second = election(&store, "box-2");
     let waiting = tokio::spawn(async move { second.acquire().await });
     for _ in 0..20 {
         tokio::time::sleep(Duration::from_millis(300)).await;
@@ -56,10 +56,10 @@
 #[tokio::test(start_paused = true)]
 async fn a_box_waits_for_a_duty_that_was_taken_before_the_stores_history() {
     let store = MemoryStore::default();
-    let first = duty(&store, "box-1");
+    let first = election(&store, "box-1");
     let mut leadership = first.acquire().await.unwrap();
     store.forget_history();
-    let second = duty(&store, "box-2");
+    let second = election(&store, "box-2");
     let waiting = tokio::spawn(async move { second.acquire().await });
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     assert!(!waiting.is_finished(), "it does not ask again and again");
@@ -70,11 +70,11 @@
 #[tokio::test(start_paused = true)]
 async fn a_successor_goes_on_at_once_but_leaves_recorded_engines_alone() {
     let store = MemoryStore::default();
-    let first = duty(&store, "box-1");
+    let first = election(&store, "box-1");
     let mut leadership = first.acquire().await.unwrap();
     let ordered_at = order(&first, &mut leadership, &target("e1")).await.unwrap();
     // The first holder freezes here.
-    let second = duty(&store, "box-2");
+    let second = election(&store, "box-2");
     let mut taken = second.acquire().await.unwrap();
     assert!(order(&second, &mut taken, &target("e2")).await.is_some());
     assert_eq!(order(&second, &mut taken, &target("e1")).await, None);
@@ -90,9 +90,9 @@
 #[tokio::test(start_paused = true)]
 async fn a_holder_that_wakes_cannot_record_another_order() {
     let store = MemoryStore::default();
-    let first = duty(&store, "box-1");
+    let first = election(&store, "box-1");
     let mut leadership = first.acquire().await.unwrap();
-    let second = duty(&store, "box-2");
+    let second = election(&store, "box-2");
     second.acquire().await.unwrap();
     // Even if its clock had stood still, the record would stop it.
     leadership.renewed(Instant::now());
@@ -104,13 +104,13 @@
 #[tokio::test(start_paused = true)]
 async fn a_third_holder_knows_what_the_first_ordered_a_moment_ago() {
     let store = MemoryStore::default();
-    let first = duty(&store, "box-1");
+    let first = election(&store, "box-1");
     let mut leadership = first.acquire().await.unwrap();
     order(&first, &mut leadership, &target("e1")).await.unwrap();
-    let second = duty(&store, "box-2");
+    let second = election(&store, "box-2");
     let mut taken = second.acquire().await.unwrap();
     order(&second, &mut taken, &target("e2")).await.unwrap();
-    let third = duty(&store, "box-3");
+    let third = election(&store, "box-3");
     let taken = third.acquire().await.unwrap();
     let now = Instant::now();
     assert!(!taken.may_order_target(&target("e1"), now));
@@ -121,7 +121,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_holder_without_the_store_stops_ordering_in_time() {
     let store = MemoryStore::default();
-    let first = duty(&store, "box-1");
+    let first = election(&store, "box-1");
     let mut leadership = first.acquire().await.unwrap();
     store.set_away(true);
     let lost_at = Instant::now();
@@ -135,20 +135,20 @@
 #[tokio::test(start_paused = true)]
 async fn the_duty_can_be_given_up() {
     let store = MemoryStore::default();
-    let first = duty(&store, "box-1");
+    let first = election(&store, "box-1");
     let leadership = first.acquire().await.unwrap();
     first.give_up(&leadership).await;
     let began = Instant::now();
-    duty(&store, "box-2").acquire().await.unwrap();
+    election(&store, "box-2").acquire().await.unwrap();
     assert!(began.elapsed() < Duration::from_millis(200));
 }
 
 /// Renews until the engine may be ordered; how long that took.
-async fn left_alone(duty: &Election<MemoryStore>, leadership: &mut Leadership, id: &TargetId) -> Duration {
+async fn left_alone(election: &Election<MemoryStore>, leadership: &mut Leadership, id: &TargetId) -> Duration {
     let began = Instant::now();
-    while order(duty, leadership, id).await.is_none() {
+    while order(election, leadership, id).await.is_none() {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        assert!(duty.renew(leadership).await);
+        assert!(election.renew(leadership).await);
     }
     began.elapsed()
 }
@@ -159,7 +159,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_successor_waits_only_for_what_is_left_of_the_time_after_each_order() {
     let store = MemoryStore::default();
-    let first = duty(&store, "box-1");
+    let first = election(&store, "box-1");
     let mut leadership = first.acquire().await.unwrap();
     let ordered_at = order(&first, &mut leadership, &target("e1")).await.unwrap();
     leadership.ended(&target("e1"), Some(ordered_at));
@@ -169,7 +169,7 @@
     }
     order(&first, &mut leadership, &target("e2")).await.unwrap();
     // The first holder dies here; its lease lapses 1.4 s later.
-    let second = duty(&store, "box-2");
+    let second = election(&store, "box-2");
     let mut taken = second.acquire().await.unwrap();
     let waited = left_alone(&second, &mut taken, &target("e1")).await;
     assert!(waited < Duration::from_millis(1_600), "waited {waited:?}");
@@ -182,10 +182,10 @@
 #[tokio::test(start_paused = true)]
 async fn a_third_holder_does_not_begin_the_first_ones_time_anew() {
     let store = MemoryStore::default();
-    let first = duty(&store, "box-1");
+    let first = election(&store, "box-1");
     let mut leadership = first.acquire().await.unwrap();
     order(&first, &mut leadership, &target("e1")).await.unwrap();
-    let second = duty(&store, "box-2");
+    let second = election(&store, "box-2");
     let mut taken = second.acquire().await.unwrap();
     let took_at = Instant::now();
     while took_at.elapsed() < Duration::from_millis(2_500) {
@@ -193,7 +193,7 @@
         assert!(second.renew(&mut taken).await);
     }
     order(&second, &mut taken, &target("e2")).await.unwrap();
-    let third = duty(&store, "box-3");
+    let third = election(&store, "box-3");
     let mut taken = third.acquire().await.unwrap();
     let waited = left_alone(&third, &mut taken, &target("e1")).await;
     assert!(waited < Duration::from_millis(1_000), "waited {waited:?}");
@@ -205,12 +205,12 @@
 #[tokio::test(start_paused = true)]
 async fn an_engine_that_was_never_ordered_is_not_left_alone() {
     let store = MemoryStore::default();
-    let first = duty(&store, "box-1");
+    let first = election(&store, "box-1");
     let mut leadership = first.acquire().await.unwrap();
     order(&first, &mut leadership, &target("e1")).await.unwrap();
     leadership.ended(&target("e1"), None);
     order(&first, &mut leadership, &target("e2")).await.unwrap();
-    let second = duty(&store, "box-2");
+    let second = election(&store, "box-2");
     let taken = second.acquire().await.unwrap();
     assert!(taken.may_order_target(&target("e1"), Instant::now()));
     assert!(!taken.may_order_target(&target("e2"), Instant::now()));
@@ -224,7 +224,7 @@
     let absent = KvRevision::ABSENT;
     let text = r#"{"targets":["e1"]}"#;
     store.put(ORDERED_KEY, text, absent, None).await.unwrap();
-    let holder = duty(&store, "box-1");
+    let holder = election(&store, "box-1");
     let mut taken = holder.acquire().await.unwrap();
     let waited = left_alone(&holder, &mut taken, &target("e1")).await;
     assert!(waited > APART, "waited {waited:?}");
@@ -233,22 +233,22 @@
 #[tokio::test(start_paused = true)]
 async fn a_holder_leaves_all_engines_alone_while_the_store_has_lost_which_were_ordered() {
     let store = MemoryStore::default();
-    let first = duty(&store, "box-1");
+    let first = election(&store, "box-1");
     let mut leadership = first.acquire().await.unwrap();
     let ordered_at = order(&first, &mut leadership, &target("e1")).await.unwrap();
     store.lose_all();
     assert!(!first.renew(&mut leadership).await, "its lease is lost");
-    let second = duty(&store, "box-2");
+    let second = election(&store, "box-2");
     let mut taken = second.acquire().await.unwrap();
     assert!(taken.fence > leadership.fence);
     // It writes the record, which the next one must not believe.
     second.record(&mut taken, &[]).await.unwrap();
     second.give_up(&taken).await;
-    let third = duty(&store, "box-3");
+    let third = election(&store, "box-3");
     let mut taken = third.acquire().await.unwrap();
     left_alone(&third, &mut taken, &target("e1")).await;
     assert!(ordered_at.elapsed() > APART);
-    let fourth = duty(&store, "box-4");
+    let fourth = election(&store, "box-4");
     third.give_up(&taken).await;
     let taken = fourth.acquire().await.unwrap();
     assert!(taken.may_order_target(&target("e2"), Instant::now()));
--- a/crates/sillpin-gateway/tests/rollout.rs
+++ b/crates/sillpin-gateway/tests/rollout.rs
@@ -13,7 +13,7 @@
 };
 use sillpin_gateway::kept::Kept;
 use sillpin_gateway::place::Loads;
-use sillpin_gateway::weights::duty::Election;
+use sillpin_gateway::weights::election::Election;
 use sillpin_gateway::weights::rollout::Rollout;
 use sillpin_platform::{KvRevision, Snapshot};
 use std::collections::BTreeMap;
@@ -250,7 +250,7 @@
         };
         Rollout {
             discovery_timeout: Duration::ZERO,
-            duty: Election {
+            election: Election {
                 platform: self.platform.clone(),
                 me: me.id.clone(),
                 min_order_gap: APART,
