--- a/crates/sillpin-gateway/src/kept/directory.rs
+++ b/crates/sillpin-gateway/src/kept/directory.rs
@@ -37,7 +37,7 @@
     next: u64,
     whole: HashMap<KeptKey, Tokens>,
     used: Tokens,
-    heard: Option<Instant>,
+    last_confirmed: Option<Instant>,
     recent: Recent,
 }
 
@@ -143,8 +143,8 @@
 
     /// Replaces the content of a store with a listing that was requested at `asked`, unless newer data is known: an older copy
     /// may be of an incarnation that has ended.
-    pub fn take_list(&mut self, addr: SocketAddr, list: KeptList, asked: Instant) {
-        if self.heard(addr) > Some(asked) {
+    pub fn apply_list(&mut self, addr: SocketAddr, list: KeptList, asked: Instant) {
+        if self.last_confirmed(addr) > Some(asked) {
             return;
         }
         // The store may have restarted between the request and the response.
@@ -152,7 +152,7 @@
         let mut state = StoreState {
             epoch: list.epoch,
             next: list.next,
-            heard: Some(asked),
+            last_confirmed: Some(asked),
             recent: Recent {
                 since: list.next,
                 ..Recent::default()
@@ -167,7 +167,7 @@
 
     /// Applies changes after the position `since`. Returns `false` if they do not connect to the known content, so that a
     /// listing is needed.
-    pub fn take_news(
+    pub fn apply_changes(
         &mut self,
         addr: SocketAddr,
         since: u64,
@@ -175,7 +175,7 @@
         asked: Instant,
         answered: Instant,
     ) -> bool {
-        self.take_clock(news.clock, answered);
+        self.set_clock(news.clock, answered);
         self.note_life(addr, news.epoch, answered);
         let Some(state) = self.stores.get_mut(&addr) else {
             return false;
@@ -192,7 +192,7 @@
             }
         }
         state.next = state.next.max(news.next);
-        state.heard = state.heard.max(Some(asked));
+        state.last_confirmed = state.last_confirmed.max(Some(asked));
         true
     }
 
@@ -204,7 +204,7 @@
     }
 
     /// Returns whether changes that begin at a position connect to the known content without a gap.
-    pub fn follows(&self, addr: SocketAddr, begin: Position) -> bool {
+    pub fn is_contiguous(&self, addr: SocketAddr, begin: Position) -> bool {
         let known = self.position(addr);
         known.is_some_and(|known| known.epoch == begin.epoch && begin.next <= known.next)
     }
@@ -219,14 +219,14 @@
             return false;
         }
         if state.next == position.next {
-            state.heard = state.heard.max(Some(asked));
+            state.last_confirmed = state.last_confirmed.max(Some(asked));
         }
         true
     }
 
     /// Returns when the last call that confirmed the known content of a store was sent.
-    pub fn heard(&self, addr: SocketAddr) -> Option<Instant> {
-        self.stores.get(&addr).and_then(|state| state.heard)
+    pub fn last_confirmed(&self, addr: SocketAddr) -> Option<Instant> {
+        self.stores.get(&addr).and_then(|state| state.last_confirmed)
     }
 
     /// Returns the stores whose content is known.
@@ -236,7 +236,7 @@
 
     /// Records a reading of the engines' clock. It counts as taken when it arrived, so it lags by the network delay, and
     /// deadlines derived from it are early rather than late.
-    pub fn take_clock(&mut self, engine: Option<EngineTime>, at: Instant) {
+    pub fn set_clock(&mut self, engine: Option<EngineTime>, at: Instant) {
         if let Some(engine) = engine {
             self.clock = Some(ClockReading { engine, at });
         }
@@ -263,8 +263,8 @@
 
     /// Returns whether a store's content was confirmed recently enough to fetch and save.
     pub fn is_known(&self, addr: SocketAddr, now: Instant) -> bool {
-        let heard = self.stores.get(&addr).and_then(|state| state.heard);
-        heard.is_some_and(|at| now - at < BELIEF)
+        let last_confirmed = self.stores.get(&addr).and_then(|state| state.last_confirmed);
+        last_confirmed.is_some_and(|at| now - at < BELIEF)
     }
 
     /// Returns whether a store holds a complete part of at least `tokens`.
--- a/crates/sillpin-gateway/src/kept/reader.rs
+++ b/crates/sillpin-gateway/src/kept/reader.rs
@@ -199,13 +199,13 @@
             if store.reader.take().is_some() {
                 store.since = now;
             }
-            let heard = self.kept.lock().heard(*addr);
-            let lists = lists && heard.is_none();
+            let last_confirmed = self.kept.lock().last_confirmed(*addr);
+            let lists = lists && last_confirmed.is_none();
             // In a large fleet the zone's reader sends its results to all others; they do not all poll dozens of stores whenever
             // one is lost.
-            let heard = heard.or(large.then_some(store.since));
+            let last_confirmed = last_confirmed.or(large.then_some(store.since));
             let alive = |id: &BoxId| self.loads.may_live(id, now);
-            if !store.role.should_read(view, &self.me, alive, heard, now) && !lists {
+            if !store.role.should_read(view, &self.me, alive, last_confirmed, now) && !lists {
                 continue;
             }
             let reader = StoreReader {
@@ -302,10 +302,10 @@
     /// Returns whether this box polls for its zone, or its data is too old to wait for the box that does.
     fn is_my_turn(&mut self) -> bool {
         let (view, now) = (self.fleet.view(), Instant::now());
-        let heard = self.kept.lock().heard(self.addr);
+        let last_confirmed = self.kept.lock().last_confirmed(self.addr);
         let loads = &self.loads;
         let alive = |id: &BoxId| loads.may_live(id, now);
-        self.role.should_read(&view, &self.me, alive, heard, now)
+        self.role.should_read(&view, &self.me, alive, last_confirmed, now)
     }
 
     /// Sends a listing to the zone if it is short; other boxes request a copy of a long one.
@@ -333,7 +333,7 @@
             event!(self.log, events::KEPT_STORE_LISTED, "store" => self.addr.to_string(),
                 "epoch" => list.epoch, "whole" => list.whole.len(), "partial" => list.partial.len());
             self.tell_listing(&list, asked);
-            self.kept.lock().take_list(self.addr, list, asked);
+            self.kept.lock().apply_list(self.addr, list, asked);
             return Ok(());
         };
         let wait = match self.kept.lock().has_clock() {
@@ -360,7 +360,7 @@
         if !self
             .kept
             .lock()
-            .take_news(self.addr, position.next, news, asked, Instant::now())
+            .apply_changes(self.addr, position.next, news, asked, Instant::now())
         {
             event!(self.log, events::KEPT_STORE_GAP, "store" => self.addr.to_string(),
                 "epoch_before" => position.epoch, "epoch" => epoch, "lost" => lost);
--- a/crates/sillpin-gateway/src/peers/asker.rs
+++ b/crates/sillpin-gateway/src/peers/asker.rs
@@ -276,12 +276,12 @@
                 whole,
                 partial,
             };
-            directory.take_list(store, list, asked);
+            directory.apply_list(store, list, asked);
         }
         KeptContent::Changes(changes) => {
             let since = after.map_or(next, |after| after.next);
             // The box may have learned of a later life of the store meanwhile.
-            if !directory.follows(store, Position { epoch, next: since }) {
+            if !directory.is_contiguous(store, Position { epoch, next: since }) {
                 return;
             }
             let news = KeptNews {
@@ -291,7 +291,7 @@
                 changes,
                 clock: None,
             };
-            directory.take_news(store, since, news, asked, asked);
+            directory.apply_changes(store, since, news, asked, asked);
         }
     }
 }
--- a/crates/sillpin-gateway/src/peers/digest.rs
+++ b/crates/sillpin-gateway/src/peers/digest.rs
@@ -276,7 +276,7 @@
             Some(KeptExtent {
                 addr,
                 position: directory.position(addr)?,
-                age_ms: millis(now - directory.heard(addr)?),
+                age_ms: millis(now - directory.last_confirmed(addr)?),
             })
         };
         Digest {
--- a/crates/sillpin-gateway/src/peers/ear.rs
+++ b/crates/sillpin-gateway/src/peers/ear.rs
@@ -142,7 +142,7 @@
     async fn hear_one(&self, datagram: Datagram) {
         match datagram {
             Datagram::Digest(digest) => self.take(*digest).await,
-            Datagram::Loading(news) => self.take_news(news).await,
+            Datagram::Loading(news) => self.apply_changes(news).await,
             Datagram::Kept(word) => self.take_word(word),
             Datagram::Work(word) => {
                 self.loads
@@ -171,7 +171,7 @@
         let silence = silence.unwrap_or(Duration::MAX);
         let retired = digest.retired;
         self.kept.retirements().hear(from, retired, silence, now);
-        self.kept.lock().take_clock(digest.clock, now);
+        self.kept.lock().set_clock(digest.clock, now);
         self.welcome(&digest.from);
         self.fleet.tell(FleetMsg::Heard(digest.from.clone())).await;
         self.take_named(&digest.named, &digest.from, now).await;
@@ -371,7 +371,7 @@
     let Some(asked) = asked_at(Some(theirs.age_ms)) else {
         return false;
     };
-    let mine = directory.heard(theirs.addr);
+    let mine = directory.last_confirmed(theirs.addr);
     !directory.confirm(theirs.addr, theirs.position, asked) && mine < Some(asked)
 }
 
--- a/crates/sillpin-gateway/src/peers/ear/news.rs
+++ b/crates/sillpin-gateway/src/peers/ear/news.rs
@@ -72,7 +72,7 @@
 
     pub(super) async fn take_zone(&self, word: ZoneWord) {
         for loading in &word.loading {
-            self.take_news(loading.clone()).await;
+            self.apply_changes(loading.clone()).await;
         }
         self.kept.retirements().learn(&word.retired);
         self.fatal.hear(&word.fatal);
@@ -91,7 +91,7 @@
     async fn take_one(&self, news: News) {
         match news {
             News::Kept(word) => self.take_word(word),
-            News::Loading(news) => self.take_news(news).await,
+            News::Loading(news) => self.apply_changes(news).await,
             News::Published(word) => self.take_published(word).await,
             News::Listed(listing) => self.take_listing(listing),
             News::Joined(entry) => self.fleet.tell(FleetMsg::Joined(entry)).await,
@@ -121,7 +121,7 @@
             whole,
             partial,
         };
-        directory.take_list(addr, list, asked);
+        directory.apply_list(addr, list, asked);
     }
 
     async fn take_published(&self, word: PublishedWord) {
@@ -147,7 +147,7 @@
         self.fleet.tell(msg).await;
     }
 
-    pub(super) async fn take_news(&self, news: LoadNews) {
+    pub(super) async fn apply_changes(&self, news: LoadNews) {
         if !news.done {
             self.loads
                 .note_life(&news.target, news.life, Outcome::Loading);
@@ -174,7 +174,7 @@
             epoch: word.epoch,
             next: word.since,
         };
-        if !directory.follows(word.addr, begin) {
+        if !directory.is_contiguous(word.addr, begin) {
             return;
         }
         let news = KeptNews {
@@ -184,6 +184,6 @@
             changes: word.changes,
             clock: None,
         };
-        directory.take_news(word.addr, word.since, news, asked, asked);
+        directory.apply_changes(word.addr, word.since, news, asked, asked);
     }
 }
--- a/crates/sillpin-gateway/src/peers/link.rs
+++ b/crates/sillpin-gateway/src/peers/link.rs
@@ -90,7 +90,7 @@
 
     fn kept(&self, store: SocketAddr, after: Option<Position>) -> Option<KeptCopy> {
         let directory = self.kept.lock();
-        let age = directory.heard(store)?.elapsed();
+        let age = directory.last_confirmed(store)?.elapsed();
         let changes = after.and_then(|after| directory.changes_after(store, after));
         let content = match changes {
             Some(changes) => KeptContent::Changes(changes),
--- a/crates/sillpin-gateway/tests/freer.rs
+++ b/crates/sillpin-gateway/tests/freer.rs
@@ -113,8 +113,8 @@
         freed,
     };
     let kept = Kept::default();
-    kept.lock().take_list(addr, list(&[]), start);
-    kept.lock().take_clock(Some(EngineTime(0)), start);
+    kept.lock().apply_list(addr, list(&[]), start);
+    kept.lock().set_clock(Some(EngineTime(0)), start);
     let (_limit, until) = watch::channel(start + Duration::from_secs(60));
     let freer = Freer {
         control,
--- a/crates/sillpin-gateway/tests/kept/changes.rs
+++ b/crates/sillpin-gateway/tests/kept/changes.rs
@@ -23,13 +23,13 @@
 async fn a_box_that_lacks_some_changes_gets_just_these() {
     let mut directory = Directory::default();
     let now = Instant::now();
-    directory.take_list(STORE, list(1, &["a"]), now);
+    directory.apply_list(STORE, list(1, &["a"]), now);
     let changes = (11..=15).map(|number| numbered(number, "b")).collect();
     let news = KeptNews {
         next: 15,
         ..news(1, changes)
     };
-    assert!(directory.take_news(STORE, 10, news, now, now));
+    assert!(directory.apply_changes(STORE, 10, news, now, now));
     let numbers = |position| {
         let changes = directory.changes_after(STORE, position)?;
         Some(changes.iter().map(|change| change.number).collect())
@@ -45,13 +45,13 @@
 async fn changes_that_were_forgotten_are_not_passed_over() {
     let mut directory = Directory::default();
     let now = Instant::now();
-    directory.take_list(STORE, list(1, &["a"]), now);
+    directory.apply_list(STORE, list(1, &["a"]), now);
     for number in 11..=2_000 {
         let news = KeptNews {
             next: number,
             ..news(1, vec![numbered(number, "b")])
         };
-        assert!(directory.take_news(STORE, number - 1, news, now, now));
+        assert!(directory.apply_changes(STORE, number - 1, news, now, now));
     }
     assert_eq!(directory.changes_after(STORE, at(1_000)), None);
     let oldest = (1_000..2_000).find(|from| directory.changes_after(STORE, at(*from)).is_some());
@@ -86,7 +86,7 @@
 async fn changes_keep_count_of_the_room() {
     let mut directory = Directory::default();
     let now = Instant::now();
-    directory.take_list(STORE, list(1, &["a"]), now);
+    directory.apply_list(STORE, list(1, &["a"]), now);
     let change = |part: &str, tokens| KeptChange {
         number: 11,
         key: key(part),
@@ -98,6 +98,6 @@
         change("a", None),
         change("gone before", None),
     ];
-    assert!(directory.take_news(STORE, 10, news(1, changes), now, now));
+    assert!(directory.apply_changes(STORE, 10, news(1, changes), now, now));
     assert_eq!(directory.used(STORE), Tokens(50));
 }
--- a/crates/sillpin-gateway/tests/kept/directory.rs
+++ b/crates/sillpin-gateway/tests/kept/directory.rs
@@ -17,9 +17,9 @@
 async fn a_store_that_restarted_holds_nothing_until_it_is_listed() {
     let mut directory = Directory::default();
     let now = Instant::now();
-    directory.take_list(STORE, list(1, &["a"]), now);
+    directory.apply_list(STORE, list(1, &["a"]), now);
     assert!(kept(&directory, "a"));
-    assert!(!directory.take_news(STORE, 10, news(2, Vec::new()), now, now));
+    assert!(!directory.apply_changes(STORE, 10, news(2, Vec::new()), now, now));
     assert!(!kept(&directory, "a"), "it may be written anew");
     assert_eq!(directory.position(STORE), None, "so that it is listed");
 }
@@ -29,15 +29,15 @@
     let mut directory = Directory::default();
     let before = Instant::now();
     tokio::time::advance(Duration::from_millis(10)).await;
-    directory.take_list(STORE, list(2, &[]), Instant::now());
-    directory.take_list(STORE, list(1, &["a"]), before);
+    directory.apply_list(STORE, list(2, &[]), Instant::now());
+    directory.apply_list(STORE, list(1, &["a"]), before);
     assert!(!kept(&directory, "a"));
 }
 
 #[tokio::test(start_paused = true)]
 async fn what_a_silent_store_holds_is_not_believed_for_long() {
     let mut directory = Directory::default();
-    directory.take_list(STORE, list(1, &["a"]), Instant::now());
+    directory.apply_list(STORE, list(1, &["a"]), Instant::now());
     tokio::time::advance(BELIEF).await;
     assert!(!kept(&directory, "a"));
     let now = Instant::now();
@@ -48,12 +48,12 @@
 async fn lost_events_ask_for_a_list() {
     let mut directory = Directory::default();
     let now = Instant::now();
-    directory.take_list(STORE, list(1, &["a"]), now);
+    directory.apply_list(STORE, list(1, &["a"]), now);
     let gap = KeptNews {
         lost: true,
         ..news(1, Vec::new())
     };
-    assert!(!directory.take_news(STORE, 10, gap, now, now));
+    assert!(!directory.apply_changes(STORE, 10, gap, now, now));
     assert_eq!(directory.position(STORE), None);
 }
 
@@ -61,7 +61,7 @@
 async fn a_part_is_asked_to_be_saved_once_at_a_time() {
     let mut directory = Directory::default();
     let now = Instant::now();
-    directory.take_list(STORE, list(1, &["a"]), now);
+    directory.apply_list(STORE, list(1, &["a"]), now);
     assert!(
         !directory.should_save(STORE, &key("a"), Tokens(100), now),
         "it is there"
@@ -80,7 +80,7 @@
     let mut asked = Vec::new();
     for round in 0..10u32 {
         let now = Instant::now();
-        directory.take_list(STORE, list(1, &[]), now);
+        directory.apply_list(STORE, list(1, &[]), now);
         if directory.should_save(STORE, &key("b"), Tokens(100), now) {
             asked.push(step * round);
         }
@@ -95,10 +95,10 @@
 async fn the_engines_clock_is_never_ahead() {
     let mut directory = Directory::default();
     let asked = Instant::now();
-    directory.take_list(STORE, list(1, &[]), asked);
+    directory.apply_list(STORE, list(1, &[]), asked);
     tokio::time::advance(Duration::from_millis(900)).await;
     let answered = Instant::now();
-    directory.take_news(STORE, 10, news(1, Vec::new()), asked, answered);
+    directory.apply_changes(STORE, 10, news(1, Vec::new()), asked, answered);
     let read = directory.engine_time(answered, Duration::ZERO);
     assert_eq!(
         read,
@@ -115,8 +115,8 @@
     let mut late = Directory::default();
     let mut quick = Directory::default();
     let start = Instant::now();
-    late.take_list(STORE, list(1, &["a"]), start);
-    quick.take_list(STORE, list(1, &["a"]), start);
+    late.apply_list(STORE, list(1, &["a"]), start);
+    quick.apply_list(STORE, list(1, &["a"]), start);
     let mut fetches_until = start;
     for round in 0..60u32 {
         let now = Instant::now();
@@ -124,10 +124,10 @@
             fetches_until = now + MAX_FETCH_TIME;
         }
         if round == 7 {
-            assert!(!quick.take_news(STORE, 10, news(2, Vec::new()), now, now));
+            assert!(!quick.apply_changes(STORE, 10, news(2, Vec::new()), now, now));
         }
         if round > 7 {
-            quick.take_list(STORE, list(2, &[]), now);
+            quick.apply_list(STORE, list(2, &[]), now);
             let saves = quick.should_save(STORE, &key("a"), part, now);
             assert!(!saves || now >= fetches_until, "after {:?}", now - start);
         }
@@ -150,7 +150,7 @@
     let found = Instant::now();
     let saves = |directory: &mut Directory| {
         let now = Instant::now();
-        directory.take_list(STORE, list(2, &[]), now);
+        directory.apply_list(STORE, list(2, &[]), now);
         directory.should_save(STORE, &key("a"), Tokens(100), now)
     };
     while found.elapsed() < BELIEF + MAX_FETCH_TIME {
@@ -165,15 +165,15 @@
 #[tokio::test(start_paused = true)]
 async fn calls_that_fail_do_not_show_that_a_life_of_a_store_is_over() {
     let mut directory = Directory::default();
-    directory.take_list(STORE, list(1, &["a"]), Instant::now());
+    directory.apply_list(STORE, list(1, &["a"]), Instant::now());
     directory.forget(STORE);
     tokio::time::advance(BELIEF + MAX_FETCH_TIME).await;
     let now = Instant::now();
-    directory.take_list(STORE, list(2, &[]), now);
+    directory.apply_list(STORE, list(2, &[]), now);
     assert!(!directory.should_save(STORE, &key("a"), Tokens(100), now));
     tokio::time::advance(BELIEF + MAX_FETCH_TIME).await;
     let now = Instant::now();
-    directory.take_list(STORE, list(2, &[]), now);
+    directory.apply_list(STORE, list(2, &[]), now);
     assert!(directory.should_save(STORE, &key("a"), Tokens(100), now));
 }
 
@@ -181,10 +181,10 @@
 #[tokio::test(start_paused = true)]
 async fn a_store_that_was_only_out_of_reach_is_written_at_once() {
     let mut directory = Directory::default();
-    directory.take_list(STORE, list(1, &["a"]), Instant::now());
+    directory.apply_list(STORE, list(1, &["a"]), Instant::now());
     directory.forget(STORE);
     tokio::time::advance(Duration::from_millis(400)).await;
     let now = Instant::now();
-    directory.take_list(STORE, list(1, &["a"]), now);
+    directory.apply_list(STORE, list(1, &["a"]), now);
     assert!(directory.should_save(STORE, &key("b"), Tokens(100), now));
 }
--- a/crates/sillpin-gateway/tests/parts.rs
+++ b/crates/sillpin-gateway/tests/parts.rs
@@ -54,9 +54,9 @@
             whole: holds.then_some((key, Tokens(500))).into_iter().collect(),
             partial: Vec::new(),
         };
-        kept.lock().take_list(store.addr, list, now);
+        kept.lock().apply_list(store.addr, list, now);
     }
-    kept.lock().take_clock(Some(EngineTime(0)), now);
+    kept.lock().set_clock(Some(EngineTime(0)), now);
     let config = FleetConfig {
         stores,
         ..FleetConfig::default()
--- a/crates/sillpin-gateway/tests/place.rs
+++ b/crates/sillpin-gateway/tests/place.rs
@@ -510,7 +510,7 @@
         whole: vec![(key, Tokens(5_000))],
         partial: Vec::new(),
     };
-    kept.lock().take_list(store.addr, list, now);
+    kept.lock().apply_list(store.addr, list, now);
     let config = FleetConfig {
         stores: vec![store],
         ..FleetConfig::default()
--- a/crates/sillpin-gateway/tests/residency.rs
+++ b/crates/sillpin-gateway/tests/residency.rs
@@ -137,7 +137,7 @@
             whole,
             partial: vec![],
         };
-        kept.lock().take_list(addr, list, now);
+        kept.lock().apply_list(addr, list, now);
     }
     let engine = EngineSpec {
         slots: 8,
