--- a/crates/sillpin-gateway/src/front/drive.rs
+++ b/crates/sillpin-gateway/src/front/drive.rs
@@ -223,12 +223,12 @@
         let expected = placed.chosen.queue_ms + placed.prompt_ms;
         let expected = Duration::from_secs_f64(expected / 1000.0);
         let excess = took.saturating_sub(expected);
-        let mut links = self.kept.links();
+        let mut fetch_shares = self.kept.fetch_shares();
         match placed.source {
             Some(store) => {
-                links.note_fetch(store, placed.length, excess, run.route.aim, Instant::now());
+                fetch_shares.record_fetch(store, placed.length, excess, run.route.aim, Instant::now());
             }
-            None => links.note_read(placed.length, excess),
+            None => fetch_shares.record_prefill(placed.length, excess),
         }
     }
 
--- a/crates/sillpin-gateway/src/front/placing.rs
+++ b/crates/sillpin-gateway/src/front/placing.rs
@@ -302,7 +302,7 @@
         let draw = rand::rng().random_range(0.0..1.0);
         let plan_for = |version: WeightVersion| {
             let mut plan = plan(prompt, &salt(prompt, version, org), &inputs);
-            plan.spare_links(|store| draw < self.kept.links().share(store, now));
+            plan.spare_links(|store| draw < self.kept.fetch_shares().share(store, now));
             (version, plan)
         };
         let serving = served_versions(view, base.pool, &prompt.model);
--- a/crates/sillpin-gateway/src/kept/directory.rs
+++ b/crates/sillpin-gateway/src/kept/directory.rs
@@ -1,6 +1,6 @@
 //! Content of each store, as derived from its listings and change events.
 
-use super::links::Links;
+use super::fetch_shares::FetchShares;
 use super::retire::{MAX_FETCH_TIME, Retirements};
 use crate::config::StoreSpec;
 use crate::control::{KeptChange, KeptKey, KeptList, KeptNews};
@@ -341,7 +341,7 @@
 pub struct Kept {
     directory: Arc<Mutex<Directory>>,
     retirements: Arc<Mutex<Retirements>>,
-    links: Arc<Mutex<Links>>,
+    fetch_shares: Arc<Mutex<FetchShares>>,
 }
 
 impl Kept {
@@ -356,7 +356,7 @@
     }
 
     /// Locks the fetch shares of the stores.
-    pub fn links(&self) -> MutexGuard<'_, Links> {
-        self.links.lock().unwrap_or_else(|e| e.into_inner())
+    pub fn fetch_shares(&self) -> MutexGuard<'_, FetchShares> {
+        self.fetch_shares.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
--- a/crates/sillpin-gateway/src/kept/homes.rs
+++ b/crates/sillpin-gateway/src/kept/homes.rs
@@ -20,7 +20,7 @@
 
 /// Position of a shared part in its prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Place {
+pub enum PartPosition {
     /// Followed by other shared parts.
     Inner,
     /// The last shared part.
@@ -33,11 +33,11 @@
     stores: &'a [StoreSpec],
     part: &PartId,
     tokens: Tokens,
-    place: Place,
+    place: PartPosition,
 ) -> Vec<&'a StoreSpec> {
     let max_share = match place {
-        Place::Inner => INNER_PART_SHARE,
-        Place::Last => LAST_PART_SHARE,
+        PartPosition::Inner => INNER_PART_SHARE,
+        PartPosition::Last => LAST_PART_SHARE,
     };
     let managed = stores.iter().filter(|store| store.managed);
     let mut ranked: Vec<Ranked<'_>> = managed
@@ -73,11 +73,11 @@
 /// Weighted rendezvous hashing: the largest rank wins, and each store wins in proportion to its capacity.
 fn weighted_rank(store: &PoolId, part: &PartId, room: Tokens) -> f64 {
     let hash = hash_pair(store.as_str(), &part.0);
-    room.0.max(1) as f64 / -unit(hash).ln()
+    room.0.max(1) as f64 / -to_unit_interval(hash).ln()
 }
 
 /// Maps a hash to a number in the open interval (0, 1).
-pub fn unit(hash: u64) -> f64 {
+pub fn to_unit_interval(hash: u64) -> f64 {
     const BITS: u32 = 53;
     let top = (hash >> (64 - BITS)) as f64;
     (top + 0.5) / (1u64 << BITS) as f64
--- a/crates/sillpin-gateway/src/kept/links.rs
+++ b/crates/sillpin-gateway/src/kept/links.rs
@@ -46,7 +46,7 @@
 
 /// Fetch shares by store, and the time that prompts take without a fetch.
 #[derive(Debug, Default)]
-pub struct Links {
+pub struct FetchShares {
     links: HashMap<SocketAddr, Link>,
     /// Average extra time of prompts without a fetch, by length class.
     read_excess_ms: HashMap<u32, f64>,
@@ -57,7 +57,7 @@
     prompt.0.max(1).ilog2()
 }
 
-impl Links {
+impl FetchShares {
     /// Returns the share of prompts that may fetch from a store.
     pub fn share(&self, store: SocketAddr, now: Instant) -> f64 {
         self.links
@@ -66,14 +66,14 @@
     }
 
     /// Records that a prompt without a fetch took `excess` longer than its prefill explains.
-    pub fn note_read(&mut self, prompt: Tokens, excess: Duration) {
+    pub fn record_prefill(&mut self, prompt: Tokens, excess: Duration) {
         let average = self.read_excess_ms.entry(class(prompt)).or_insert(0.0);
         *average += WEIGHT * (millis(excess) - *average);
     }
 
     /// Records that a prompt with a fetch took `excess` longer than prefill and transfer explain. `aim` is the latency objective for
     /// its first event.
-    pub fn note_fetch(
+    pub fn record_fetch(
         &mut self,
         store: SocketAddr,
         prompt: Tokens,
--- a/crates/sillpin-gateway/src/kept/retire.rs
+++ b/crates/sillpin-gateway/src/kept/retire.rs
@@ -10,7 +10,7 @@
 //! uses at most the parts that were in use at its last contact with the platform store, because a box without contact fetches
 //! nothing, unless no box has contact, and then nothing is freed. Fetches are aborted after a known time.
 
-use super::homes::{hash_pair, unit};
+use super::homes::{hash_pair, to_unit_interval};
 use super::salt::SaltParts;
 use crate::beliefs::View;
 use crate::beliefs::fleet::served;
@@ -170,7 +170,7 @@
     }
 
     /// Retires the shares that other boxes have retired.
-    pub fn learn(&mut self, applied: &[Retired]) {
+    pub fn apply_shares(&mut self, applied: &[Retired]) {
         for retired in applied {
             self.retire(retired.weights.clone(), retired.share);
         }
@@ -250,7 +250,7 @@
 
 /// Returns a part's rank, in (0, 1), in the order in which the parts of its version are retired.
 pub fn place_of(key: &KeptKey) -> f64 {
-    unit(hash_pair("retire", &key.part.0))
+    to_unit_interval(hash_pair("retire", &key.part.0))
 }
 
 /// Returns the version that a salt names.
--- a/crates/sillpin-gateway/src/peers/ear/news.rs
+++ b/crates/sillpin-gateway/src/peers/ear/news.rs
@@ -30,7 +30,7 @@
         for news in &report.news {
             self.take_one(news.clone()).await;
         }
-        self.kept.retirements().learn(&report.retired);
+        self.kept.retirements().apply_shares(&report.retired);
         self.fatal.hear(&report.fatal);
         self.take_limits(&report.limits);
         let roster = self.zone_news.rosters.of(&self.fleet.view());
@@ -55,7 +55,7 @@
             self.loads.hear_sums(sums.work, &members);
             self.loads
                 .words(|words| words.replaced.hear(&sums.replaced, now));
-            self.kept.retirements().learn(&sums.retired);
+            self.kept.retirements().apply_shares(&sums.retired);
             self.fatal.hear(&sums.fatal);
             self.take_limits(&sums.limits);
             let roster = self.zone_news.rosters.of(&self.fleet.view());
@@ -74,7 +74,7 @@
         for loading in &word.loading {
             self.apply_changes(loading.clone()).await;
         }
-        self.kept.retirements().learn(&word.retired);
+        self.kept.retirements().apply_shares(&word.retired);
         self.fatal.hear(&word.fatal);
         self.take_limits(&word.limits);
         self.zone_news.hub().zone_word(word, Instant::now());
--- a/crates/sillpin-gateway/src/peers/roles.rs
+++ b/crates/sillpin-gateway/src/peers/roles.rs
@@ -6,7 +6,7 @@
 //! be agreed when a reader dies or is cut off.
 
 use crate::beliefs::{BoxEntry, View};
-use crate::kept::homes::{hash_pair, unit};
+use crate::kept::homes::{hash_pair, to_unit_interval};
 use sillpin_core::BoxId;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -60,7 +60,7 @@
 
 /// How old a box lets its knowledge of `thing` grow before it reads by itself.
 fn patience(me: &BoxEntry, thing: &str) -> Duration {
-    OLD + SPREAD.mul_f64(unit(hash_pair(me.id.as_str(), thing)))
+    OLD + SPREAD.mul_f64(to_unit_interval(hash_pair(me.id.as_str(), thing)))
 }
 
 fn is_old(confirmed: Option<Instant>, patience: Duration, now: Instant) -> bool {
--- a/crates/sillpin-gateway/src/place/choose.rs
+++ b/crates/sillpin-gateway/src/place/choose.rs
@@ -13,7 +13,7 @@
 use super::work::{LifeHash, TargetHash, Work};
 use crate::beliefs::fleet::served;
 use crate::control::TargetEntry;
-use crate::kept::homes::{hash_pair, unit};
+use crate::kept::homes::{hash_pair, to_unit_interval};
 use sillpin_core::{ModelId, PoolId, TargetId, Tokens, WeightVersion, ZoneId};
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -401,7 +401,7 @@
 
 /// Breaks ties between plain targets alike in every decision of one process.
 fn spread(target: &TargetEntry) -> f64 {
-    unit(hash_pair(target.id.as_str(), ""))
+    to_unit_interval(hash_pair(target.id.as_str(), ""))
 }
 
 /// What it costs to go elsewhere than home: nothing at the first engine, and more the further down the order.
--- a/crates/sillpin-gateway/src/place/parts.rs
+++ b/crates/sillpin-gateway/src/place/parts.rs
@@ -3,7 +3,7 @@
 use crate::config::{EngineSpec, FleetConfig, Organisation, StoreSpec};
 use crate::control::KeptKey;
 use crate::dialect::{EngineSending, Prompt, Salt};
-use crate::kept::homes::{Place, homes};
+use crate::kept::homes::{PartPosition, homes};
 use crate::kept::retire::MAX_FETCH_TIME;
 use crate::kept::salt::SaltParts;
 use crate::kept::{Directory, Kept};
@@ -121,8 +121,8 @@
         .enumerate()
         .map(|(index, part)| {
             let place = match index + 1 < shared_count {
-                true => Place::Inner,
-                false => Place::Last,
+                true => PartPosition::Inner,
+                false => PartPosition::Last,
             };
             let key = KeptKey {
                 salt: text.clone(),
@@ -146,7 +146,7 @@
 fn look_up(
     key: KeptKey,
     tokens: Tokens,
-    place: Place,
+    place: PartPosition,
     salt: &SaltParts,
     inputs: &PlanInputs<'_>,
 ) -> SharedPart {
--- a/crates/sillpin-gateway/tests/kept/homes.rs
+++ b/crates/sillpin-gateway/tests/kept/homes.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use sillpin_core::Tokens;
 use sillpin_gateway::dialect::PartId;
-use sillpin_gateway::kept::homes::{Place, homes};
+use sillpin_gateway::kept::homes::{PartPosition, homes};
 use sillpin_gateway::kept::salt::SaltParts;
 
 #[test]
@@ -19,14 +19,14 @@
         let found = homes(&stores, &PartId("a".to_owned()), Tokens(tokens), place);
         found[0].id.to_string()
     };
-    assert_eq!(first(531, Place::Last), "fast");
-    assert!(first(5_000, Place::Last).starts_with("roomy"));
+    assert_eq!(first(531, PartPosition::Last), "fast");
+    assert!(first(5_000, PartPosition::Last).starts_with("roomy"));
     assert!(
-        first(13_300, Place::Last).starts_with("roomy"),
+        first(13_300, PartPosition::Last).starts_with("roomy"),
         "no store suits it"
     );
     assert_eq!(
-        first(2_520, Place::Inner),
+        first(2_520, PartPosition::Inner),
         "fast",
         "all prompts of its sessions have it"
     );
@@ -41,7 +41,7 @@
         ];
         let at_one = (0..1_000)
             .map(|i| PartId(format!("{seed}-{i}")))
-            .filter(|part| homes(&stores, part, Tokens(5_000), Place::Last)[0].id.as_str() == "one")
+            .filter(|part| homes(&stores, part, Tokens(5_000), PartPosition::Last)[0].id.as_str() == "one")
             .count();
         // Six standard deviations of a fair split of 1,000.
         prop_assert!((405..=595).contains(&at_one), "{at_one} of 1,000");
--- a/crates/sillpin-gateway/tests/kept/links.rs
+++ b/crates/sillpin-gateway/tests/kept/links.rs
@@ -2,7 +2,7 @@
 
 use crate::STORE;
 use sillpin_core::Tokens;
-use sillpin_gateway::kept::links::Links;
+use sillpin_gateway::kept::links::FetchShares;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -15,12 +15,12 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_slow_store_gets_a_smaller_share_of_fetches_and_recovers() {
-    let mut links = Links::default();
+    let mut links = FetchShares::default();
     assert_eq!(links.share(STORE, Instant::now()), 1.0);
     for _ in 0..60 {
         tokio::time::advance(Duration::from_millis(50)).await;
-        links.note_read(LONG, Duration::from_millis(20));
-        links.note_fetch(STORE, LONG, Duration::from_millis(900), AIM, Instant::now());
+        links.record_prefill(LONG, Duration::from_millis(20));
+        links.record_fetch(STORE, LONG, Duration::from_millis(900), AIM, Instant::now());
     }
     let slow = links.share(STORE, Instant::now());
     assert!(slow < 0.3, "{slow}");
@@ -30,18 +30,18 @@
     );
     for _ in 0..200 {
         tokio::time::advance(Duration::from_millis(50)).await;
-        links.note_fetch(STORE, LONG, Duration::from_millis(30), AIM, Instant::now());
+        links.record_fetch(STORE, LONG, Duration::from_millis(30), AIM, Instant::now());
     }
     assert_eq!(links.share(STORE, Instant::now()), 1.0);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_fleet_that_is_slow_with_long_prompts_keeps_fetching() {
-    let mut links = Links::default();
+    let mut links = FetchShares::default();
     for _ in 0..100 {
-        links.note_read(SHORT, Duration::from_millis(20));
-        links.note_read(LONG, Duration::from_millis(700));
-        links.note_fetch(STORE, LONG, Duration::from_millis(800), AIM, Instant::now());
+        links.record_prefill(SHORT, Duration::from_millis(20));
+        links.record_prefill(LONG, Duration::from_millis(700));
+        links.record_fetch(STORE, LONG, Duration::from_millis(800), AIM, Instant::now());
     }
     assert_eq!(links.share(STORE, Instant::now()), 1.0);
 }
@@ -49,10 +49,10 @@
 #[tokio::test(start_paused = true)]
 async fn a_fetch_that_is_late_for_one_aim_is_in_time_for_a_longer_one() {
     let share_after = |aim: Duration| {
-        let mut links = Links::default();
+        let mut links = FetchShares::default();
         for _ in 0..60 {
-            links.note_read(LONG, Duration::from_millis(20));
-            links.note_fetch(STORE, LONG, Duration::from_millis(500), aim, Instant::now());
+            links.record_prefill(LONG, Duration::from_millis(20));
+            links.record_fetch(STORE, LONG, Duration::from_millis(500), aim, Instant::now());
         }
         links.share(STORE, Instant::now())
     };
--- a/crates/sillpin-gateway/tests/kept/retire.rs
+++ b/crates/sillpin-gateway/tests/kept/retire.rs
@@ -278,7 +278,7 @@
     };
     let mut other = Retirements::default();
     assert!(!other.has_any());
-    other.learn(&holder.applied());
+    other.apply_shares(&holder.applied());
     assert_eq!(other.applied(), holder.applied());
     let salt = SaltParts {
         model: name("m"),
