--- a/crates/sillpin-gateway/src/fatal/crash_detector.rs
+++ b/crates/sillpin-gateway/src/fatal/crash_detector.rs
@@ -19,21 +19,21 @@
 use tokio::time::Instant;
 
 /// Time after which a new connection is checked again: a process that exits may close its connections before it stops listening.
-const SETTLE: Duration = Duration::from_millis(100);
+const SETTLE_TIME: Duration = Duration::from_millis(100);
 
 /// Time between two checks of a target of which it is unclear whether it crashed.
-const LOOK_EVERY: Duration = Duration::from_millis(400);
+const CHECK_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Time after which the checks of such a target end. If its zone is partitioned for longer, the crash is not recorded; the next crash
 /// under the request counts.
-const LOOK_FOR: Duration = Duration::from_secs(6);
+const CHECK_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Number of other targets of the zone that are tried, since one of them may have crashed too.
-const NEIGHBOURS: usize = 2;
+const MAX_NEIGHBOURS: usize = 2;
 
 /// Maximum number of requests per target that are retained until it is clear whether the target crashed: more than a box has in
 /// flight at one.
-const MAX_WAITING: usize = 256;
+const MAX_PENDING: usize = 256;
 
 /// A request whose response was cut off.
 #[derive(Debug, Clone)]
@@ -55,7 +55,7 @@
     pub fatal: FatalRequests,
     /// Logger.
     pub log: Logger,
-    waiting: Arc<Mutex<HashMap<LifeHash, Vec<BrokenRequest>>>>,
+    pending: Arc<Mutex<HashMap<LifeHash, Vec<BrokenRequest>>>>,
 }
 
 impl CrashDetector {
@@ -66,67 +66,67 @@
             fleet,
             fatal,
             log,
-            waiting: Arc::default(),
+            pending: Arc::default(),
         }
     }
 
     /// Checks whether a target crashed, after its response to a request was cut off.
     pub fn response_broken(&self, target: &Arc<TargetEntry>, broken: BrokenRequest) {
-        self.look(target, Some(broken));
+        self.start_check(target, Some(broken));
     }
 
     /// Checks whether an unreachable target crashed, if this box recently abandoned an attempt there.
     pub fn unreachable(&self, target: &Arc<TargetEntry>) {
         let life = LifeHash::of(target);
-        if self.fatal.record().has_left(life, Instant::now()) {
-            self.look(target, None);
+        if self.fatal.record().has_abandoned(life, Instant::now()) {
+            self.start_check(target, None);
         }
     }
 
-    fn look(&self, target: &Arc<TargetEntry>, broken: Option<BrokenRequest>) {
-        let mut waiting = self.waiting();
-        let known = waiting.get_mut(&LifeHash::of(target));
-        if let Some(of_life) = known {
-            of_life.extend(broken.filter(|_| of_life.len() < MAX_WAITING));
+    fn start_check(&self, target: &Arc<TargetEntry>, broken: Option<BrokenRequest>) {
+        let mut pending = self.pending();
+        let existing = pending.get_mut(&LifeHash::of(target));
+        if let Some(requests) = existing {
+            requests.extend(broken.filter(|_| requests.len() < MAX_PENDING));
             return;
         }
-        waiting.insert(LifeHash::of(target), broken.into_iter().collect());
-        tokio::spawn(self.clone().look_after(target.clone()));
+        pending.insert(LifeHash::of(target), broken.into_iter().collect());
+        tokio::spawn(self.clone().check(target.clone()));
     }
 
-    async fn look_after(self, target: Arc<TargetEntry>) {
+    async fn check(self, target: Arc<TargetEntry>) {
         let (began, life) = (Instant::now(), LifeHash::of(&target));
-        let ended = self.has_ended(&target).await;
-        let under_way = self.waiting().remove(&life).unwrap_or_default();
-        if !ended {
+        let crashed = self.has_crashed(&target).await;
+        let requests = self.pending().remove(&life).unwrap_or_default();
+        if !crashed {
             return;
         }
-        let prints = under_way.iter().map(|broken| broken.fingerprint);
-        self.fatal.ended(life, prints, began);
-        for broken in under_way {
+        let fingerprints = requests.iter().map(|broken| broken.fingerprint);
+        self.fatal.record_crash(life, fingerprints, began);
+        for broken in requests {
             event!(self.log, events::TARGET_ENDED, "request" => broken.id,
                 "print" => broken.fingerprint.to_string(), "target" => target.id.as_str(),
                 "elapsed_ms" => began.elapsed().as_millis());
         }
     }
 
-    async fn has_ended(&self, target: &TargetEntry) -> bool {
-        let until = Instant::now() + LOOK_FOR;
+    async fn has_crashed(&self, target: &TargetEntry) -> bool {
+        let until = Instant::now() + CHECK_TIMEOUT;
         while Instant::now() < until {
             match Conn::open(target).await {
                 Ok(conn) => {
-                    tokio::time::sleep(SETTLE).await;
+                    tokio::time::sleep(SETTLE_TIME).await;
                     if !conn.is_closed() {
                         self.pool.put(target.id.clone(), conn, None).await;
                         return false;
                     }
-                    tokio::time::sleep(LOOK_EVERY).await;
+                    tokio::time::sleep(CHECK_INTERVAL).await;
                 }
-                Err(SendError::Refused { .. }) if self.refuses_alone(target).await => {
+                Err(SendError::Refused { .. }) if self.only_target_refuses(target).await => {
                     return true;
                 }
-                Err(_) if self.has_another_life(target) => return true,
-                Err(_) => tokio::time::sleep(LOOK_EVERY).await,
+                Err(_) if self.is_replaced(target) => return true,
+                Err(_) => tokio::time::sleep(CHECK_INTERVAL).await,
             }
         }
         false
@@ -134,7 +134,7 @@
 
     /// Returns whether a target that has just refused a connection does so again after another target of its zone has accepted one: a
     /// partition may end between the two.
-    async fn refuses_alone(&self, target: &TargetEntry) -> bool {
+    async fn only_target_refuses(&self, target: &TargetEntry) -> bool {
         if !self.reaches_neighbour(target).await {
             return false;
         }
@@ -148,7 +148,7 @@
             |other: &&Arc<TargetEntry>| other.zone == target.zone && other.addr != target.addr;
         let neighbours: Vec<_> = view.targets.values().filter(is_neighbour).collect();
         let picked: Vec<_> = neighbours
-            .sample(&mut rand::rng(), NEIGHBOURS)
+            .sample(&mut rand::rng(), MAX_NEIGHBOURS)
             .map(|neighbour| Arc::clone(neighbour))
             .collect();
         for neighbour in picked {
@@ -161,15 +161,15 @@
     }
 
     /// Returns whether the target is listed in another incarnation, or another target is listed at its address.
-    fn has_another_life(&self, target: &TargetEntry) -> bool {
+    fn is_replaced(&self, target: &TargetEntry) -> bool {
         let view = self.fleet.view();
-        let at_its_place =
+        let is_same_place =
             |other: &&Arc<TargetEntry>| other.id == target.id || other.addr == target.addr;
-        let mut there = view.targets.values().filter(at_its_place);
+        let mut there = view.targets.values().filter(is_same_place);
         there.any(|other| LifeHash::of(other) != LifeHash::of(target))
     }
 
-    fn waiting(&self) -> MutexGuard<'_, HashMap<LifeHash, Vec<BrokenRequest>>> {
-        self.waiting.lock().unwrap_or_else(|e| e.into_inner())
+    fn pending(&self) -> MutexGuard<'_, HashMap<LifeHash, Vec<BrokenRequest>>> {
+        self.pending.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
--- a/crates/sillpin-gateway/src/fatal/mod.rs
+++ b/crates/sillpin-gateway/src/fatal/mod.rs
@@ -15,7 +15,7 @@
 pub mod crash_detector;
 
 pub use fingerprint::RequestFingerprint;
-pub use record::{CrashReport, Record};
+pub use record::{CrashReport, CrashRecord};
 pub use crash_detector::CrashDetector;
 
 use crate::place::work::LifeHash;
@@ -28,7 +28,7 @@
 /// Crash history of a box; clones share it.
 #[derive(Debug, Clone)]
 pub struct FatalRequests {
-    record: Arc<Mutex<Record>>,
+    record: Arc<Mutex<CrashRecord>>,
     /// Notified when this box itself has observed a crash.
     pub found: Arc<Notify>,
     log: Logger,
@@ -45,48 +45,48 @@
     }
 
     /// Locks the history.
-    pub fn record(&self) -> MutexGuard<'_, Record> {
+    pub fn record(&self) -> MutexGuard<'_, CrashRecord> {
         self.record.lock().unwrap_or_else(|e| e.into_inner())
     }
 
     /// Records that a target crashed at `at` while it ran requests of this box.
-    pub fn ended(
+    pub fn record_crash(
         &self,
         life: LifeHash,
         under: impl IntoIterator<Item = RequestFingerprint>,
         at: Instant,
     ) {
-        let known = self.record().ended(life, under, at, Instant::now());
+        let fatal = self.record().record_crash(life, under, at, Instant::now());
         self.found.notify_waiters();
-        self.log_known(&known, "this box");
+        self.log_fatal(&fatal, "this box");
     }
 
     /// Applies reports from another box.
-    pub fn hear(&self, words: &[CrashReport]) {
-        if !words.is_empty() {
-            let known = self.record().hear(words, Instant::now());
-            self.log_known(&known, "other boxes");
+    pub fn hear(&self, reports: &[CrashReport]) {
+        if !reports.is_empty() {
+            let fatal = self.record().hear(reports, Instant::now());
+            self.log_fatal(&fatal, "other boxes");
         }
     }
 
     /// Applies reports that were persisted in the platform store.
-    pub fn restore(&self, words: &[CrashReport]) {
-        let known = self.record().hear(words, Instant::now());
-        self.log_known(&known, "store");
+    pub fn restore(&self, reports: &[CrashReport]) {
+        let fatal = self.record().hear(reports, Instant::now());
+        self.log_fatal(&fatal, "store");
     }
 
-    /// Tracks an attempt that is about to be sent to a target. It counts as abandoned there unless [`Sent::end`] is called.
-    pub fn sent(&self, fingerprint: RequestFingerprint, life: LifeHash) -> Sent<'_> {
-        Sent {
+    /// Tracks an attempt that is about to be sent to a target. It counts as abandoned there unless [`AttemptGuard::end`] is called.
+    pub fn sent(&self, fingerprint: RequestFingerprint, life: LifeHash) -> AttemptGuard<'_> {
+        AttemptGuard {
             fatal: self,
             fingerprint,
             life,
-            left: true,
+            abandoned: true,
         }
     }
 
-    fn log_known(&self, known: &[RequestFingerprint], source: &'static str) {
-        for fingerprint in known {
+    fn log_fatal(&self, fatal: &[RequestFingerprint], source: &'static str) {
+        for fingerprint in fatal {
             event!(self.log, events::REQUEST_FATAL, "print" => fingerprint.to_string(), "source" => source);
         }
     }
@@ -94,25 +94,25 @@
 
 /// An attempt at a target. If it is dropped while it waits, for example because its caller disconnects, it counts as abandoned: the
 /// target may still run it, and crash.
-pub struct Sent<'a> {
+pub struct AttemptGuard<'a> {
     fatal: &'a FatalRequests,
     fingerprint: RequestFingerprint,
     life: LifeHash,
-    left: bool,
+    abandoned: bool,
 }
 
-impl Sent<'_> {
-    /// Ends the attempt; `left` is whether this box abandoned it.
-    pub fn end(mut self, left: bool) {
-        self.left = left;
+impl AttemptGuard<'_> {
+    /// Ends the attempt; `abandoned` is whether this box abandoned it.
+    pub fn end(mut self, abandoned: bool) {
+        self.abandoned = abandoned;
     }
 }
 
-impl Drop for Sent<'_> {
+impl Drop for AttemptGuard<'_> {
     fn drop(&mut self) {
-        if self.left {
+        if self.abandoned {
             let mut record = self.fatal.record();
-            record.left(self.fingerprint, self.life, Instant::now());
+            record.abandoned(self.fingerprint, self.life, Instant::now());
         }
     }
 }
--- a/crates/sillpin-gateway/src/fatal/persist.rs
+++ b/crates/sillpin-gateway/src/fatal/persist.rs
@@ -4,7 +4,7 @@
 //! observes the second or third crash under a request writes it to the platform store, all such requests under one key, and a box
 //! reads that key when it starts.
 
-use super::record::KNOWN_AFTER;
+use super::record::FATAL_CRASHES;
 use super::{FatalRequests, CrashReport, RequestFingerprint};
 use crate::beliefs::{FleetHandle, View};
 use crate::place::work::LifeHash;
@@ -22,16 +22,16 @@
 pub const FATAL_KEY: &str = "sillpin/fatal";
 
 /// Minimum number of crashes under a request that is persisted. A request that merely ran beside a fatal one has mostly seen one.
-const KEEP_FROM: usize = 2;
+const MIN_CRASHES: usize = 2;
 
 /// Maximum number of requests that are persisted: some 10 KB.
-const MAX_KEPT: usize = 64;
+const MAX_PERSISTED: usize = 64;
 
 /// Delay before a box that has started reads the key again: a stale read, at a tenth of the price, may be seconds old.
-const LOOK_AGAIN: Duration = Duration::from_millis(1_500);
+const SECOND_READ_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Number of reads by a box that has started.
-const LOOKS: usize = 2;
+const READS: usize = 2;
 
 /// Bounds of the delay after a failed call.
 const MIN_BACKOFF: Duration = Duration::from_millis(250);
@@ -61,34 +61,34 @@
 impl<P: Platform> CrashRecordSync<P> {
     /// Runs until the process ends.
     pub async fn run(self) {
-        let noticed = self.fatal.clone();
+        let history = self.fatal.clone();
         let restoring = async {
-            for look in 0..LOOKS {
-                if look > 0 {
-                    tokio::time::sleep(LOOK_AGAIN).await;
+            for read_number in 0..READS {
+                if read_number > 0 {
+                    tokio::time::sleep(SECOND_READ_DELAY).await;
                 }
                 self.restore().await;
             }
         };
-        let keeping = async {
+        let persisting = async {
             // Number of crashes that the store is known to hold, by request.
             let mut written: HashMap<RequestFingerprint, usize> = HashMap::new();
             let mut views = self.fleet.subscribe();
             let mut era = StoreEra::default();
             loop {
-                let found = noticed.found.notified();
-                if self.has_news(&written) {
+                let found = history.found.notified();
+                if self.has_unwritten(&written) {
                     self.write(&mut written).await;
                     continue;
                 }
                 tokio::select! {
                     () = found => {}
                     // The backup may be older than the last write.
-                    () = later_era(&mut views, &mut era) => written.clear(),
+                    () = era_advanced(&mut views, &mut era) => written.clear(),
                 }
             }
         };
-        tokio::join!(restoring, keeping);
+        tokio::join!(restoring, persisting);
     }
 
     /// Applies the persisted history, as soon as the store answers.
@@ -98,46 +98,46 @@
             match self.platform.glance(FATAL_KEY).await {
                 Ok(snapshot) => {
                     let entry = snapshot.entries.iter().find(|entry| entry.key == FATAL_KEY);
-                    let words = entry.map(|entry| self.read(entry)).unwrap_or_default();
-                    return self.fatal.restore(&words);
+                    let reports = entry.map(|entry| self.parse(entry)).unwrap_or_default();
+                    return self.fatal.restore(&reports);
                 }
-                Err(e) => self.failed(&e, &mut backoff).await,
+                Err(e) => self.back_off(&e, &mut backoff).await,
             }
         }
     }
 
-    /// Returns whether this box observed crashes that the store lacks. Crashes beyond [`KNOWN_AFTER`] need not be written.
-    fn has_news(&self, written: &HashMap<RequestFingerprint, usize>) -> bool {
-        let kept = self.kept_here();
+    /// Returns whether this box observed crashes that the store lacks. Crashes beyond [`FATAL_CRASHES`] need not be written.
+    fn has_unwritten(&self, written: &HashMap<RequestFingerprint, usize>) -> bool {
+        let reports = self.reports_to_persist();
         let record = self.fatal.record();
-        let lacks = |word: &CrashReport| {
-            let count = word.ended.len().min(KNOWN_AFTER);
-            record.is_found_here(word.fingerprint)
-                && written.get(&word.fingerprint).is_none_or(|known| *known < count)
+        let lacks = |report: &CrashReport| {
+            let count = report.crashes.len().min(FATAL_CRASHES);
+            record.is_observed_here(report.fingerprint)
+                && written.get(&report.fingerprint).is_none_or(|known| *known < count)
         };
-        kept.iter().any(lacks)
+        reports.iter().any(lacks)
     }
 
     /// Returns the part of this box's history that is to be persisted.
-    fn kept_here(&self) -> Vec<CrashReport> {
+    fn reports_to_persist(&self) -> Vec<CrashReport> {
         let record = self.fatal.record();
-        record.worth_keeping(KEEP_FROM, MAX_KEPT, Instant::now())
+        record.to_persist(MIN_CRASHES, MAX_PERSISTED, Instant::now())
     }
 
     async fn write(&self, written: &mut HashMap<RequestFingerprint, usize>) {
         let mut backoff = MIN_BACKOFF;
         loop {
             match self.write_once().await {
-                Ok(words) => {
-                    *written = words
+                Ok(reports) => {
+                    *written = reports
                         .iter()
-                        .map(|word| (word.fingerprint, word.ended.len()))
+                        .map(|report| (report.fingerprint, report.crashes.len()))
                         .collect();
                     return;
                 }
                 // Another box has written in between.
                 Err(e) if e.fault == PlatformFault::Conflict => {}
-                Err(e) => self.failed(&e, &mut backoff).await,
+                Err(e) => self.back_off(&e, &mut backoff).await,
             }
         }
     }
@@ -146,27 +146,27 @@
     async fn write_once(&self) -> Result<Vec<CrashReport>, PlatformError> {
         let entry = self.platform.get(FATAL_KEY).await?;
         if let Some(entry) = &entry {
-            let words = self.read(entry);
-            self.fatal.restore(&words);
+            let reports = self.parse(entry);
+            self.fatal.restore(&reports);
         }
-        let words = self.kept_here();
+        let reports = self.reports_to_persist();
         let now = unix_ms();
-        let kept = |word: &CrashReport| KeptRequest {
-            print: word.fingerprint,
-            ended: word
+        let persisted = |report: &CrashReport| KeptRequest {
+            print: report.fingerprint,
+            ended: report
                 .ended
                 .iter()
                 .map(|(life, age)| (*life, now.saturating_sub(u64::from(*age))))
                 .collect(),
         };
-        let kept: Vec<KeptRequest> = words.iter().map(kept).collect();
+        let kept: Vec<KeptRequest> = reports.iter().map(persisted).collect();
         let text = serde_json::to_string(&kept).unwrap_or_default();
         let expect = entry.map_or(KvRevision::ABSENT, |entry| entry.revision);
         self.platform.put(FATAL_KEY, &text, expect, None).await?;
-        Ok(words)
+        Ok(reports)
     }
 
-    fn read(&self, entry: &KvEntry) -> Vec<CrashReport> {
+    fn parse(&self, entry: &KvEntry) -> Vec<CrashReport> {
         let text = entry.value.as_deref().unwrap_or_default();
         let kept: Vec<KeptRequest> = match serde_json::from_str(text) {
             Ok(kept) => kept,
@@ -177,19 +177,19 @@
         };
         let now = unix_ms();
         let age = |at: u64| u32::try_from(now.saturating_sub(at)).unwrap_or(u32::MAX);
-        let word = |kept: KeptRequest| CrashReport {
+        let report = |kept: KeptRequest| CrashReport {
             fingerprint: kept.print,
-            ended: kept
+            crashes: kept
                 .ended
                 .iter()
                 .map(|(life, at)| (*life, age(*at)))
                 .collect(),
             served: None,
         };
-        kept.into_iter().map(word).collect()
+        kept.into_iter().map(report).collect()
     }
 
-    async fn failed(&self, e: &PlatformError, backoff: &mut Duration) {
+    async fn back_off(&self, e: &PlatformError, backoff: &mut Duration) {
         event!(self.log, events::FATAL_NOT_KEPT, "why" => e.to_string());
         tokio::time::sleep(*backoff).await;
         *backoff = (*backoff * 2).min(MAX_BACKOFF);
@@ -197,7 +197,7 @@
 }
 
 /// Resolves when the platform store is in a later era than `last`.
-async fn later_era(views: &mut watch::Receiver<Arc<View>>, last: &mut StoreEra) {
+async fn era_advanced(views: &mut watch::Receiver<Arc<View>>, last: &mut StoreEra) {
     loop {
         let now = views.borrow_and_update().operators.revision.era();
         if now > *last {
--- a/crates/sillpin-gateway/src/kept/directory.rs
+++ b/crates/sillpin-gateway/src/kept/directory.rs
@@ -16,15 +16,15 @@
 
 /// Time after the last poll during which a store's content counts as known. A poll waits less than a
 /// second; a store takes longer than the remainder to restart and write a part again.
-pub const BELIEF: Duration = Duration::from_millis(1_600);
+pub const CONTENT_TTL: Duration = Duration::from_millis(1_600);
 
 /// Time after this box detects a restart of a store during which nothing is saved there. Until the restart other boxes may have
 /// used the content of the previous incarnation, and the last fetch that they sent may still wait in an engine's queue.
-pub const NEW_LIFE: Duration = BELIEF.saturating_add(MAX_FETCH_TIME);
+pub const RESTART_HOLD_OFF: Duration = CONTENT_TTL.saturating_add(MAX_FETCH_TIME);
 
 /// Time during which a requested save is not requested again: a part of 10,000 tokens is computed in 180 ms
 /// and written in 100 ms.
-pub const SAVE_MEMORY: Duration = Duration::from_millis(1_500);
+pub const SAVE_RETRY_INTERVAL: Duration = Duration::from_millis(1_500);
 
 /// Recent changes of a store that are retained for boxes that missed some: more than a busy store makes in the second that a box
 /// needs to detect the gap.
@@ -68,26 +68,26 @@
 
 impl StoreState {
     fn set(&mut self, key: KeptKey, tokens: Option<Tokens>) {
-        let before = match tokens {
+        let previous = match tokens {
             Some(tokens) => {
                 self.used += tokens;
                 self.whole.insert(key, tokens)
             }
             None => self.whole.remove(&key),
         };
-        let before = before.unwrap_or_default();
-        self.used = Tokens(self.used.0.saturating_sub(before.0));
+        let previous = previous.unwrap_or_default();
+        self.used = Tokens(self.used.0.saturating_sub(previous.0));
     }
 }
 
 /// The newest incarnation of a store that this box has detected.
 #[derive(Debug, Default)]
-struct Life {
+struct Incarnation {
     /// Its epoch; `None` before the first answer of the store.
     epoch: Option<u64>,
     /// When this box detected that the previous incarnation had ended. A failed call does not prove that: a store that is
     /// partitioned from this box may serve others, and restart behind the partition.
-    found: Option<Instant>,
+    detected: Option<Instant>,
 }
 
 /// A reading of the engines' clock and the local time at which it was taken.
@@ -101,8 +101,8 @@
 #[derive(Debug, Default)]
 pub struct Directory {
     stores: HashMap<SocketAddr, StoreState>,
-    asked: HashMap<(SocketAddr, KeptKey), Instant>,
-    lives: HashMap<SocketAddr, Life>,
+    recent_saves: HashMap<(SocketAddr, KeptKey), Instant>,
+    incarnations: HashMap<SocketAddr, Incarnation>,
     clock: Option<ClockReading>,
 }
 
@@ -118,41 +118,41 @@
 impl Directory {
     /// Starts to track a store. This box may have started, or received the configuration that names the store, just after a
     /// restart of the store that other boxes have not detected yet, so the first incarnation that is found counts as a restart.
-    pub fn follow(&mut self, addr: SocketAddr, now: Instant) {
-        self.lives.entry(addr).or_default().found = Some(now);
+    pub fn track(&mut self, addr: SocketAddr, now: Instant) {
+        self.incarnations.entry(addr).or_default().detected = Some(now);
     }
 
-    /// Records the incarnation in which a store answered; a changed epoch counts as a restart.
-    fn note_life(&mut self, addr: SocketAddr, epoch: u64, now: Instant) {
-        let new = || Life {
+    /// Records the incarnation in which a store received_at; a changed epoch counts as a restart.
+    fn record_epoch(&mut self, addr: SocketAddr, epoch: u64, now: Instant) {
+        let new = || Incarnation {
             epoch: Some(epoch),
-            found: None,
+            detected: None,
         };
-        let life = self.lives.entry(addr).or_insert_with(new);
-        if life.epoch != Some(epoch) {
-            life.epoch = Some(epoch);
-            life.found = Some(now);
+        let incarnation = self.incarnations.entry(addr).or_insert_with(new);
+        if incarnation.epoch != Some(epoch) {
+            incarnation.epoch = Some(epoch);
+            incarnation.detected = Some(now);
         }
     }
 
     /// Returns whether fetches sent to an earlier incarnation of a store may still run.
-    fn is_new_life(&self, addr: SocketAddr, now: Instant) -> bool {
-        let found = self.lives.get(&addr).and_then(|life| life.found);
-        found.is_some_and(|at| now - at < NEW_LIFE)
+    fn restarted_recently(&self, addr: SocketAddr, now: Instant) -> bool {
+        let detected = self.incarnations.get(&addr).and_then(|incarnation| incarnation.detected);
+        detected.is_some_and(|at| now - at < RESTART_HOLD_OFF)
     }
 
-    /// Replaces the content of a store with a listing that was requested at `asked`, unless newer data is known: an older copy
+    /// Replaces the content of a store with a listing that was requested at `requested_at`, unless newer data is known: an older copy
     /// may be of an incarnation that has ended.
-    pub fn apply_list(&mut self, addr: SocketAddr, list: KeptList, asked: Instant) {
-        if self.last_confirmed(addr) > Some(asked) {
+    pub fn apply_list(&mut self, addr: SocketAddr, list: KeptList, requested_at: Instant) {
+        if self.last_confirmed(addr) > Some(requested_at) {
             return;
         }
         // The store may have restarted between the request and the response.
-        self.note_life(addr, list.epoch, Instant::now());
+        self.record_epoch(addr, list.epoch, Instant::now());
         let mut state = StoreState {
             epoch: list.epoch,
             next: list.next,
-            last_confirmed: Some(asked),
+            last_confirmed: Some(requested_at),
             recent: Recent {
                 since: list.next,
                 ..Recent::default()
@@ -172,11 +172,11 @@
         addr: SocketAddr,
         since: u64,
         news: KeptNews,
-        asked: Instant,
-        answered: Instant,
+        requested_at: Instant,
+        received_at: Instant,
     ) -> bool {
-        self.set_clock(news.clock, answered);
-        self.note_life(addr, news.epoch, answered);
+        self.set_clock(news.clock, received_at);
+        self.record_epoch(addr, news.epoch, received_at);
         let Some(state) = self.stores.get_mut(&addr) else {
             return false;
         };
@@ -192,15 +192,15 @@
             }
         }
         state.next = state.next.max(news.next);
-        state.last_confirmed = state.last_confirmed.max(Some(asked));
+        state.last_confirmed = state.last_confirmed.max(Some(requested_at));
         true
     }
 
     /// Returns the changes after a position, if it is of the current incarnation and all of them are still retained.
     pub fn changes_after(&self, addr: SocketAddr, position: Position) -> Option<Vec<KeptChange>> {
         let state = self.stores.get(&addr)?;
-        let same_life = state.epoch == position.epoch;
-        same_life.then(|| state.recent.after(position.next))?
+        let same_incarnation = state.epoch == position.epoch;
+        same_incarnation.then(|| state.recent.after(position.next))?
     }
 
     /// Returns whether changes that begin at a position connect to the known content without a gap.
@@ -209,9 +209,9 @@
         known.is_some_and(|known| known.epoch == begin.epoch && begin.next <= known.next)
     }
 
-    /// Takes another box's confirmation, requested at `asked`, that a store is at a position. Returns `false` if this box lacks
+    /// Takes another box's confirmation, requested at `requested_at`, that a store is at a position. Returns `false` if this box lacks
     /// changes up to there.
-    pub fn confirm(&mut self, addr: SocketAddr, position: Position, asked: Instant) -> bool {
+    pub fn confirm(&mut self, addr: SocketAddr, position: Position, requested_at: Instant) -> bool {
         let Some(state) = self.stores.get_mut(&addr) else {
             return false;
         };
@@ -219,7 +219,7 @@
             return false;
         }
         if state.next == position.next {
-            state.last_confirmed = state.last_confirmed.max(Some(asked));
+            state.last_confirmed = state.last_confirmed.max(Some(requested_at));
         }
         true
     }
@@ -264,7 +264,7 @@
     /// Returns whether a store's content was confirmed recently enough to fetch and save.
     pub fn is_known(&self, addr: SocketAddr, now: Instant) -> bool {
         let last_confirmed = self.stores.get(&addr).and_then(|state| state.last_confirmed);
-        last_confirmed.is_some_and(|at| now - at < BELIEF)
+        last_confirmed.is_some_and(|at| now - at < CONTENT_TTL)
     }
 
     /// Returns whether a store holds a complete part of at least `tokens`.
@@ -286,7 +286,7 @@
     }
 
     /// Returns whether to request a save, and records the request: the part is missing, no fetch for an earlier incarnation of
-    /// the store can run into the save, and this box has not requested it within [`SAVE_MEMORY`].
+    /// the store can run into the save, and this box has not requested it within [`SAVE_RETRY_INTERVAL`].
     pub fn should_save(
         &mut self,
         addr: SocketAddr,
@@ -294,15 +294,15 @@
         tokens: Tokens,
         now: Instant,
     ) -> bool {
-        let may_keep = self.is_known(addr, now) && !self.is_new_life(addr, now);
-        if !may_keep || self.holds(addr, key, tokens, now) {
+        let may_save = self.is_known(addr, now) && !self.restarted_recently(addr, now);
+        if !may_save || self.holds(addr, key, tokens, now) {
             return false;
         }
-        self.asked.retain(|_, at| now - *at < SAVE_MEMORY);
-        match self.asked.entry((addr, key.clone())) {
+        self.recent_saves.retain(|_, at| now - *at < SAVE_RETRY_INTERVAL);
+        match self.recent_saves.entry((addr, key.clone())) {
             Entry::Occupied(_) => false,
-            Entry::Vacant(unasked) => {
-                unasked.insert(now);
+            Entry::Vacant(vacant) => {
+                vacant.insert(now);
                 true
             }
         }
--- a/crates/sillpin-gateway/src/kept/links.rs
+++ b/crates/sillpin-gateway/src/kept/fetch_shares.rs
@@ -14,46 +14,46 @@
 
 /// Fetches count as late if they take longer than other prompts by more than this fraction of the latency objective: the remainder
 /// is for the prompt's queueing and prefill.
-const LATE_AIM_PART: f64 = 0.6;
+const LATE_FRACTION: f64 = 0.6;
 
 /// Factor applied to the share when fetches are late.
-const DECREASE: f64 = 0.85;
+const DECREASE_FACTOR: f64 = 0.85;
 
 /// Increase of the share per second.
 const INCREASE_PER_S: f64 = 0.15;
 
 /// Minimum share: some fetches continue, to detect when the link has recovered.
-const LEAST: f64 = 0.1;
+const MIN_SHARE: f64 = 0.1;
 
 /// Weight of the newest sample in the moving averages.
-const WEIGHT: f64 = 0.2;
+const SAMPLE_WEIGHT: f64 = 0.2;
 
 /// State of one store's link.
 #[derive(Debug, Clone, Copy)]
-struct Link {
+struct LinkState {
     share: f64,
     /// Average extra time of fetches over similar prompts without one, as a multiple of the latency objective.
-    beyond_aims: f64,
+    excess_ratio: f64,
     at: Instant,
 }
 
-impl Link {
+impl LinkState {
     fn share_at(&self, now: Instant) -> f64 {
-        let gained = (now - self.at).as_secs_f64() * INCREASE_PER_S;
-        (self.share + gained).min(1.0)
+        let increase = (now - self.at).as_secs_f64() * INCREASE_PER_S;
+        (self.share + increase).min(1.0)
     }
 }
 
 /// Fetch shares by store, and the time that prompts take without a fetch.
 #[derive(Debug, Default)]
 pub struct FetchShares {
-    links: HashMap<SocketAddr, Link>,
+    links: HashMap<SocketAddr, LinkState>,
     /// Average extra time of prompts without a fetch, by length class.
-    read_excess_ms: HashMap<u32, f64>,
+    prefill_excess_ms: HashMap<u32, f64>,
 }
 
 /// Returns the length class of a prompt: each class spans a factor of two.
-fn class(prompt: Tokens) -> u32 {
+fn length_class(prompt: Tokens) -> u32 {
     prompt.0.max(1).ilog2()
 }
 
@@ -67,8 +67,8 @@
 
     /// Records that a prompt without a fetch took `excess` longer than its prefill explains.
     pub fn record_prefill(&mut self, prompt: Tokens, excess: Duration) {
-        let average = self.read_excess_ms.entry(class(prompt)).or_insert(0.0);
-        *average += WEIGHT * (millis(excess) - *average);
+        let mean = self.prefill_excess_ms.entry(length_class(prompt)).or_insert(0.0);
+        *mean += SAMPLE_WEIGHT * (millis(excess) - *mean);
     }
 
     /// Records that a prompt with a fetch took `excess` longer than prefill and transfer explain. `aim` is the latency objective for
@@ -81,19 +81,19 @@
         aim: Duration,
         now: Instant,
     ) {
-        let alike = self.read_excess_ms.get(&class(prompt));
-        let beyond_ms = millis(excess) - alike.copied().unwrap_or(0.0);
-        let link = self.links.entry(store).or_insert(Link {
+        let similar = self.prefill_excess_ms.get(&length_class(prompt));
+        let extra_ms = millis(excess) - similar.copied().unwrap_or(0.0);
+        let link = self.links.entry(store).or_insert(LinkState {
             share: 1.0,
-            beyond_aims: 0.0,
+            excess_ratio: 0.0,
             at: now,
         });
         link.share = link.share_at(now);
         link.at = now;
-        let beyond_aims = beyond_ms / millis(aim).max(1.0);
-        link.beyond_aims += WEIGHT * (beyond_aims - link.beyond_aims);
-        if link.beyond_aims > LATE_AIM_PART {
-            link.share = (link.share * DECREASE).max(LEAST);
+        let excess_ratio = extra_ms / millis(aim).max(1.0);
+        link.excess_ratio += SAMPLE_WEIGHT * (excess_ratio - link.excess_ratio);
+        if link.excess_ratio > LATE_FRACTION {
+            link.share = (link.share * DECREASE_FACTOR).max(MIN_SHARE);
         }
     }
 }
--- a/crates/sillpin-gateway/src/kept/homes.rs
+++ b/crates/sillpin-gateway/src/kept/homes.rs
@@ -33,9 +33,9 @@
     stores: &'a [StoreSpec],
     part: &PartId,
     tokens: Tokens,
-    place: PartPosition,
+    position: PartPosition,
 ) -> Vec<&'a StoreSpec> {
-    let max_share = match place {
+    let max_share = match position {
         PartPosition::Inner => INNER_PART_SHARE,
         PartPosition::Last => LAST_PART_SHARE,
     };
--- a/crates/sillpin-gateway/src/kept/mod.rs
+++ b/crates/sillpin-gateway/src/kept/mod.rs
@@ -8,14 +8,14 @@
 //! - [`homes`]: choice of the store that keeps a part,
 //! - [`salt`]: model, weight version and isolation that a part's key names,
 //! - [`retire`]: parts of replaced weights that are no longer fetched or saved,
-//! - [`links`]: share of prompts that may fetch from each store,
+//! - [`fetch_shares`]: share of prompts that may fetch from each store,
 //! - [`reader`]: tasks that poll the stores for changes,
-//! - [`freer`]: frees unused parts.
+//! - [`reclaimer`]: frees unused parts.
 
 pub mod directory;
-pub mod freer;
+pub mod reclaimer;
 pub mod homes;
-pub mod links;
+pub mod fetch_shares;
 pub mod reader;
 pub mod retire;
 pub mod salt;
--- a/crates/sillpin-gateway/src/kept/reader.rs
+++ b/crates/sillpin-gateway/src/kept/reader.rs
@@ -22,17 +22,17 @@
 
 /// Maximum time that a store holds a poll open until changes arrive. The result counts as known from the start of the poll, and
 /// other boxes poll the store themselves once their data is older than 1.5 s; waits below 200 ms cost as much as a probe.
-const NEWS_WAIT: Duration = Duration::from_millis(500);
+const POLL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Minimum time between the starts of two polls.
-const READ_PAUSE: Duration = Duration::from_millis(150);
+const POLL_INTERVAL: Duration = Duration::from_millis(150);
 
 /// The same in a large fleet, whose dozens of stores change all the time: each poll is a call to the store and an update to a whole
 /// zone, and prompts return after seconds.
-const LARGE_READ_PAUSE: Duration = Duration::from_millis(400);
+const LARGE_POLL_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Interval at which a box checks whether to poll a store that it does not poll yet.
-const TURN_CHECK: Duration = Duration::from_millis(200);
+const TURN_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A box that has just started lists each store itself, after a random delay of at most this much times the number of boxes in the
 /// fleet: all boxes may have started together, a store serves few clients concurrently, and each listing occupies it for some
@@ -42,10 +42,10 @@
 
 /// Time after which a box that knows no other box assumes that it is the only one: it reads the registered boxes within some 20 ms
 /// of its start.
-const ALONE: Duration = Duration::from_millis(250);
+const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Delay after a failed poll.
-const RETRY_PAUSE: Duration = Duration::from_millis(400);
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// Dependencies of the tasks that poll stores.
 pub struct Readers<C> {
@@ -69,7 +69,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Listing {
     /// Not scheduled, since the number of boxes is not known yet.
-    Unplanned,
+    Unscheduled,
     /// Scheduled for this time.
     At(Instant),
     /// Listed, or no longer needed.
@@ -80,13 +80,13 @@
     fn at(self) -> Option<Instant> {
         match self {
             Listing::At(at) => Some(at),
-            Listing::Unplanned | Listing::Done => None,
+            Listing::Unscheduled | Listing::Done => None,
         }
     }
 }
 
 /// A store that the configuration names.
-struct Followed {
+struct TrackedStore {
     /// Since when this box waits for another box to send the content, while nothing is known.
     since: Instant,
     /// When this box lists the store after its own start.
@@ -95,21 +95,21 @@
     reader: Option<AbortHandle>,
 }
 
-impl Followed {
+impl TrackedStore {
     /// Returns whether its reader task runs.
-    fn is_read(&self) -> bool {
+    fn is_polled(&self) -> bool {
         let reader = self.reader.as_ref();
         reader.is_some_and(|reader| !reader.is_finished())
     }
 
     /// Schedules the listing after this box's start at random, as soon as the number of boxes is known.
-    fn plan_listing(&mut self, view: &View, now: Instant) {
-        let is_known = !view.boxes.is_empty() || now - self.since >= ALONE;
-        if self.listing == Listing::Unplanned && is_known {
+    fn schedule_listing(&mut self, view: &View, now: Instant) {
+        let is_known = !view.boxes.is_empty() || now - self.since >= DISCOVERY_TIMEOUT;
+        if self.listing == Listing::Unscheduled && is_known {
             let spread = LIST_SPREAD * u32::try_from(view.box_count()).unwrap_or(u32::MAX);
             self.listing = Listing::At(now + spread.mul_f64(rand::rng().random()));
         }
-        if self.listing != Listing::Unplanned && self.is_read() {
+        if self.listing != Listing::Unscheduled && self.is_polled() {
             self.listing = Listing::Done;
         }
     }
@@ -118,38 +118,38 @@
 /// Tracks the stores that the configuration names, and starts a reader for each one that this box is to poll. One task manages all
 /// of them: most boxes of a large zone poll one store of dozens.
 pub async fn run<C: Control>(readers: Readers<C>) {
-    let mut followed: HashMap<SocketAddr, Followed> = HashMap::new();
+    let mut tracked: HashMap<SocketAddr, TrackedStore> = HashMap::new();
     let mut config: Option<Arc<FleetConfig>> = None;
-    let mut look = tokio::time::interval(TURN_CHECK);
-    look.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut check = tokio::time::interval(TURN_CHECK_INTERVAL);
+    check.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut views = readers.fleet.subscribe();
     loop {
-        let plans = || followed.values().map(|store| store.listing);
-        let listing = plans().filter_map(Listing::at).min();
-        let is_starting = config.is_none() || plans().any(|plan| plan == Listing::Unplanned);
+        let listings = || tracked.values().map(|store| store.listing);
+        let listing = listings().filter_map(Listing::at).min();
+        let is_starting = config.is_none() || listings().any(|listing| listing == Listing::Unscheduled);
         tokio::select! {
-            _ = look.tick() => {}
+            _ = check.tick() => {}
             // After the start nothing can be fetched before the stores' content is known, so act on each new view.
             Ok(()) = views.changed(), if is_starting => {}
-            () = reached(listing) => {}
+            () = wait_until(listing) => {}
         }
         let view = readers.fleet.view();
         let same = |a: &Arc<FleetConfig>, b: &Arc<FleetConfig>| Arc::ptr_eq(a, b);
-        let is_same = match (&view.config, &config) {
+        let is_unchanged = match (&view.config, &config) {
             (Some(new), Some(old)) => same(new, old),
             (new, old) => new.is_none() && old.is_none(),
         };
-        if !is_same {
+        if !is_unchanged {
             config = view.config.clone();
             let stores = config.as_ref().map_or(&[][..], |config| &config.stores);
-            readers.follow(&mut followed, stores);
+            readers.track(&mut tracked, stores);
         }
-        readers.start_due(&mut followed, &view);
+        readers.start_due(&mut tracked, &view);
     }
 }
 
 /// Waits until a time, or forever if there is none.
-async fn reached(at: Option<Instant>) {
+async fn wait_until(at: Option<Instant>) {
     match at {
         Some(at) => tokio::time::sleep_until(at).await,
         None => std::future::pending().await,
@@ -158,9 +158,9 @@
 
 impl<C: Control> Readers<C> {
     /// Starts to track stores that the configuration names anew, and drops those that it no longer names.
-    fn follow(&self, followed: &mut HashMap<SocketAddr, Followed>, stores: &[StoreSpec]) {
+    fn track(&self, tracked: &mut HashMap<SocketAddr, TrackedStore>, stores: &[StoreSpec]) {
         let named: HashSet<SocketAddr> = stores.iter().map(|store| store.addr).collect();
-        followed.retain(|addr, store| {
+        tracked.retain(|addr, store| {
             if named.contains(addr) {
                 return true;
             }
@@ -171,11 +171,11 @@
             false
         });
         for addr in named {
-            followed.entry(addr).or_insert_with(|| {
-                self.kept.lock().follow(addr, Instant::now());
-                Followed {
+            tracked.entry(addr).or_insert_with(|| {
+                self.kept.lock().track(addr, Instant::now());
+                TrackedStore {
                     since: Instant::now(),
-                    listing: Listing::Unplanned,
+                    listing: Listing::Unscheduled,
                     role: Role::new(&self.me, addr.to_string()),
                     reader: None,
                 }
@@ -184,28 +184,28 @@
     }
 
     /// Starts the readers of the stores that this box is to poll now.
-    fn start_due(&self, followed: &mut HashMap<SocketAddr, Followed>, view: &View) {
+    fn start_due(&self, tracked: &mut HashMap<SocketAddr, TrackedStore>, view: &View) {
         let now = Instant::now();
         let large = view.box_count() > SMALL_FLEET;
-        for (addr, store) in followed.iter_mut() {
-            store.plan_listing(view, now);
-            if store.listing == Listing::Unplanned || store.is_read() {
+        for (addr, store) in tracked.iter_mut() {
+            store.schedule_listing(view, now);
+            if store.listing == Listing::Unscheduled || store.is_polled() {
                 continue;
             }
-            let lists = store.listing.at().is_some_and(|at| at <= now);
-            if lists {
+            let is_due = store.listing.at().is_some_and(|at| at <= now);
+            if is_due {
                 store.listing = Listing::Done;
             }
             if store.reader.take().is_some() {
                 store.since = now;
             }
             let last_confirmed = self.kept.lock().last_confirmed(*addr);
-            let lists = lists && last_confirmed.is_none();
+            let is_due = is_due && last_confirmed.is_none();
             // In a large fleet the zone's reader sends its results to all others; they do not all poll dozens of stores whenever
             // one is lost.
             let last_confirmed = last_confirmed.or(large.then_some(store.since));
             let alive = |id: &BoxId| self.loads.may_live(id, now);
-            if !store.role.should_read(view, &self.me, alive, last_confirmed, now) && !lists {
+            if !store.role.should_read(view, &self.me, alive, last_confirmed, now) && !is_due {
                 continue;
             }
             let reader = StoreReader {
@@ -240,18 +240,18 @@
     /// Polls the store as long as this box is to poll it.
     async fn run(mut self) {
         let mut reachable = true;
-        let mut readings: u32 = 0;
-        while self.goes_on(readings) {
-            readings += 1;
-            let asked = Instant::now();
-            match self.read(asked).await {
+        let mut polls: u32 = 0;
+        while self.should_continue(polls) {
+            polls += 1;
+            let requested_at = Instant::now();
+            match self.poll(requested_at).await {
                 Ok(()) => {
                     if !reachable {
                         event!(self.log, events::KEPT_STORE_BACK, "store" => self.addr.to_string());
                     }
                     reachable = true;
-                    if !self.should_ask_clock(readings) {
-                        tokio::time::sleep_until(asked + self.pause()).await;
+                    if !self.needs_clock(polls) {
+                        tokio::time::sleep_until(requested_at + self.poll_interval()).await;
                     }
                 }
                 Err(e) => {
@@ -265,7 +265,7 @@
                     if self.is_large_fleet() && !self.role.is_reader() {
                         return;
                     }
-                    tokio::time::sleep(RETRY_PAUSE).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
         }
@@ -275,32 +275,32 @@
         self.fleet.view().box_count() > SMALL_FLEET
     }
 
-    fn pause(&self) -> Duration {
+    fn poll_interval(&self) -> Duration {
         match self.is_large_fleet() {
-            true => LARGE_READ_PAUSE,
-            false => READ_PAUSE,
+            true => LARGE_POLL_INTERVAL,
+            false => POLL_INTERVAL,
         }
     }
 
     /// Returns whether to send the result of a poll to the zone. In a large fleet also a result without changes is sent: while no
     /// fault occurs, boxes have no other source about the stores.
-    fn has_news(&self, news: &KeptNews) -> bool {
+    fn should_send(&self, news: &KeptNews) -> bool {
         !news.changes.is_empty() || self.is_large_fleet()
     }
 
-    /// Returns whether to poll again after `readings` polls. The first poll is always made, also if the reason for it has passed.
-    fn goes_on(&mut self, readings: u32) -> bool {
-        readings == 0 || self.should_ask_clock(readings) || self.is_my_turn()
+    /// Returns whether to poll again after `polls` polls. The first poll is always made, also if the reason for it has passed.
+    fn should_continue(&mut self, polls: u32) -> bool {
+        polls == 0 || self.needs_clock(polls) || self.should_poll()
     }
 
     /// Returns whether to poll for changes right after the listing: a listing does not contain the engines' clock, without which
     /// nothing is fetched.
-    fn should_ask_clock(&self, readings: u32) -> bool {
-        readings == 1 && !self.kept.lock().has_clock()
+    fn needs_clock(&self, polls: u32) -> bool {
+        polls == 1 && !self.kept.lock().has_clock()
     }
 
     /// Returns whether this box polls for its zone, or its data is too old to wait for the box that does.
-    fn is_my_turn(&mut self) -> bool {
+    fn should_poll(&mut self) -> bool {
         let (view, now) = (self.fleet.view(), Instant::now());
         let last_confirmed = self.kept.lock().last_confirmed(self.addr);
         let loads = &self.loads;
@@ -309,7 +309,7 @@
     }
 
     /// Sends a listing to the zone if it is short; other boxes request a copy of a long one.
-    fn tell_listing(&self, list: &KeptList, asked: Instant) {
+    fn send_listing(&self, list: &KeptList, requested_at: Instant) {
         if !self.is_large_fleet() || list.whole.len() > MAX_CHANGES {
             return;
         }
@@ -319,25 +319,25 @@
                 epoch: list.epoch,
                 next: list.next,
             },
-            age_ms: asked.elapsed().as_millis() as u64,
+            age_ms: requested_at.elapsed().as_millis() as u64,
             whole: list.whole.clone(),
         };
         // Boxes that miss it detect the gap from a digest.
         let _ = self.news.try_send(News::Listed(listing));
     }
 
-    async fn read(&self, asked: Instant) -> Result<(), ControlError> {
+    async fn poll(&self, requested_at: Instant) -> Result<(), ControlError> {
         let position = self.kept.lock().position(self.addr);
         let Some(position) = position else {
             let list = self.control.kept_list(self.addr).await?;
             event!(self.log, events::KEPT_STORE_LISTED, "store" => self.addr.to_string(),
                 "epoch" => list.epoch, "whole" => list.whole.len(), "partial" => list.partial.len());
-            self.tell_listing(&list, asked);
-            self.kept.lock().apply_list(self.addr, list, asked);
+            self.send_listing(&list, requested_at);
+            self.kept.lock().apply_list(self.addr, list, requested_at);
             return Ok(());
         };
         let wait = match self.kept.lock().has_clock() {
-            true => NEWS_WAIT,
+            true => POLL_TIMEOUT,
             false => Duration::ZERO,
         };
         let news = self
@@ -345,13 +345,13 @@
             .kept_news(self.addr, position.next, wait)
             .await?;
         let (epoch, lost) = (news.epoch, news.lost);
-        if !lost && self.has_news(&news) {
+        if !lost && self.should_send(&news) {
             let word = KeptWord {
                 addr: self.addr,
                 since: position.next,
                 epoch,
                 next: news.next,
-                age_ms: asked.elapsed().as_millis() as u64,
+                age_ms: requested_at.elapsed().as_millis() as u64,
                 changes: news.changes.clone(),
             };
             // Boxes that miss it detect the gap from a digest.
@@ -360,7 +360,7 @@
         if !self
             .kept
             .lock()
-            .apply_changes(self.addr, position.next, news, asked, Instant::now())
+            .apply_changes(self.addr, position.next, news, requested_at, Instant::now())
         {
             event!(self.log, events::KEPT_STORE_GAP, "store" => self.addr.to_string(),
                 "epoch_before" => position.epoch, "epoch" => epoch, "lost" => lost);
--- a/crates/sillpin-gateway/src/kept/freer.rs
+++ b/crates/sillpin-gateway/src/kept/reclaimer.rs
@@ -1,7 +1,7 @@
 //! Frees parts that are no longer used. Runs on the leader only.
 
 use super::Kept;
-use super::retire::{place_of, weights_of};
+use super::retire::{retirement_rank, salt_weights};
 use super::salt::SaltParts;
 use crate::awake::Awake;
 use crate::beliefs::{FleetHandle, View};
@@ -17,27 +17,27 @@
 use tokio::time::Instant;
 
 /// Time between two rounds.
-const ROUND: Duration = Duration::from_millis(300);
+const ROUND_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Maximum number of parts freed by one call: about 4 KB of names.
-const BATCH: usize = 100;
+const MAX_BATCH: usize = 100;
 
 /// A store rejects an order that arrives later than this.
-const ORDER_TIME: Duration = Duration::from_millis(400);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Incomplete parts are freed within this time of the listing that shows them, or not at all: if a new save
 /// completes one in between, boxes receive that event 60 ms later at the earliest (`events_lag_ms` of both sites), so
 /// no fetch of it can have begun.
-const PARTIAL_ORDER_TIME: Duration = Duration::from_millis(40);
+const PARTIAL_ORDER_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// Time after an order to free a part during which the order is not repeated.
-const ORDERED_MEMORY: Duration = Duration::from_secs(3);
+const ORDER_RETRY_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Time between two listings of a store, in search of incomplete parts.
-const LIST_EVERY: Duration = Duration::from_secs(7);
+const LIST_INTERVAL: Duration = Duration::from_secs(7);
 
 /// Frees parts while this box is the leader.
-pub struct Freer<C> {
+pub struct Reclaimer<C> {
     /// Client for calls to stores.
     pub control: C,
     /// Content of the stores.
@@ -53,18 +53,18 @@
 }
 
 #[derive(Default)]
-struct Memory {
+struct ReclaimState {
     ordered: HashMap<(SocketAddr, KeptKey), Instant>,
     /// Parts that were incomplete at the last listing of a store.
     partial: HashMap<SocketAddr, Vec<PartialPart>>,
     listed: HashMap<SocketAddr, Instant>,
 }
 
-impl<C: Control> Freer<C> {
+impl<C: Control> Reclaimer<C> {
     /// Runs until the task is aborted, at the end of this box's leadership.
     pub async fn run(self) {
-        let mut memory = Memory::default();
-        let mut rounds = tokio::time::interval(ROUND);
+        let mut state = ReclaimState::default();
+        let mut rounds = tokio::time::interval(ROUND_INTERVAL);
         loop {
             rounds.tick().await;
             let view = self.fleet.view();
@@ -72,25 +72,25 @@
                 continue;
             };
             let now = Instant::now();
-            memory.ordered.retain(|_, at| now - *at < ORDERED_MEMORY);
+            state.ordered.retain(|_, at| now - *at < ORDER_RETRY_INTERVAL);
             for store in config.stores.iter().filter(|store| store.managed) {
-                self.free_retired(store, &view, &mut memory).await;
-                self.free_partial(store, &mut memory).await;
+                self.free_retired(store, &view, &mut state).await;
+                self.free_partial(store, &mut state).await;
             }
         }
     }
 
-    async fn free_retired(&self, store: &StoreSpec, view: &View, memory: &mut Memory) {
+    async fn free_retired(&self, store: &StoreSpec, view: &View, state: &mut ReclaimState) {
         let now = Instant::now();
         let unused = self.unused(store, view, now);
-        let fresh = |key: &KeptKey| !memory.ordered.contains_key(&(store.addr, key.clone()));
-        let keys: Vec<KeptKey> = unused.into_iter().filter(fresh).take(BATCH).collect();
+        let is_unordered = |key: &KeptKey| !state.ordered.contains_key(&(store.addr, key.clone()));
+        let keys: Vec<KeptKey> = unused.into_iter().filter(is_unordered).take(MAX_BATCH).collect();
         if keys.is_empty() {
             return;
         }
-        let noted = keys.iter().map(|key| ((store.addr, key.clone()), now));
-        memory.ordered.extend(noted);
-        self.order(store, keys, now, ORDER_TIME, "made under replaced weights")
+        let ordered_now = keys.iter().map(|key| ((store.addr, key.clone()), now));
+        state.ordered.extend(ordered_now);
+        self.order(store, keys, now, ORDER_TIMEOUT, "made under replaced weights")
             .await;
     }
 
@@ -104,7 +104,7 @@
         // Cached by salt: a store holds thousands of parts under a few salts.
         let mut shares: HashMap<Salt, f64> = HashMap::new();
         let share_of = |salt: &Salt| match salt.0.parse::<SaltParts>() {
-            Ok(salt) => retirements.unused_share(&weights_of(&salt), view, now),
+            Ok(salt) => retirements.unused_share(&salt_weights(&salt), view, now),
             Err(_) => 0.0,
         };
         let mut unused = Vec::new();
@@ -117,7 +117,7 @@
                     share
                 }
             };
-            if share > 0.0 && place_of(&key) < share {
+            if share > 0.0 && retirement_rank(&key) < share {
                 unused.push(key);
             }
         }
@@ -125,13 +125,13 @@
     }
 
     /// Frees incomplete parts that have not grown since the last listing: their writer has stopped.
-    async fn free_partial(&self, store: &StoreSpec, memory: &mut Memory) {
+    async fn free_partial(&self, store: &StoreSpec, state: &mut ReclaimState) {
         let now = Instant::now();
-        let last = memory.listed.get(&store.addr);
-        if last.is_some_and(|at| now - *at < LIST_EVERY) {
+        let last = state.listed.get(&store.addr);
+        if last.is_some_and(|at| now - *at < LIST_INTERVAL) {
             return;
         }
-        memory.listed.insert(store.addr, now);
+        state.listed.insert(store.addr, now);
         let list = match self.control.kept_list(store.addr).await {
             Ok(list) => list,
             Err(e) => {
@@ -140,15 +140,15 @@
                 return;
             }
         };
-        let before = memory.partial.insert(store.addr, list.partial.clone());
+        let before = state.partial.insert(store.addr, list.partial.clone());
         let before = before.unwrap_or_default();
-        let stuck = list
+        let stalled = list
             .partial
             .into_iter()
             .filter(|part| before.contains(part));
-        let keys: Vec<KeptKey> = stuck.map(|part| part.key).take(BATCH).collect();
+        let keys: Vec<KeptKey> = stalled.map(|part| part.key).take(MAX_BATCH).collect();
         if !keys.is_empty() {
-            self.order(store, keys, now, PARTIAL_ORDER_TIME, "broke off")
+            self.order(store, keys, now, PARTIAL_ORDER_TIMEOUT, "incomplete")
                 .await;
         }
     }
--- a/crates/sillpin-gateway/src/kept/retire.rs
+++ b/crates/sillpin-gateway/src/kept/retire.rs
@@ -23,19 +23,19 @@
 
 /// A box that has not read the list of targets for this long counts as out of contact with the platform store. It reads that
 /// store every 0.9 to 1.8 s.
-const TOUCH: Duration = Duration::from_millis(2_500);
+const CONTACT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Added to [`TOUCH`] for the delay of updates and for clocks of different speed.
-const TOUCH_MARGIN: Duration = Duration::from_millis(500);
+/// Added to [`CONTACT_TIMEOUT`] for the delay of updates and for clocks of different speed.
+const CONTACT_MARGIN: Duration = Duration::from_millis(500);
 
 /// Time after which the last digest of a box no longer counts: five gossip rounds.
-const WORD_TIME: Duration = Duration::from_millis(2_000);
+const PEER_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// A box whose last answer from the platform store is older than this is not the leader.
-const STORE_SILENCE: Duration = Duration::from_millis(2_200);
+const STORE_TIMEOUT: Duration = Duration::from_millis(2_200);
 
 /// Time after which a share also binds a box that has just started, since that box reads the store at its start.
-const NEW_BOX: Duration = Duration::from_millis(1_000);
+const NEW_BOX_DELAY: Duration = Duration::from_millis(1_000);
 
 /// Used share of a store from which parts of replaced weights that engines still serve are retired.
 const RETIRE_FROM: f64 = 0.70;
@@ -76,17 +76,17 @@
 }
 
 #[derive(Debug)]
-struct Heard {
+struct PeerReport {
     at: Instant,
     shares: Shares,
-    store_silence: Duration,
+    store_contact_age: Duration,
 }
 
-impl Heard {
+impl PeerReport {
     /// Returns whether the box may still use what it has not retired: its digest is recent and reported contact with the
     /// platform store.
-    fn is_binding(&self, now: Instant) -> bool {
-        now - self.at < WORD_TIME && self.store_silence < TOUCH
+    fn is_current(&self, now: Instant) -> bool {
+        now - self.at < PEER_TIMEOUT && self.store_contact_age < CONTACT_TIMEOUT
     }
 }
 
@@ -95,7 +95,7 @@
 pub struct Retirements {
     applied: Shares,
     history: VecDeque<Sample>,
-    others: HashMap<BoxId, Heard>,
+    others: HashMap<BoxId, PeerReport>,
     /// Total suspended time that the times in `others` are adjusted for.
     slept: Duration,
 }
@@ -108,9 +108,9 @@
         if !time.is_zero() {
             // A report too old for the clock to represent is dropped.
             self.others
-                .retain(|_, heard| match heard.at.checked_sub(time) {
+                .retain(|_, report| match report.at.checked_sub(time) {
                     Some(at) => {
-                        heard.at = at;
+                        report.at = at;
                         true
                     }
                     None => false,
@@ -131,7 +131,7 @@
         }
         let shares = self.applied.clone();
         self.history.push_back(Sample { at: now, shares });
-        let old = TOUCH + TOUCH_MARGIN + MAX_FETCH_TIME;
+        let old = CONTACT_TIMEOUT + CONTACT_MARGIN + MAX_FETCH_TIME;
         while self.history.get(1).is_some_and(|next| now - next.at > old) {
             self.history.pop_front();
         }
@@ -151,11 +151,11 @@
     /// Returns the shares that this box reports to others: those applied so long ago that its fetches of these parts
     /// are over.
     pub fn told(&self, now: Instant) -> Vec<Retired> {
-        let told = |weights: &Weights| Retired {
+        let settled = |weights: &Weights| Retired {
             weights: weights.clone(),
-            share: self.known_at(weights, now, MAX_FETCH_TIME),
+            share: self.share_in_force(weights, now, MAX_FETCH_TIME),
         };
-        self.applied.keys().map(told).collect()
+        self.applied.keys().map(settled).collect()
     }
 
     /// Returns the shares that this box has retired. Hubs deliver them to all boxes within a second: a box receives too few
@@ -182,19 +182,19 @@
         &mut self,
         from: BoxId,
         retired: Vec<Retired>,
-        store_silence: Duration,
+        store_contact_age: Duration,
         now: Instant,
     ) {
         let shares: Shares = retired.into_iter().map(|r| (r.weights, r.share)).collect();
         for (weights, share) in &shares {
             self.retire(weights.clone(), *share);
         }
-        let heard = Heard {
+        let report = PeerReport {
             at: now,
             shares,
-            store_silence,
+            store_contact_age,
         };
-        self.others.insert(from, heard);
+        self.others.insert(from, report);
     }
 
     /// Returns whether this box may fetch: it knows what was retired recently, or nothing can be freed because
@@ -205,42 +205,42 @@
             return false;
         }
         let confirmed = view.listed.confirmed;
-        if confirmed.is_some_and(|at| now - at < TOUCH) {
+        if confirmed.is_some_and(|at| now - at < CONTACT_TIMEOUT) {
             return true;
         }
-        let is_cut_off_too = |id: &BoxId| {
-            self.others.get(id).is_some_and(|heard| {
-                now - heard.at < WORD_TIME && heard.store_silence > STORE_SILENCE
+        let is_out_of_contact = |id: &BoxId| {
+            self.others.get(id).is_some_and(|report| {
+                now - report.at < PEER_TIMEOUT && report.store_contact_age > STORE_TIMEOUT
             })
         };
-        confirmed.is_some() && view.boxes.iter().all(|peer| is_cut_off_too(&peer.id))
+        confirmed.is_some() && view.boxes.iter().all(|peer| is_out_of_contact(&peer.id))
     }
 
     /// Returns whether this box no longer fetches or saves a part.
     pub fn is_retired(&self, salt: &SaltParts, key: &KeptKey) -> bool {
-        let weights = weights_of(salt);
+        let weights = salt_weights(salt);
         let share = self.applied.get(&weights).copied().unwrap_or(0.0);
-        place_of(key) < share
+        retirement_rank(key) < share
     }
 
     /// Returns the share of a version's parts that no box fetches: reported by every box that is in contact, or known for so
     /// long that a box without a recent report has either received it too or stopped fetching. A box's report counts even if
     /// this box has known a larger share for long: a box that restarted has not seen how full the stores were before.
     pub fn unused_share(&self, weights: &Weights, view: &View, now: Instant) -> f64 {
-        let long_known = self.known_at(weights, now, TOUCH + TOUCH_MARGIN + MAX_FETCH_TIME);
-        let told_by = |id: &BoxId| {
-            let heard = self.others.get(id).filter(|heard| heard.is_binding(now));
-            heard.map_or(long_known, |heard| {
-                heard.shares.get(weights).copied().unwrap_or(0.0)
+        let long_in_force = self.share_in_force(weights, now, CONTACT_TIMEOUT + CONTACT_MARGIN + MAX_FETCH_TIME);
+        let reported_by = |id: &BoxId| {
+            let report = self.others.get(id).filter(|report| report.is_current(now));
+            report.map_or(long_in_force, |report| {
+                report.shares.get(weights).copied().unwrap_or(0.0)
             })
         };
-        let told = view.boxes.iter().map(|peer| told_by(&peer.id));
-        let known = self.known_at(weights, now, NEW_BOX);
-        told.fold(known, f64::min)
+        let reported = view.boxes.iter().map(|peer| reported_by(&peer.id));
+        let in_force = self.share_in_force(weights, now, NEW_BOX_DELAY);
+        reported.fold(in_force, f64::min)
     }
 
     /// Returns the share that was in force on this box at least `age` ago.
-    fn known_at(&self, weights: &Weights, now: Instant, age: Duration) -> f64 {
+    fn share_in_force(&self, weights: &Weights, now: Instant, age: Duration) -> f64 {
         let mut old = self.history.iter().filter(|sample| now - sample.at >= age);
         let newest = old.next_back();
         let share = newest.and_then(|sample| sample.shares.get(weights));
@@ -249,12 +249,12 @@
 }
 
 /// Returns a part's rank, in (0, 1), in the order in which the parts of its version are retired.
-pub fn place_of(key: &KeptKey) -> f64 {
+pub fn retirement_rank(key: &KeptKey) -> f64 {
     to_unit_interval(hash_pair("retire", &key.part.0))
 }
 
 /// Returns the version that a salt names.
-pub fn weights_of(salt: &SaltParts) -> Weights {
+pub fn salt_weights(salt: &SaltParts) -> Weights {
     Weights {
         model: salt.model.clone(),
         version: salt.version,
--- a/crates/sillpin-gateway/src/kept/salt.rs
+++ b/crates/sillpin-gateway/src/kept/salt.rs
@@ -32,25 +32,25 @@
 
 /// Error for a salt that sillpin did not write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
-#[display("not a salt of sillpin")]
-pub struct ForeignSalt;
+#[display("not a salt written by sillpin")]
+pub struct SaltError;
 
 impl FromStr for SaltParts {
-    type Err = ForeignSalt;
+    type Err = SaltError;
 
-    fn from_str(text: &str) -> Result<Self, ForeignSalt> {
+    fn from_str(text: &str) -> Result<Self, SaltError> {
         let mut fields = text.split('/');
         let model = fields.next().and_then(|field| field.parse().ok());
         let version = fields.next().and_then(|field| field.parse().ok());
         let wall = fields
             .next()
-            .map(|field| field.parse().map_err(|_| ForeignSalt));
+            .map(|field| field.parse().map_err(|_| SaltError));
         if fields.next().is_some() {
-            return Err(ForeignSalt);
+            return Err(SaltError);
         }
         Ok(Self {
-            model: model.ok_or(ForeignSalt)?,
-            version: version.ok_or(ForeignSalt)?,
+            model: model.ok_or(SaltError)?,
+            version: version.ok_or(SaltError)?,
             wall: wall.transpose()?,
         })
     }
--- a/crates/sillpin-gateway/src/weights/election.rs
+++ b/crates/sillpin-gateway/src/weights/election.rs
@@ -19,18 +19,18 @@
 
 /// Time to live of the leader's lease. Short, since the failure of a leader delays a change of weights by
 /// this long; three renewals fit in, each at a tenth of a call's price.
-const LEASE: Duration = Duration::from_millis(1_400);
+const LEASE_TTL: Duration = Duration::from_millis(1_400);
 
 /// Time between two renewals.
-pub const RENEW_EVERY: Duration = Duration::from_millis(400);
+pub const RENEW_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Last part of a lease in which no order is sent: an order may be in flight for this long.
-const QUIET_END: Duration = Duration::from_millis(500);
+const ORDER_CUTOFF: Duration = Duration::from_millis(500);
 
 /// Time between two records while engines serve replaced weights. After the loss of all boxes the restored times of requests for
 /// weights are too late by up to this and by the time without a leader; boxes stop sending to replaced weights 2.5 s before the
 /// deadline. Each record is a call.
-const RECORD_EVERY: Duration = Duration::from_secs(1);
+const RECORD_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Added to the wait before ordering an engine that another leader ordered, for orders in flight.
 const TAKEOVER_MARGIN: Duration = Duration::from_millis(300);
@@ -45,12 +45,12 @@
     /// Time of [`Awake::now`] after which no order is sent, unless the lease is renewed.
     pub orders_until: Instant,
     /// Engines that earlier leaders ordered, and until when no order is sent to each.
-    others: HashMap<TargetId, Instant>,
+    others_until: HashMap<TargetId, Instant>,
     /// Engines that this leader ordered or is about to order.
-    own: HashMap<TargetId, Own>,
+    own_orders: HashMap<TargetId, OwnOrders>,
     /// Time until which no engine is ordered, since the store lost the record of earlier orders.
-    lost_until: Option<Instant>,
-    /// Era of the store whose orders the record covers until `lost_until`.
+    record_lost_until: Option<Instant>,
+    /// Era of the store whose orders the record covers until `record_lost_until`.
     recorded_era: StoreEra,
     /// When operators requested weights, for the record; initially as the previous leader wrote it.
     pub named: Vec<NamedAge>,
@@ -62,19 +62,19 @@
 
 /// State of this leader's own orders to an engine.
 #[derive(Debug, Default)]
-struct Own {
+struct OwnOrders {
     /// Whether an order may be sent at any time.
-    underway: bool,
+    pending: bool,
     /// When the call of the last order returned.
-    last: Option<Instant>,
+    last_returned: Option<Instant>,
 }
 
-impl Own {
+impl OwnOrders {
     /// Returns the age of the last order, if one was or may have been sent.
     fn age(&self, now: Instant) -> Option<Duration> {
-        match self.underway {
+        match self.pending {
             true => Some(Duration::ZERO),
-            false => self.last.map(|at| now - at),
+            false => self.last_returned.map(|at| now - at),
         }
     }
 }
@@ -120,33 +120,33 @@
     /// Returns whether an engine may be ordered now: no order of another leader to it can be recent.
     pub fn may_order_target(&self, target: &TargetId, now: Instant) -> bool {
         let is_over = |until: &Instant| now >= *until;
-        self.lost_until.as_ref().is_none_or(is_over) && self.others.get(target).is_none_or(is_over)
+        self.record_lost_until.as_ref().is_none_or(is_over) && self.others_until.get(target).is_none_or(is_over)
     }
 
     /// Returns the era of the store whose orders are all recorded.
     fn era(&self, now: Instant) -> StoreEra {
-        match self.lost_until.is_some_and(|until| now < until) {
+        match self.record_lost_until.is_some_and(|until| now < until) {
             true => self.recorded_era,
             false => KvRevision(self.fence.0).era(),
         }
     }
 
     /// Returns whether the record is due to be written again while engines serve replaced weights.
-    pub fn is_record_old(&self, now: Instant) -> bool {
-        now - self.recorded >= RECORD_EVERY
+    pub fn is_record_due(&self, now: Instant) -> bool {
+        now - self.recorded >= RECORD_INTERVAL
     }
 
     /// Records that no further order to an engine is pending, and when the last one returned, if any was sent.
-    pub fn ended(&mut self, target: &TargetId, last: Option<Instant>) {
-        if let Some(own) = self.own.get_mut(target) {
-            own.underway = false;
-            own.last = own.last.max(last);
+    pub fn orders_ended(&mut self, target: &TargetId, last_returned: Option<Instant>) {
+        if let Some(own_orders) = self.own_orders.get_mut(target) {
+            own_orders.pending = false;
+            own_orders.last_returned = own_orders.last_returned.max(last_returned);
         }
     }
 
-    /// Records a renewal that was requested at `asked`, a time of [`Awake::now`].
-    pub fn renewed(&mut self, asked: Instant) {
-        self.orders_until = asked + LEASE - QUIET_END;
+    /// Records a renewal that was requested at `requested_at`, a time of [`Awake::now`].
+    pub fn lease_renewed(&mut self, requested_at: Instant) {
+        self.orders_until = requested_at + LEASE_TTL - ORDER_CUTOFF;
     }
 }
 
@@ -173,12 +173,12 @@
     ///
     /// Fails if the store does not answer or another box was faster.
     pub async fn acquire(&self) -> Result<Leadership, PlatformError> {
-        let (held, at) = self.look().await?;
+        let (held, at) = self.read_leader().await?;
         if held {
             self.wait_until_free(at).await?;
         }
-        let asked = self.awake.now();
-        let lease = self.platform.grant_lease(LEASE).await?;
+        let requested_at = self.awake.now();
+        let lease = self.platform.grant_lease(LEASE_TTL).await?;
         let absent = KvRevision::ABSENT;
         let put = self
             .platform
@@ -188,28 +188,28 @@
         let now = Instant::now();
         let named = ordered.named.clone();
         let recorded_era = ordered.era;
-        let is_lost = recorded_era != revision.era();
-        let lost_until = is_lost.then(|| now + self.left_alone());
-        let near = |age: Duration| self.left_alone().checked_sub(age);
-        let others = ordered
+        let record_lost = recorded_era != revision.era();
+        let record_lost_until = record_lost.then(|| now + self.order_hold_off());
+        let recent = |age: Duration| self.order_hold_off().checked_sub(age);
+        let others_until = ordered
             .entries()
-            .filter_map(|(target, age)| Some((target, now + near(age)?)))
+            .filter_map(|(target, age)| Some((target, now + recent(age)?)))
             .collect();
         let mut leadership = Leadership {
             lease,
             fence: Fence(revision.0),
-            orders_until: asked,
-            others,
-            own: HashMap::new(),
-            lost_until,
+            orders_until: requested_at,
+            others_until,
+            own_orders: HashMap::new(),
+            record_lost_until,
             recorded_era,
             named,
             record,
             recorded: now,
         };
-        leadership.renewed(asked);
+        leadership.lease_renewed(requested_at);
         event!(self.log, events::DUTY_TAKEN, "fence" => revision.0,
-            "ordered_by_others" => leadership.others.len(), "record_lost" => is_lost);
+            "ordered_by_others" => leadership.others_until.len(), "record_lost" => record_lost);
         Ok(leadership)
     }
 
@@ -234,7 +234,7 @@
     }
 
     /// Returns the time after an order during which other leaders do not order the engine.
-    fn left_alone(&self) -> Duration {
+    fn order_hold_off(&self) -> Duration {
         self.min_order_gap + TAKEOVER_MARGIN
     }
 
@@ -254,32 +254,32 @@
         targets: &[TargetId],
     ) -> Result<(), PlatformError> {
         for target in targets {
-            leadership.own.entry(target.clone()).or_default().underway = true;
+            leadership.own_orders.entry(target.clone()).or_default().pending = true;
         }
         let now = Instant::now();
-        let ordered = self.ordered_of_late(leadership, now);
+        let ordered = self.recent_orders(leadership, now);
         leadership.record = self.write_record(&ordered, leadership.record).await?;
         leadership.recorded = now;
         Ok(())
     }
 
     /// Returns the engines whose last order by any leader is recent, and drops the others from `leadership`.
-    fn ordered_of_late(&self, leadership: &mut Leadership, now: Instant) -> Ordered {
-        let left_alone = self.left_alone();
-        let near = |age: Duration| age < left_alone;
-        leadership.own.retain(|_, own| own.age(now).is_some_and(near));
-        leadership.others.retain(|_, until| now < *until);
+    fn recent_orders(&self, leadership: &mut Leadership, now: Instant) -> Ordered {
+        let order_hold_off = self.order_hold_off();
+        let recent = |age: Duration| age < order_hold_off;
+        leadership.own_orders.retain(|_, own_orders| own_orders.age(now).is_some_and(recent));
+        leadership.others_until.retain(|_, until| now < *until);
         let mut ordered = Ordered {
             named: leadership.named.clone(),
             era: leadership.era(now),
             ..Ordered::default()
         };
-        for (target, own) in &leadership.own {
-            ordered.push(target.clone(), own.age(now).unwrap_or_default());
+        for (target, own_orders) in &leadership.own_orders {
+            ordered.push(target.clone(), own_orders.age(now).unwrap_or_default());
         }
-        for (target, until) in &leadership.others {
-            if !leadership.own.contains_key(target) {
-                ordered.push(target.clone(), left_alone.saturating_sub(*until - now));
+        for (target, until) in &leadership.others_until {
+            if !leadership.own_orders.contains_key(target) {
+                ordered.push(target.clone(), order_hold_off.saturating_sub(*until - now));
             }
         }
         ordered
@@ -287,7 +287,7 @@
 
     /// Returns whether there is a leader, and the store's revision from which to watch. The key's own revision does not
     /// work for that, since the store discards old history.
-    async fn look(&self) -> Result<(bool, KvRevision), PlatformError> {
+    async fn read_leader(&self) -> Result<(bool, KvRevision), PlatformError> {
         let snapshot = self.platform.snapshot(LEADER_KEY).await?;
         let held = snapshot.entries.iter().any(|entry| entry.key == LEADER_KEY);
         Ok((held, snapshot.revision))
@@ -297,15 +297,15 @@
         let mut after = since;
         loop {
             let reply = self.platform.watch(LEADER_KEY, after, self.hold).await?;
-            let of_key = |key: &str| key == LEADER_KEY;
-            let last = reply.changed.iter().rfind(|entry| of_key(&entry.key));
+            let is_leader_key = |key: &str| key == LEADER_KEY;
+            let latest = reply.changed.iter().rfind(|entry| is_leader_key(&entry.key));
             after = reply.revision;
-            match last {
+            match latest {
                 Some(entry) if entry.value.is_none() => return Ok(()),
                 Some(_) => {}
                 // The watch may have been cut off: read the key again.
                 None => {
-                    let (held, at) = self.look().await?;
+                    let (held, at) = self.read_leader().await?;
                     if !held {
                         return Ok(());
                     }
@@ -317,29 +317,29 @@
 
     /// Renews the lease. Returns `false` if leadership is lost.
     pub async fn renew(&self, leadership: &mut Leadership) -> bool {
-        let asked = self.awake.now();
+        let requested_at = self.awake.now();
         match self.platform.renew_lease(leadership.lease).await {
             Ok(()) => {
-                leadership.renewed(asked);
+                leadership.lease_renewed(requested_at);
                 true
             }
             Err(e) if e.fault == PlatformFault::LeaseLapsed => {
-                event!(self.log, events::DUTY_LOST, "fence" => leadership.fence.0, "why" => "lease lapsed");
+                event!(self.log, events::DUTY_LOST, "fence" => leadership.fence.0, "why" => "lease expired");
                 false
             }
             Err(e) => {
-                let over = leadership.orders_until + QUIET_END < self.awake.now();
-                if over {
+                let expired = leadership.orders_until + ORDER_CUTOFF < self.awake.now();
+                if expired {
                     event!(self.log, events::DUTY_LOST,
                         "fence" => leadership.fence.0, "why" => e.to_string());
                 }
-                !over
+                !expired
             }
         }
     }
 
     /// Resigns before the box stops.
-    pub async fn give_up(&self, leadership: &Leadership) {
+    pub async fn resign(&self, leadership: &Leadership) {
         let revision = KvRevision(leadership.fence.0);
         if let Err(e) = self.platform.delete(LEADER_KEY, revision).await {
             // The lease expires by itself.
--- a/crates/sillpin-gateway/src/weights/load.rs
+++ b/crates/sillpin-gateway/src/weights/load.rs
@@ -15,27 +15,27 @@
 
 /// Time between the announcement of a load, after which boxes send the engine no requests, and the order, so that most of its
 /// runs end under the weights that they began on: a run takes 0.1 to 0.5 s.
-const NEWS_LEAD: Duration = Duration::from_millis(250);
+const ANNOUNCE_LEAD: Duration = Duration::from_millis(250);
 
 /// Delay of the first poll after an order: a load takes 0.76 s, and of 1,151 polls after 0.9 s 23 in 100 found it complete.
-const FIRST_LOOK: Duration = Duration::from_millis(900);
+const FIRST_POLL_DELAY: Duration = Duration::from_millis(900);
 
 /// Time between further polls: a load slot stays idle for up to this long. Each poll costs as much as a probe.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Delay after an order that was rejected in favour of another one: reports are some 0.1 to 0.3 s old, and do not show that other
 /// order earlier.
-const OVERTAKEN: Duration = Duration::from_millis(250);
+const OVERTAKEN_DELAY: Duration = Duration::from_millis(250);
 
 /// Delay after an order without an answer: calls that fail immediately are not repeated more often than this.
-const AGAIN: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Maximum wait for a load, or for an order to be accepted, before other engines take precedence.
-const GIVE_UP: Duration = Duration::from_millis(4_000);
+const LOAD_TIMEOUT: Duration = Duration::from_millis(4_000);
 
 /// Result of a load.
 #[derive(Debug)]
-pub struct Loaded {
+pub struct LoadResult {
     /// The engine.
     pub target: TargetId,
     /// The incarnation of the engine in its last report.
@@ -45,29 +45,29 @@
     /// The version that it serves now, if the load succeeded.
     pub version: Option<WeightVersion>,
     /// When the call of the last order returned, if any was sent.
-    pub ordered: Option<Instant>,
+    pub last_order: Option<Instant>,
     /// Whether the engine did not answer the last call for a report.
-    pub silent: bool,
+    pub unresponsive: bool,
 }
 
 /// Whether an engine occupies one of the slots for concurrent loads. An engine that had not answered occupies one
 /// only when it carries out an order.
 #[derive(Debug, Clone, Default)]
-pub struct Place(Arc<AtomicBool>);
+pub struct LoadSlot(Arc<AtomicBool>);
 
-impl Place {
+impl LoadSlot {
     /// Creates a slot that is occupied or not.
-    pub fn new(taken: bool) -> Self {
-        Self(Arc::new(AtomicBool::new(taken)))
+    pub fn new(occupied: bool) -> Self {
+        Self(Arc::new(AtomicBool::new(occupied)))
     }
 
     /// Returns whether the slot is occupied.
-    pub fn is_taken(&self) -> bool {
+    pub fn is_occupied(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
 
-    fn set(&self, taken: bool) {
-        self.0.store(taken, Ordering::Relaxed);
+    fn set(&self, occupied: bool) {
+        self.0.store(occupied, Ordering::Relaxed);
     }
 }
 
@@ -88,7 +88,7 @@
     /// The leader's fencing token.
     pub fence: Fence,
     /// Its slot among the concurrent loads.
-    pub place: Place,
+    pub slot: LoadSlot,
     /// Time of [`Awake::now`] after which no order is sent.
     pub until: watch::Receiver<Instant>,
     /// Clock that includes suspended time.
@@ -106,66 +106,66 @@
     /// Time after which the job fails.
     until: Instant,
     /// When the call of the last order returned, if any was sent.
-    ordered: Option<Instant>,
+    last_order: Option<Instant>,
     /// Whether the engine accepted an order.
     accepted: bool,
     /// Whether the engine did not answer the last call for a report.
-    silent: bool,
+    unresponsive: bool,
 }
 
 impl Progress {
     /// Returns the time since the call of the last order returned, in milliseconds, or 0 without an order.
     fn ordered_ms(&self) -> u128 {
-        self.ordered.map_or(0, |at| at.elapsed().as_millis())
+        self.last_order.map_or(0, |at| at.elapsed().as_millis())
     }
 }
 
 /// Next step of a job.
-enum Next {
+enum Step {
     /// The job is over; whether the engine serves the weights.
-    Over(bool),
+    Finished(bool),
     /// Poll the engine's report after this delay.
-    Look(Duration),
+    Poll(Duration),
 }
 
 impl<C: Control> LoadJob<C> {
     /// Orders the load and waits until it is complete or has failed.
-    pub async fn run(self) -> Loaded {
-        tokio::time::sleep(NEWS_LEAD).await;
+    pub async fn run(self) -> LoadResult {
+        tokio::time::sleep(ANNOUNCE_LEAD).await;
         let mut progress = Progress {
             life: self.target.life,
             version: self.version,
-            until: Instant::now() + GIVE_UP,
-            ordered: None,
+            until: Instant::now() + LOAD_TIMEOUT,
+            last_order: None,
             accepted: false,
-            silent: false,
+            unresponsive: false,
         };
         let done = self.load(&mut progress).await;
-        Loaded {
+        LoadResult {
             target: self.target.id.clone(),
             life: progress.life,
             model: self.model.clone(),
             version: done.then_some(progress.version),
-            ordered: progress.ordered,
-            silent: progress.silent,
+            last_order: progress.last_order,
+            unresponsive: progress.unresponsive,
         }
     }
 
     async fn load(&self, progress: &mut Progress) -> bool {
         loop {
             let report = self.report().await;
-            progress.silent = report.is_none();
-            self.take_life(progress, report.as_ref());
+            progress.unresponsive = report.is_none();
+            self.record_incarnation(progress, report.as_ref());
             let next = match report {
-                Some(report) => self.proceed(progress, &report).await,
+                Some(report) => self.advance(progress, &report).await,
                 // The engine continues a load that it accepted.
-                None if progress.accepted => Next::Look(LOOK_EVERY),
-                None => Next::Over(false),
+                None if progress.accepted => Step::Poll(POLL_INTERVAL),
+                None => Step::Finished(false),
             };
             match next {
-                Next::Over(done) => return done,
-                Next::Look(_) if Instant::now() >= progress.until => break,
-                Next::Look(pause) => tokio::time::sleep(pause).await,
+                Step::Finished(done) => return done,
+                Step::Poll(_) if Instant::now() >= progress.until => break,
+                Step::Poll(pause) => tokio::time::sleep(pause).await,
             }
         }
         event!(self.log, events::WEIGHTS_FAILED,
@@ -175,31 +175,31 @@
     }
 
     /// Records the engine's incarnation; an engine that restarted has lost the order.
-    fn take_life(&self, progress: &mut Progress, report: Option<&EngineReport>) {
+    fn record_incarnation(&self, progress: &mut Progress, report: Option<&EngineReport>) {
         let life = report.and_then(|report| report.life).or(progress.life);
         progress.accepted &= life == progress.life;
         progress.life = life;
     }
 
     /// Sends an order unless the engine serves the weights or is busy with a load.
-    async fn proceed(&self, progress: &mut Progress, report: &EngineReport) -> Next {
+    async fn advance(&self, progress: &mut Progress, report: &EngineReport) -> Step {
         if self.is_served(report, progress.version) {
-            self.say_loaded(progress);
-            return Next::Over(true);
+            self.log_loaded(progress);
+            return Step::Finished(true);
         }
         if report.busy {
-            self.place.set(true);
-            return Next::Look(LOOK_EVERY);
+            self.slot.set(true);
+            return Step::Poll(POLL_INTERVAL);
         }
         if self.awake.now() >= *self.until.borrow() {
-            return Next::Over(false);
+            return Step::Finished(false);
         }
         // Operators may have requested newer weights while an order was unanswered.
         progress.version = self.wanted().max(self.version);
         self.order(progress, report.orders_taken).await
     }
 
-    async fn order(&self, progress: &mut Progress, orders_taken: u64) -> Next {
+    async fn order(&self, progress: &mut Progress, orders_taken: u64) -> Step {
         let order = WeightsOrder {
             target: self.target.id.clone(),
             model: self.model.clone(),
@@ -210,7 +210,7 @@
         };
         let outcome = self.control.order(self.target.addr, &order).await;
         let now = Instant::now();
-        progress.ordered = Some(now);
+        progress.last_order = Some(now);
         let text = match &outcome {
             Ok(outcome) => outcome.to_string(),
             Err(e) => e.to_string(),
@@ -220,19 +220,19 @@
             "version" => order.version.0, "fence" => self.fence.0,
             "orders_taken" => orders_taken, "outcome" => text);
         match outcome {
-            Ok(OrderOutcome::Already) => Next::Over(true),
+            Ok(OrderOutcome::Already) => Step::Finished(true),
             Ok(OrderOutcome::Accepted) => {
-                self.place.set(true);
+                self.slot.set(true);
                 progress.accepted = true;
-                progress.until = now + GIVE_UP;
-                Next::Look(FIRST_LOOK)
+                progress.until = now + LOAD_TIMEOUT;
+                Step::Poll(FIRST_POLL_DELAY)
             }
             // Another order was accepted after the report was made.
-            Ok(OrderOutcome::Overtaken) => Next::Look(OVERTAKEN),
-            Ok(OrderOutcome::Refused) => Next::Over(false),
+            Ok(OrderOutcome::Overtaken) => Step::Poll(OVERTAKEN_DELAY),
+            Ok(OrderOutcome::Refused) => Step::Finished(false),
             // The engine may have accepted the order nevertheless, or may accept it later: the next report shows it. The call's
             // timeout is longer than the age of reports, and of two orders that expect the same count the engine carries out one.
-            Err(_) => Next::Look(AGAIN),
+            Err(_) => Step::Poll(RETRY_DELAY),
         }
     }
 
@@ -244,8 +244,8 @@
             .map_or(self.version, |wanted| wanted.newest().version)
     }
 
-    fn say_loaded(&self, progress: &Progress) {
-        if progress.ordered.is_some() {
+    fn log_loaded(&self, progress: &Progress) {
+        if progress.last_order.is_some() {
             event!(self.log, events::WEIGHTS_LOADED,
                 "target" => self.target.id.as_str(), "version" => progress.version.0,
                 "after_ms" => progress.ordered_ms());
--- a/crates/sillpin-gateway/src/weights/rollout.rs
+++ b/crates/sillpin-gateway/src/weights/rollout.rs
@@ -1,13 +1,13 @@
 //! Chooses the engines to order next, while this box is the leader.
 
-use super::election::{Election, RENEW_EVERY, Leadership};
-use super::load::{LoadJob, Loaded, Place};
+use super::election::{Election, RENEW_INTERVAL, Leadership};
+use super::load::{LoadJob, LoadResult, LoadSlot};
 use crate::beliefs::fleet::served;
 use crate::beliefs::wanted::{NamedAge, ages};
 use crate::beliefs::{BoxEntry, FleetHandle, FleetMsg, Source, View};
 use crate::control::{Control, Presence, TargetEntry};
 use crate::kept::Kept;
-use crate::kept::freer::Freer;
+use crate::kept::reclaimer::Reclaimer;
 use crate::peers::datagram::LoadNews;
 use crate::peers::hub::LARGE_ZONE;
 use crate::peers::roles;
@@ -28,43 +28,43 @@
 
 /// Share of the fleet's engines that are being changed concurrently: three of 18 load at full speed, and one or two more
 /// finish their runs before the order.
-const SHARE_AT_ONCE: f64 = 0.28;
+const CONCURRENT_SHARE: f64 = 0.28;
 
 /// Minimum number of concurrent loads.
-const LEAST_AT_ONCE: usize = 3;
+const MIN_CONCURRENT: usize = 3;
 
 /// Maximum number of engines with a job, as a multiple of the concurrent loads: some engines do not answer. Other boxes send no
 /// requests to any engine with a job, so the number is limited.
-const MOST_UNDERWAY: usize = 2;
+const MAX_JOBS_FACTOR: usize = 2;
 
 /// Interval at which the leader looks for engines to order.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const SCAN_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Delay after a failed attempt to become the leader.
-const RETRY: Duration = Duration::from_millis(700);
+const RETRY_DELAY: Duration = Duration::from_millis(700);
 
 /// Time during which an engine whose load failed gets no order.
-const FAILED_REST: Duration = Duration::from_millis(800);
+const FAILURE_COOLDOWN: Duration = Duration::from_millis(800);
 
 /// Number of boxes of a zone that stand for election. Each watch is a call to the platform store, and all watches return together
 /// when leadership becomes free; a candidate that is no longer heard from is replaced within seconds.
 const CANDIDATES: usize = 3;
 
 /// Name of the leader's role in the hash that chooses the candidates.
-const DUTY_ROLE: &str = "weights-duty";
+const LEADER_ROLE: &str = "weights-duty";
 
 /// Interval at which a box checks whether it is a candidate.
-const CANDIDATE_CHECK: Duration = Duration::from_millis(500);
+const CANDIDATE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time after its start during which a box assumes that all registered boxes are alive, since it has not heard from them yet.
-const NEWCOMER: Duration = Duration::from_secs(3);
+const START_UP_TIME: Duration = Duration::from_secs(3);
 
 /// Time that a box configured with peers waits, while it knows no other box, before it assumes that it is the only one: it reads the
 /// registered boxes within a second.
 pub const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// Time between two log records about engines that serve replaced weights.
-const SAY_EVERY: Duration = Duration::from_secs(1);
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Stands for election, and rolls out weights and frees parts while this box is the leader.
 pub struct Rollout<P, C> {
@@ -92,27 +92,27 @@
 
 /// Jobs of a leader, and engines that get no order now.
 #[derive(Default)]
-struct Underway {
-    jobs: JoinSet<Loaded>,
-    targets: HashMap<TargetId, Place>,
-    resting: HashMap<TargetId, Instant>,
+struct ActiveLoads {
+    jobs: JoinSet<LoadResult>,
+    targets: HashMap<TargetId, LoadSlot>,
+    cooldown: HashMap<TargetId, Instant>,
     /// Engines that did not answer at the last attempt.
-    silent: HashSet<TargetId>,
-    said: Option<Instant>,
+    unresponsive: HashSet<TargetId>,
+    logged: Option<Instant>,
 }
 
-impl Underway {
+impl ActiveLoads {
     /// Returns the number of engines that occupy a load slot.
     fn loading(&self) -> usize {
-        self.targets.values().filter(|p| p.is_taken()).count()
+        self.targets.values().filter(|p| p.is_occupied()).count()
     }
 
     /// Records the end of a job.
-    fn ended(&mut self, loaded: &Loaded) {
-        self.targets.remove(&loaded.target);
-        match loaded.silent {
-            true => self.silent.insert(loaded.target.clone()),
-            false => self.silent.remove(&loaded.target),
+    fn load_ended(&mut self, result: &LoadResult) {
+        self.targets.remove(&result.target);
+        match result.unresponsive {
+            true => self.unresponsive.insert(result.target.clone()),
+            false => self.unresponsive.remove(&result.target),
         };
     }
 }
@@ -123,19 +123,19 @@
         let started = Instant::now();
         while !self.stopping.is_cancelled() {
             if !self.is_candidate(started, Instant::now()) {
-                tokio::time::sleep(CANDIDATE_CHECK).await;
+                tokio::time::sleep(CANDIDATE_CHECK_INTERVAL).await;
                 continue;
             }
             let taken = tokio::select! {
-                taken = self.election.take() => taken,
-                () = self.is_replaced(started) => continue,
+                taken = self.election.acquire() => taken,
+                () = self.candidacy_ended(started) => continue,
                 () = self.stopping.cancelled() => return,
             };
             match taken {
-                Ok(leadership) => self.hold(leadership).await,
+                Ok(leadership) => self.lead(leadership).await,
                 Err(e) => {
                     event!(self.log, events::DUTY_NOT_TAKEN, "why" => e.to_string());
-                    let pause = RETRY.mul_f64(rand::rng().random_range(0.5..1.5));
+                    let pause = RETRY_DELAY.mul_f64(rand::rng().random_range(0.5..1.5));
                     tokio::time::sleep(pause).await;
                 }
             }
@@ -143,15 +143,15 @@
     }
 
     /// Resolves when this box is no longer a candidate.
-    async fn is_replaced(&self, started: Instant) {
+    async fn candidacy_ended(&self, started: Instant) {
         while self.is_candidate(started, Instant::now()) {
-            tokio::time::sleep(CANDIDATE_CHECK).await;
+            tokio::time::sleep(CANDIDATE_CHECK_INTERVAL).await;
         }
     }
 
     /// Returns whether this box is to stand for election. Safety does not depend on it: the lease decides who the leader is.
     fn is_candidate(&self, started: Instant, now: Instant) -> bool {
-        let newcomer = now - started < NEWCOMER;
+        let is_starting = now - started < START_UP_TIME;
         let view = self.fleet.view();
         // If the whole fleet starts together, every box would consider itself a candidate until it knows the others.
         if view.boxes.is_empty() && now - started < self.discovery_timeout {
@@ -160,23 +160,23 @@
         let zone = view.boxes.iter().filter(|peer| peer.zone == self.me.zone);
         // Boxes of a large zone exchange liveness through a hub only.
         let large = zone.count() >= LARGE_ZONE;
-        let alive = |id: &BoxId| match newcomer {
+        let alive = |id: &BoxId| match is_starting {
             true => true,
             false if large => self.loads.may_live(id, now),
             false => self.loads.hears(id, now),
         };
-        roles::is_among(&view, &self.me, DUTY_ROLE, CANDIDATES, alive)
+        roles::is_among(&view, &self.me, LEADER_ROLE, CANDIDATES, alive)
     }
 
     /// Orders engines until leadership is lost or resigned.
-    async fn hold(&self, mut leadership: Leadership) {
-        self.learn_named(&leadership.named).await;
-        let mut underway = Underway::default();
-        let mut look = tokio::time::interval(LOOK_EVERY);
-        let mut renew = tokio::time::interval(RENEW_EVERY);
+    async fn lead(&self, mut leadership: Leadership) {
+        self.apply_recorded_versions(&leadership.named).await;
+        let mut active = ActiveLoads::default();
+        let mut scan = tokio::time::interval(SCAN_INTERVAL);
+        let mut renew = tokio::time::interval(RENEW_INTERVAL);
         // Jobs check this before each order, since no order may be in flight after leadership has ended.
         let (limit, until) = watch::channel(leadership.orders_until);
-        let freer = Freer {
+        let reclaimer = Reclaimer {
             control: self.control.clone(),
             kept: self.kept.clone(),
             fleet: self.fleet.clone(),
@@ -186,7 +186,7 @@
         };
         // Dropped, and so aborted, at the end of leadership.
         let mut freeing = JoinSet::new();
-        freeing.spawn(freer.run());
+        freeing.spawn(reclaimer.run());
         loop {
             tokio::select! {
                 _ = renew.tick() => {
@@ -195,20 +195,20 @@
                     }
                     limit.send_replace(leadership.orders_until);
                 }
-                Some(done) = underway.jobs.join_next() => {
-                    if let Ok(loaded) = done {
-                        leadership.ended(&loaded.target, loaded.ordered);
-                        self.loaded(loaded, &mut underway).await;
+                Some(done) = active.jobs.join_next() => {
+                    if let Ok(result) = done {
+                        leadership.orders_ended(&result.target, result.last_order);
+                        self.finish_load(result, &mut active).await;
                     }
                 }
-                _ = look.tick() => {
-                    if !self.order_more(&mut leadership, &until, &mut underway).await {
+                _ = scan.tick() => {
+                    if !self.order_more(&mut leadership, &until, &mut active).await {
                         return;
                     }
                 }
                 () = self.stopping.cancelled() => {
-                    underway.jobs.shutdown().await;
-                    self.election.give_up(&leadership).await;
+                    active.jobs.shutdown().await;
+                    self.election.resign(&leadership).await;
                     return;
                 }
             }
@@ -216,7 +216,7 @@
     }
 
     /// Applies the times at which operators requested weights, as the previous leader recorded them.
-    async fn learn_named(&self, named: &[NamedAge]) {
+    async fn apply_recorded_versions(&self, named: &[NamedAge]) {
         let now = Instant::now();
         for age in named {
             let Some(named) = age.named(now) else {
@@ -231,14 +231,14 @@
         }
     }
 
-    async fn loaded(&self, loaded: Loaded, underway: &mut Underway) {
-        underway.ended(&loaded);
-        let Some(version) = loaded.version else {
-            let until = Instant::now() + FAILED_REST;
-            underway.resting.insert(loaded.target, until);
+    async fn finish_load(&self, result: LoadResult, active: &mut ActiveLoads) {
+        active.load_ended(&result);
+        let Some(version) = result.version else {
+            let until = Instant::now() + FAILURE_COOLDOWN;
+            active.cooldown.insert(result.target, until);
             return;
         };
-        let (target, life, model) = (loaded.target, loaded.life, loaded.model);
+        let (target, life, model) = (result.target, result.life, result.model);
         self.loads.note_life(&target, life, Outcome::Loaded);
         let news = LoadNews {
             target: target.clone(),
@@ -264,18 +264,18 @@
         &self,
         leadership: &mut Leadership,
         until: &watch::Receiver<Instant>,
-        underway: &mut Underway,
+        active: &mut ActiveLoads,
     ) -> bool {
         let now = Instant::now();
-        underway.resting.retain(|_, at| now < *at);
+        active.cooldown.retain(|_, at| now < *at);
         if !leadership.may_order(self.election.awake.now()) {
             return true;
         }
         let view = self.fleet.view();
-        underway.silent.retain(|id| view.targets.contains_key(id));
-        self.say_outdated(&view, leadership, underway, now);
-        let next = self.next_batch(&view, leadership, underway, now);
-        let is_due = leadership.is_record_old(now) && !outdated(&view).is_empty();
+        active.unresponsive.retain(|id| view.targets.contains_key(id));
+        self.log_outdated(&view, leadership, active, now);
+        let next = self.next_batch(&view, leadership, active, now);
+        let is_due = leadership.is_record_due(now) && !outdated(&view).is_empty();
         if next.is_empty() && !is_due {
             return true;
         }
@@ -286,28 +286,28 @@
             return false;
         }
         for outdated in next {
-            self.start(outdated, leadership, until, underway);
+            self.start(outdated, leadership, until, active);
         }
         true
     }
 
     /// Logs periodically how many engines serve replaced weights, and what they wait for.
-    fn say_outdated(&self, view: &View, leadership: &Leadership, underway: &mut Underway, now: Instant) {
-        if underway.said.is_some_and(|at| now - at < SAY_EVERY) {
+    fn log_outdated(&self, view: &View, leadership: &Leadership, active: &mut ActiveLoads, now: Instant) {
+        if active.logged.is_some_and(|at| now - at < LOG_INTERVAL) {
             return;
         }
         let outdated = outdated(view);
         let Some(oldest) = outdated.first() else {
             return;
         };
-        underway.said = Some(now);
-        let left_alone = |o: &&Outdated| !leadership.may_order_target(&o.target.id, now);
+        active.logged = Some(now);
+        let is_held_off = |o: &&Outdated| !leadership.may_order_target(&o.target.id, now);
         event!(self.log, events::WEIGHTS_OUTDATED,
             "model" => oldest.model.as_str(), "wanted" => oldest.version.0,
             "oldest" => oldest.serves.0, "engines" => outdated.len(),
-            "loading" => underway.loading(),
-            "silent" => underway.targets.len() - underway.loading(), "resting" => underway.resting.len(),
-            "ordered_by_others" => outdated.iter().filter(left_alone).count());
+            "loading" => active.loading(),
+            "silent" => active.targets.len() - active.loading(), "resting" => active.cooldown.len(),
+            "ordered_by_others" => outdated.iter().filter(is_held_off).count());
     }
 
     /// Returns the engines to order now.
@@ -315,7 +315,7 @@
         &self,
         view: &View,
         leadership: &Leadership,
-        underway: &Underway,
+        active: &ActiveLoads,
         now: Instant,
     ) -> Vec<Outdated> {
         let engines = view
@@ -323,29 +323,29 @@
             .values()
             .filter(|t| !t.served.is_empty())
             .count();
-        let at_once = ((engines as f64 * SHARE_AT_ONCE) as usize).max(LEAST_AT_ONCE);
-        let mut places = at_once.saturating_sub(underway.loading());
-        let more = (at_once * MOST_UNDERWAY).saturating_sub(underway.targets.len());
+        let max_concurrent = ((engines as f64 * CONCURRENT_SHARE) as usize).max(MIN_CONCURRENT);
+        let mut free_slots = max_concurrent.saturating_sub(active.loading());
+        let max_new = (max_concurrent * MAX_JOBS_FACTOR).saturating_sub(active.targets.len());
         let may_order = |outdated: &Outdated| {
             let id = &outdated.target.id;
-            let known = underway.targets.contains_key(id) || underway.resting.contains_key(id);
-            !known && leadership.may_order_target(id, now)
+            let is_excluded = active.targets.contains_key(id) || active.cooldown.contains_key(id);
+            !is_excluded && leadership.may_order_target(id, now)
         };
         // An engine that did not answer takes no slot until it does.
-        let mut has_place = |outdated: &Outdated| {
-            if underway.silent.contains(&outdated.target.id) {
+        let mut has_slot = |outdated: &Outdated| {
+            if active.unresponsive.contains(&outdated.target.id) {
                 return true;
             }
-            let free = places > 0;
-            places = places.saturating_sub(1);
+            let free = free_slots > 0;
+            free_slots = free_slots.saturating_sub(1);
             free
         };
-        let (silent, others): (Vec<_>, Vec<_>) = outdated(view)
+        let (unresponsive, others): (Vec<_>, Vec<_>) = outdated(view)
             .into_iter()
             .filter(may_order)
-            .filter(|outdated| has_place(outdated))
-            .partition(|outdated| underway.silent.contains(&outdated.target.id));
-        others.into_iter().chain(silent).take(more).collect()
+            .filter(|outdated| has_slot(outdated))
+            .partition(|outdated| active.unresponsive.contains(&outdated.target.id));
+        others.into_iter().chain(unresponsive).take(max_new).collect()
     }
 
     fn start(
@@ -353,7 +353,7 @@
         outdated: Outdated,
         leadership: &Leadership,
         until: &watch::Receiver<Instant>,
-        underway: &mut Underway,
+        active: &mut ActiveLoads,
     ) {
         let Outdated {
             target,
@@ -372,8 +372,8 @@
         };
         // If a box misses this update, the engine refuses its requests and the box sends them elsewhere.
         let _ = self.news.try_send(news);
-        let place = Place::new(!underway.silent.contains(&target.id));
-        underway.targets.insert(target.id.clone(), place.clone());
+        let slot = LoadSlot::new(!active.unresponsive.contains(&target.id));
+        active.targets.insert(target.id.clone(), slot.clone());
         let job = LoadJob {
             control: self.control.clone(),
             target,
@@ -382,12 +382,12 @@
             fleet: self.fleet.clone(),
             holder: self.election.me.to_string(),
             fence: leadership.fence,
-            place,
+            slot,
             until: until.clone(),
             awake: self.election.awake.clone(),
             log: self.log.clone(),
         };
-        underway.jobs.spawn(job.run());
+        active.jobs.spawn(job.run());
     }
 }
 
--- a/crates/sillpin-gateway/tests/election.rs
+++ b/crates/sillpin-gateway/tests/election.rs
@@ -11,13 +11,13 @@
 use tokio::time::Instant;
 
 /// Least time between two holders' orders to one engine.
-const APART: Duration = Duration::from_millis(3_000);
+const MIN_ORDER_GAP: Duration = Duration::from_millis(3_000);
 
 fn election(store: &MemoryStore, me: &str) -> Election<MemoryStore> {
     Election {
         platform: store.clone(),
         me: name(me),
-        min_order_gap: APART,
+        min_order_gap: MIN_ORDER_GAP,
         hold: Duration::from_secs(25),
         awake: Awake::manual(),
         log: sillpin_telemetry::logs::discard(),
@@ -47,10 +47,10 @@
         assert!(first.renew(&mut leadership).await);
         assert!(!waiting.is_finished());
     }
-    let taken = waiting.await.unwrap().unwrap();
+    let successor = waiting.await.unwrap().unwrap();
     let now = Instant::now();
     assert!(!leadership.may_order(now), "the first holder stopped before");
-    assert!(taken.fence > leadership.fence);
+    assert!(successor.fence > leadership.fence);
 }
 
 #[tokio::test(start_paused = true)]
@@ -75,16 +75,16 @@
     let ordered_at = order(&first, &mut leadership, &target("e1")).await.unwrap();
     // The first holder freezes here.
     let second = election(&store, "box-2");
-    let mut taken = second.acquire().await.unwrap();
-    assert!(order(&second, &mut taken, &target("e2")).await.is_some());
-    assert_eq!(order(&second, &mut taken, &target("e1")).await, None);
+    let mut successor = second.acquire().await.unwrap();
+    assert!(order(&second, &mut successor, &target("e2")).await.is_some());
+    assert_eq!(order(&second, &mut successor, &target("e1")).await, None);
     let mut again = None;
     while again.is_none() {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        assert!(second.renew(&mut taken).await);
-        again = order(&second, &mut taken, &target("e1")).await;
+        assert!(second.renew(&mut successor).await);
+        again = order(&second, &mut successor, &target("e1")).await;
     }
-    assert!(again.unwrap() - ordered_at > APART);
+    assert!(again.unwrap() - ordered_at > MIN_ORDER_GAP);
 }
 
 #[tokio::test(start_paused = true)]
@@ -95,7 +95,7 @@
     let second = election(&store, "box-2");
     second.acquire().await.unwrap();
     // Even if its clock had stood still, the record would stop it.
-    leadership.renewed(Instant::now());
+    leadership.lease_renewed(Instant::now());
     assert!(leadership.may_order(Instant::now()));
     assert_eq!(order(&first, &mut leadership, &target("e9")).await, None);
     assert!(!first.renew(&mut leadership).await);
@@ -108,14 +108,14 @@
     let mut leadership = first.acquire().await.unwrap();
     order(&first, &mut leadership, &target("e1")).await.unwrap();
     let second = election(&store, "box-2");
-    let mut taken = second.acquire().await.unwrap();
-    order(&second, &mut taken, &target("e2")).await.unwrap();
+    let mut successor = second.acquire().await.unwrap();
+    order(&second, &mut successor, &target("e2")).await.unwrap();
     let third = election(&store, "box-3");
-    let taken = third.acquire().await.unwrap();
+    let successor = third.acquire().await.unwrap();
     let now = Instant::now();
-    assert!(!taken.may_order_target(&target("e1"), now));
-    assert!(!taken.may_order_target(&target("e2"), now));
-    assert!(taken.may_order_target(&target("e3"), now));
+    assert!(!successor.may_order_target(&target("e1"), now));
+    assert!(!successor.may_order_target(&target("e2"), now));
+    assert!(successor.may_order_target(&target("e3"), now));
 }
 
 #[tokio::test(start_paused = true)]
@@ -137,14 +137,14 @@
     let store = MemoryStore::default();
     let first = election(&store, "box-1");
     let leadership = first.acquire().await.unwrap();
-    first.give_up(&leadership).await;
+    first.resign(&leadership).await;
     let began = Instant::now();
     election(&store, "box-2").acquire().await.unwrap();
     assert!(began.elapsed() < Duration::from_millis(200));
 }
 
 /// Renews until the engine may be ordered; how long that took.
-async fn left_alone(election: &Election<MemoryStore>, leadership: &mut Leadership, id: &TargetId) -> Duration {
+async fn hold_off(election: &Election<MemoryStore>, leadership: &mut Leadership, id: &TargetId) -> Duration {
     let began = Instant::now();
     while order(election, leadership, id).await.is_none() {
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -162,7 +162,7 @@
     let first = election(&store, "box-1");
     let mut leadership = first.acquire().await.unwrap();
     let ordered_at = order(&first, &mut leadership, &target("e1")).await.unwrap();
-    leadership.ended(&target("e1"), Some(ordered_at));
+    leadership.orders_ended(&target("e1"), Some(ordered_at));
     while ordered_at.elapsed() < Duration::from_millis(1_900) {
         tokio::time::sleep(Duration::from_millis(100)).await;
         assert!(first.renew(&mut leadership).await);
@@ -170,11 +170,11 @@
     order(&first, &mut leadership, &target("e2")).await.unwrap();
     // The first holder dies here; its lease lapses 1.4 s later.
     let second = election(&store, "box-2");
-    let mut taken = second.acquire().await.unwrap();
-    let waited = left_alone(&second, &mut taken, &target("e1")).await;
+    let mut successor = second.acquire().await.unwrap();
+    let waited = hold_off(&second, &mut successor, &target("e1")).await;
     assert!(waited < Duration::from_millis(1_600), "waited {waited:?}");
-    assert!(ordered_at.elapsed() > APART);
-    assert!(!taken.may_order_target(&target("e2"), Instant::now()));
+    assert!(ordered_at.elapsed() > MIN_ORDER_GAP);
+    assert!(!successor.may_order_target(&target("e2"), Instant::now()));
 }
 
 /// Two boxes that held the duty die one after the other. The second wrote the first one's engines down anew, and the
@@ -186,18 +186,18 @@
     let mut leadership = first.acquire().await.unwrap();
     order(&first, &mut leadership, &target("e1")).await.unwrap();
     let second = election(&store, "box-2");
-    let mut taken = second.acquire().await.unwrap();
+    let mut successor = second.acquire().await.unwrap();
     let took_at = Instant::now();
     while took_at.elapsed() < Duration::from_millis(2_500) {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        assert!(second.renew(&mut taken).await);
+        assert!(second.renew(&mut successor).await);
     }
-    order(&second, &mut taken, &target("e2")).await.unwrap();
+    order(&second, &mut successor, &target("e2")).await.unwrap();
     let third = election(&store, "box-3");
-    let mut taken = third.acquire().await.unwrap();
-    let waited = left_alone(&third, &mut taken, &target("e1")).await;
+    let mut successor = third.acquire().await.unwrap();
+    let waited = hold_off(&third, &mut successor, &target("e1")).await;
     assert!(waited < Duration::from_millis(1_000), "waited {waited:?}");
-    assert!(!taken.may_order_target(&target("e2"), Instant::now()));
+    assert!(!successor.may_order_target(&target("e2"), Instant::now()));
 }
 
 /// An engine that stayed silent was written down before each try, but no order went out: a successor may order it at
@@ -208,12 +208,12 @@
     let first = election(&store, "box-1");
     let mut leadership = first.acquire().await.unwrap();
     order(&first, &mut leadership, &target("e1")).await.unwrap();
-    leadership.ended(&target("e1"), None);
+    leadership.orders_ended(&target("e1"), None);
     order(&first, &mut leadership, &target("e2")).await.unwrap();
     let second = election(&store, "box-2");
-    let taken = second.acquire().await.unwrap();
-    assert!(taken.may_order_target(&target("e1"), Instant::now()));
-    assert!(!taken.may_order_target(&target("e2"), Instant::now()));
+    let successor = second.acquire().await.unwrap();
+    assert!(successor.may_order_target(&target("e1"), Instant::now()));
+    assert!(!successor.may_order_target(&target("e2"), Instant::now()));
 }
 
 /// Boxes are replaced one at a time: a record by a box of the version before names engines without times, and each
@@ -225,9 +225,9 @@
     let text = r#"{"targets":["e1"]}"#;
     store.put(ORDERED_KEY, text, absent, None).await.unwrap();
     let holder = election(&store, "box-1");
-    let mut taken = holder.acquire().await.unwrap();
-    let waited = left_alone(&holder, &mut taken, &target("e1")).await;
-    assert!(waited > APART, "waited {waited:?}");
+    let mut successor = holder.acquire().await.unwrap();
+    let waited = hold_off(&holder, &mut successor, &target("e1")).await;
+    assert!(waited > MIN_ORDER_GAP, "waited {waited:?}");
 }
 
 #[tokio::test(start_paused = true)]
@@ -239,17 +239,17 @@
     store.lose_all();
     assert!(!first.renew(&mut leadership).await, "its lease is lost");
     let second = election(&store, "box-2");
-    let mut taken = second.acquire().await.unwrap();
-    assert!(taken.fence > leadership.fence);
+    let mut successor = second.acquire().await.unwrap();
+    assert!(successor.fence > leadership.fence);
     // It writes the record, which the next one must not believe.
-    second.record(&mut taken, &[]).await.unwrap();
-    second.give_up(&taken).await;
+    second.record(&mut successor, &[]).await.unwrap();
+    second.resign(&successor).await;
     let third = election(&store, "box-3");
-    let mut taken = third.acquire().await.unwrap();
-    left_alone(&third, &mut taken, &target("e1")).await;
-    assert!(ordered_at.elapsed() > APART);
+    let mut successor = third.acquire().await.unwrap();
+    hold_off(&third, &mut successor, &target("e1")).await;
+    assert!(ordered_at.elapsed() > MIN_ORDER_GAP);
     let fourth = election(&store, "box-4");
-    third.give_up(&taken).await;
-    let taken = fourth.acquire().await.unwrap();
-    assert!(taken.may_order_target(&target("e2"), Instant::now()));
+    third.resign(&successor).await;
+    let successor = fourth.acquire().await.unwrap();
+    assert!(successor.may_order_target(&target("e2"), Instant::now()));
 }
--- a/crates/sillpin-gateway/tests/fatal.rs
+++ b/crates/sillpin-gateway/tests/fatal.rs
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use sillpin_gateway::control::TargetEntry;
 use sillpin_gateway::fatal::record::MAX_REQUESTS;
-use sillpin_gateway::fatal::{CrashReport, Record, RequestFingerprint};
+use sillpin_gateway::fatal::{CrashReport, CrashRecord, RequestFingerprint};
 use sillpin_gateway::place::work::LifeHash;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -25,19 +25,19 @@
 }
 
 /// So many targets ended under the fatal request alone.
-fn ended(record: &mut Record, lives: impl IntoIterator<Item = usize>, now: Instant) {
+fn ended(record: &mut CrashRecord, lives: impl IntoIterator<Item = usize>, now: Instant) {
     for number in lives {
         record.ended(life(number), [FATAL], now, now);
     }
 }
 
-fn is_refused(record: &Record, fingerprint: RequestFingerprint, now: Instant) -> bool {
+fn is_refused(record: &CrashRecord, fingerprint: RequestFingerprint, now: Instant) -> bool {
     record.refused_until(fingerprint, now).is_some()
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_request_is_refused_from_the_third_ended_target_on() {
-    let (mut record, now) = (Record::default(), Instant::now());
+    let (mut record, now) = (CrashRecord::default(), Instant::now());
     ended(&mut record, [0, 1, 1, 1], now);
     assert!(
         !is_refused(&record, FATAL, now),
@@ -52,7 +52,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_request_beside_a_fatal_one_is_spared() {
-    let (mut record, now) = (Record::default(), Instant::now());
+    let (mut record, now) = (CrashRecord::default(), Instant::now());
     for number in 0..3 {
         record.ended(life(number), [FATAL, OTHER], now, now);
     }
@@ -67,7 +67,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn two_that_always_come_together_are_refused_after_one_more() {
-    let (mut record, now) = (Record::default(), Instant::now());
+    let (mut record, now) = (CrashRecord::default(), Instant::now());
     for number in 0..4 {
         record.ended(life(number), [FATAL, OTHER], now, now);
     }
@@ -76,7 +76,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_request_that_was_served_begins_anew() {
-    let (mut record, now) = (Record::default(), Instant::now());
+    let (mut record, now) = (CrashRecord::default(), Instant::now());
     ended(&mut record, [0, 1], now);
     record.served(FATAL, now);
     let later = now + Duration::from_secs(1);
@@ -88,10 +88,10 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_request_whose_caller_left_counts_if_its_target_ends_soon_after() {
-    let (mut record, now) = (Record::default(), Instant::now());
+    let (mut record, now) = (CrashRecord::default(), Instant::now());
     for number in 0..3 {
-        record.left(FATAL, life(number), now);
-        record.left(OTHER, life(number + 10), now);
+        record.abandoned(FATAL, life(number), now);
+        record.abandoned(OTHER, life(number + 10), now);
         record.ended(life(number), [RequestFingerprint(9 + number as u64)], now, now);
     }
     let late = now + Duration::from_secs(3);
@@ -105,9 +105,9 @@
 #[tokio::test(start_paused = true)]
 async fn a_target_that_another_box_saw_end_counts_for_what_was_left_there() {
     let now = Instant::now();
-    let (mut here, mut there) = (Record::default(), Record::default());
+    let (mut here, mut there) = (CrashRecord::default(), CrashRecord::default());
     for number in 0..3 {
-        here.left(FATAL, life(number), now);
+        here.abandoned(FATAL, life(number), now);
         there.ended(life(number), [OTHER], now, now);
     }
     here.hear(&there.told(now), now);
@@ -118,7 +118,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn what_is_remembered_is_bounded_and_the_fatal_stays() {
-    let (mut record, now) = (Record::default(), Instant::now());
+    let (mut record, now) = (CrashRecord::default(), Instant::now());
     ended(&mut record, 0..3, now);
     for number in 0..3 * MAX_REQUESTS as u64 {
         record.ended(life(100), [RequestFingerprint(10 + number)], now, now);
@@ -134,7 +134,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_box_that_starts_hears_of_every_fatal_request_however_many_others_there_are() {
-    let (mut record, mut now) = (Record::default(), Instant::now());
+    let (mut record, mut now) = (CrashRecord::default(), Instant::now());
     for fingerprint in 0..40 {
         for number in 0..3 {
             now += Duration::from_millis(100);
@@ -148,7 +148,7 @@
     }
     record.ended(life(999), (1_000..1_500).map(RequestFingerprint), now, now);
     let later = now + Duration::from_secs(5);
-    let mut new = Record::default();
+    let mut new = CrashRecord::default();
     for _ in 0..8 {
         new.hear(&record.told(later), later);
     }
@@ -165,7 +165,7 @@
         order in prop::collection::vec(0usize..4, 8),
     ) {
         let start = Instant::now();
-        let mut boxes: Vec<Record> = (0..4).map(|_| Record::default()).collect();
+        let mut boxes: Vec<CrashRecord> = (0..4).map(|_| CrashRecord::default()).collect();
         let mut now = start;
         for (at, fingerprint, target, served) in notes {
             // Longer than the ages told are rounded.
@@ -176,8 +176,8 @@
             }
         }
         let words: Vec<Vec<CrashReport>> = boxes.iter_mut().map(|record| record.told(now)).collect();
-        let mut one = Record::default();
-        let mut other = Record::default();
+        let mut one = CrashRecord::default();
+        let mut other = CrashRecord::default();
         for word in &words {
             one.hear(word, now);
         }
@@ -193,7 +193,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_target_that_ended_before_a_request_was_served_does_not_count_if_it_is_found_out_later() {
-    let (mut record, began) = (Record::default(), Instant::now());
+    let (mut record, began) = (CrashRecord::default(), Instant::now());
     ended(&mut record, [0, 1], began);
     let served = began + Duration::from_millis(10);
     record.served(FATAL, served);
@@ -206,7 +206,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn ends_before_a_request_was_served_leave_room_for_later_ones() {
-    let (mut record, mut now) = (Record::default(), Instant::now());
+    let (mut record, mut now) = (CrashRecord::default(), Instant::now());
     for round in 0..6 {
         ended(&mut record, [2 * round, 2 * round + 1], now);
         now += Duration::from_millis(10);
@@ -215,7 +215,7 @@
     }
     ended(&mut record, [100, 101, 102], now);
     assert!(is_refused(&record, FATAL, now));
-    let mut other = Record::default();
+    let mut other = CrashRecord::default();
     other.hear(&record.told(now), now);
     assert!(is_refused(&other, FATAL, now));
 }
@@ -224,7 +224,7 @@
 /// six crashes such requests had three ended targets each, though nothing they did ended one.
 #[tokio::test(start_paused = true)]
 async fn targets_that_end_at_the_same_moment_did_not_end_because_of_one_request() {
-    let (mut record, mut now) = (Record::default(), Instant::now());
+    let (mut record, mut now) = (CrashRecord::default(), Instant::now());
     for wave in 0..5 {
         for number in 0..5 {
             let at = now + Duration::from_millis(10 * number as u64);
@@ -246,7 +246,7 @@
 #[tokio::test(start_paused = true)]
 async fn fatal_requests_do_not_clear_each_other(#[case] count: u64) {
     let mut rng = StdRng::seed_from_u64(count);
-    let mut record = Record::default();
+    let mut record = CrashRecord::default();
     let mut ends: Vec<(u64, RequestFingerprint)> = Vec::new();
     for fingerprint in 0..count {
         let mut at = 0;
--- a/crates/sillpin-gateway/tests/fatal_fleet.rs
+++ b/crates/sillpin-gateway/tests/fatal_fleet.rs
@@ -10,7 +10,7 @@
 use rand::seq::IndexedRandom;
 use rstest::rstest;
 use sillpin_gateway::control::TargetEntry;
-use sillpin_gateway::fatal::{CrashReport, Record, RequestFingerprint};
+use sillpin_gateway::fatal::{CrashReport, CrashRecord, RequestFingerprint};
 use sillpin_gateway::peers::hub::Hub;
 use sillpin_gateway::place::work::LifeHash;
 use std::time::Duration;
@@ -33,19 +33,19 @@
     HubsEnd,
 }
 
-impl Memory for Record {
+impl Memory for CrashRecord {
     type Word = CrashReport;
 
     fn found(&mut self, now: Instant) -> Vec<CrashReport> {
-        Record::found(self, now)
+        CrashRecord::found(self, now)
     }
 
     fn told(&mut self, now: Instant) -> Vec<CrashReport> {
-        Record::told(self, now)
+        CrashRecord::told(self, now)
     }
 
     fn hear(&mut self, words: &[CrashReport], now: Instant) {
-        Record::hear(self, words, now);
+        CrashRecord::hear(self, words, now);
     }
 }
 
@@ -57,7 +57,7 @@
     fn end_cuts(&mut self);
 }
 
-impl Struck for Fleet<Record> {
+impl Struck for Fleet<CrashRecord> {
     fn begin(&mut self, trouble: Trouble) {
         let step = self.step;
         let hubs: Vec<bool> = self.boxes.iter().map(|one| one.hub.is_active()).collect();
@@ -102,7 +102,7 @@
     seed: u64,
 ) -> (usize, usize) {
     let steps = |time: Duration| (time.as_millis() / STEP.as_millis()) as usize;
-    let mut fleet: Fleet<Record> = Fleet::new(count, zones, seed);
+    let mut fleet: Fleet<CrashRecord> = Fleet::new(count, zones, seed);
     for _ in 0..20 {
         fleet.round().await;
     }
--- a/crates/sillpin-gateway/tests/kept/directory.rs
+++ b/crates/sillpin-gateway/tests/kept/directory.rs
@@ -4,7 +4,7 @@
 use sillpin_core::Tokens;
 use sillpin_gateway::control::KeptNews;
 use sillpin_gateway::dialect::EngineTime;
-use sillpin_gateway::kept::directory::{BELIEF, Directory};
+use sillpin_gateway::kept::directory::{CONTENT_TTL, Directory};
 use sillpin_gateway::kept::retire::MAX_FETCH_TIME;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -38,7 +38,7 @@
 async fn what_a_silent_store_holds_is_not_believed_for_long() {
     let mut directory = Directory::default();
     directory.apply_list(STORE, list(1, &["a"]), Instant::now());
-    tokio::time::advance(BELIEF).await;
+    tokio::time::advance(CONTENT_TTL).await;
     assert!(!kept(&directory, "a"));
     let now = Instant::now();
     assert!(!directory.should_save(STORE, &key("b"), Tokens(100), now));
@@ -145,7 +145,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_box_that_starts_saves_nothing_while_fetches_of_an_earlier_life_of_a_store_may_go_on() {
     let mut directory = Directory::default();
-    directory.follow(STORE, Instant::now());
+    directory.track(STORE, Instant::now());
     tokio::time::advance(Duration::from_millis(300)).await;
     let found = Instant::now();
     let saves = |directory: &mut Directory| {
@@ -153,7 +153,7 @@
         directory.apply_list(STORE, list(2, &[]), now);
         directory.should_save(STORE, &key("a"), Tokens(100), now)
     };
-    while found.elapsed() < BELIEF + MAX_FETCH_TIME {
+    while found.elapsed() < CONTENT_TTL + MAX_FETCH_TIME {
         assert!(!saves(&mut directory), "after {:?}", found.elapsed());
         tokio::time::advance(Duration::from_millis(100)).await;
     }
@@ -167,11 +167,11 @@
     let mut directory = Directory::default();
     directory.apply_list(STORE, list(1, &["a"]), Instant::now());
     directory.forget(STORE);
-    tokio::time::advance(BELIEF + MAX_FETCH_TIME).await;
+    tokio::time::advance(CONTENT_TTL + MAX_FETCH_TIME).await;
     let now = Instant::now();
     directory.apply_list(STORE, list(2, &[]), now);
     assert!(!directory.should_save(STORE, &key("a"), Tokens(100), now));
-    tokio::time::advance(BELIEF + MAX_FETCH_TIME).await;
+    tokio::time::advance(CONTENT_TTL + MAX_FETCH_TIME).await;
     let now = Instant::now();
     directory.apply_list(STORE, list(2, &[]), now);
     assert!(directory.should_save(STORE, &key("a"), Tokens(100), now));
--- a/crates/sillpin-gateway/tests/kept/main.rs
+++ b/crates/sillpin-gateway/tests/kept/main.rs
@@ -6,7 +6,7 @@
 mod common;
 mod directory;
 mod homes;
-mod links;
+mod fetch_shares;
 mod listing;
 mod retire;
 
--- a/crates/sillpin-gateway/tests/kept/retire.rs
+++ b/crates/sillpin-gateway/tests/kept/retire.rs
@@ -5,7 +5,7 @@
 use sillpin_core::WeightVersion;
 use sillpin_gateway::beliefs::{BoxEntry, Known, Named, View, Wanted};
 use sillpin_gateway::control::KeptKey;
-use sillpin_gateway::kept::retire::{MAX_FETCH_TIME, Retired, Retirements, Weights, place_of};
+use sillpin_gateway::kept::retire::{MAX_FETCH_TIME, Retired, Retirements, Weights, retirement_rank};
 use sillpin_gateway::kept::salt::SaltParts;
 use sillpin_platform::KvRevision;
 use std::collections::HashMap;
@@ -192,7 +192,7 @@
         let freed = parts
             .iter()
             .filter(used)
-            .filter(|key| place_of(key) < unused);
+            .filter(|key| retirement_rank(key) < unused);
         assert_eq!(
             freed.count(),
             0,
@@ -262,7 +262,7 @@
 #[test]
 fn the_order_of_retirement_is_spread_over_all_parts() {
     let low = (0..1_000)
-        .filter(|i| place_of(&key(&format!("p{i}"))) < 0.5)
+        .filter(|i| retirement_rank(&key(&format!("p{i}"))) < 0.5)
         .count();
     assert!((400..600).contains(&low), "{low} of 1,000");
 }
--- a/crates/sillpin-gateway/tests/freer.rs
+++ b/crates/sillpin-gateway/tests/reclaimer.rs
@@ -13,7 +13,7 @@
 };
 use sillpin_gateway::dialect::{EngineTime, PartId, Salt};
 use sillpin_gateway::kept::Kept;
-use sillpin_gateway::kept::freer::Freer;
+use sillpin_gateway::kept::reclaimer::Reclaimer;
 use sillpin_platform::{KvRevision, Snapshot};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -116,7 +116,7 @@
     kept.lock().apply_list(addr, list(&[]), start);
     kept.lock().set_clock(Some(EngineTime(0)), start);
     let (_limit, until) = watch::channel(start + Duration::from_secs(60));
-    let freer = Freer {
+    let reclaimer = Reclaimer {
         control,
         kept,
         fleet,
@@ -124,7 +124,7 @@
         awake: Awake::manual(),
         log,
     };
-    tokio::spawn(freer.run());
+    tokio::spawn(reclaimer.run());
     listings.recv().await.unwrap();
     let at = listings.recv().await.unwrap();
     let order = orders.recv().await.unwrap();
--- a/crates/sillpin-gateway/tests/rollout.rs
+++ b/crates/sillpin-gateway/tests/rollout.rs
@@ -25,7 +25,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// Least time between two holders' orders to one engine.
-const APART: Duration = Duration::from_millis(3_000);
+const MIN_ORDER_GAP: Duration = Duration::from_millis(3_000);
 
 /// How long a load takes.
 const LOAD: Duration = Duration::from_millis(760);
@@ -253,7 +253,7 @@
             election: Election {
                 platform: self.platform.clone(),
                 me: me.id.clone(),
-                min_order_gap: APART,
+                min_order_gap: MIN_ORDER_GAP,
                 hold: Duration::from_secs(25),
                 awake: Awake::manual(),
                 log: log.clone(),
