--- a/crates/sillpin-gateway/src/fatal/mod.rs
+++ b/crates/sillpin-gateway/src/fatal/mod.rs
@@ -30,7 +30,7 @@
 pub struct FatalRequests {
     record: Arc<Mutex<CrashRecord>>,
     /// Notified when this box itself has observed a crash.
-    pub found: Arc<Notify>,
+    pub observed: Arc<Notify>,
     log: Logger,
 }
 
@@ -39,7 +39,7 @@
     pub fn new(log: Logger) -> Self {
         Self {
             record: Arc::default(),
-            found: Arc::default(),
+            observed: Arc::default(),
             log,
         }
     }
@@ -57,21 +57,21 @@
         at: Instant,
     ) {
         let fatal = self.record().record_crash(life, under, at, Instant::now());
-        self.found.notify_waiters();
+        self.observed.notify_waiters();
         self.log_fatal(&fatal, "this box");
     }
 
     /// Applies reports from another box.
-    pub fn hear(&self, reports: &[CrashReport]) {
+    pub fn apply_update(&self, reports: &[CrashReport]) {
         if !reports.is_empty() {
-            let fatal = self.record().hear(reports, Instant::now());
+            let fatal = self.record().apply_update(reports, Instant::now());
             self.log_fatal(&fatal, "other boxes");
         }
     }
 
     /// Applies reports that were persisted in the platform store.
     pub fn restore(&self, reports: &[CrashReport]) {
-        let fatal = self.record().hear(reports, Instant::now());
+        let fatal = self.record().apply_update(reports, Instant::now());
         self.log_fatal(&fatal, "store");
     }
 
--- a/crates/sillpin-gateway/src/fatal/persist.rs
+++ b/crates/sillpin-gateway/src/fatal/persist.rs
@@ -76,7 +76,7 @@
             let mut views = self.fleet.subscribe();
             let mut era = StoreEra::default();
             loop {
-                let found = history.found.notified();
+                let found = history.observed.notified();
                 if self.has_unwritten(&written) {
                     self.write(&mut written).await;
                     continue;
--- a/crates/sillpin-gateway/src/fatal/record.rs
+++ b/crates/sillpin-gateway/src/fatal/record.rs
@@ -77,7 +77,7 @@
     served: Option<Instant>,
     changed: Instant,
     /// When this box last observed a change itself.
-    found: Option<Instant>,
+    observed: Option<Instant>,
 }
 
 impl Suspect {
@@ -86,7 +86,7 @@
             crashes: BTreeMap::new(),
             served: None,
             changed: now,
-            found: None,
+            observed: None,
         }
     }
 
@@ -214,7 +214,7 @@
         let is_new = suspect.add(life, at);
         if is_new {
             suspect.changed = now;
-            suspect.found = Some(now);
+            suspect.observed = Some(now);
         }
         is_new
     }
@@ -241,7 +241,7 @@
         if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
             suspect.served = Some(now);
             suspect.changed = now;
-            suspect.found = Some(now);
+            suspect.observed = Some(now);
         }
     }
 
@@ -286,7 +286,7 @@
     }
 
     /// Applies reports from another box or from the platform store. Returns the requests that are refused from now on.
-    pub fn hear(&mut self, reports: &[CrashReport], now: Instant) -> Vec<RequestFingerprint> {
+    pub fn apply_update(&mut self, reports: &[CrashReport], now: Instant) -> Vec<RequestFingerprint> {
         let mut fatal = Vec::new();
         for (life, age) in reports.iter().flat_map(|report| &report.crashes) {
             let crashed_at = now.checked_sub(Duration::from_millis(u64::from(*age)));
@@ -328,20 +328,20 @@
     }
 
     /// Returns what this box itself observed recently, for the hubs of a large zone.
-    pub fn found(&self, now: Instant) -> Vec<CrashReport> {
+    pub fn observed(&self, now: Instant) -> Vec<CrashReport> {
         let is_recent = |suspect: &Suspect| {
-            let found = suspect.found;
-            found.is_some_and(|at| now.saturating_duration_since(at) < RECENT)
+            let observed = suspect.observed;
+            observed.is_some_and(|at| now.saturating_duration_since(at) < RECENT)
         };
-        let found = self.suspects.iter().filter(|(_, suspect)| is_recent(suspect));
-        let found = found.take(MAX_RECENT);
-        found
+        let observed = self.suspects.iter().filter(|(_, suspect)| is_recent(suspect));
+        let observed = observed.take(MAX_RECENT);
+        observed
             .map(|(fingerprint, suspect)| suspect.report(*fingerprint, now))
             .collect()
     }
 
     /// Returns the next reports to other boxes: recent changes, and the rest in rotation, for boxes that start or were partitioned.
-    pub fn told(&mut self, now: Instant) -> Vec<CrashReport> {
+    pub fn updates_to_send(&mut self, now: Instant) -> Vec<CrashReport> {
         self.remove_expired(now);
         let is_recent = |suspect: &Suspect| now.saturating_duration_since(suspect.changed) < RECENT;
         let mut fingerprints: Vec<RequestFingerprint> = self
@@ -395,7 +395,7 @@
     /// Returns whether this box itself observed the last change of a request.
     pub fn is_observed_here(&self, fingerprint: RequestFingerprint) -> bool {
         let suspect = self.suspects.get(&fingerprint);
-        suspect.is_some_and(|suspect| suspect.found == Some(suspect.changed))
+        suspect.is_some_and(|suspect| suspect.observed == Some(suspect.changed))
     }
 
     /// Returns the number of requests in the history.
--- a/crates/sillpin-gateway/src/kept/retire.rs
+++ b/crates/sillpin-gateway/src/kept/retire.rs
@@ -102,7 +102,7 @@
 
 impl Retirements {
     /// Ages the reports of other boxes by the time that this box was suspended since the last call; `slept` is the total.
-    pub fn wake(&mut self, slept: Duration) {
+    pub fn add_suspended_time(&mut self, slept: Duration) {
         let time = slept.saturating_sub(self.slept);
         self.slept = slept;
         if !time.is_zero() {
@@ -150,7 +150,7 @@
 
     /// Returns the shares that this box reports to others: those applied so long ago that its fetches of these parts
     /// are over.
-    pub fn told(&self, now: Instant) -> Vec<Retired> {
+    pub fn updates_to_send(&self, now: Instant) -> Vec<Retired> {
         let settled = |weights: &Weights| Retired {
             weights: weights.clone(),
             share: self.share_in_force(weights, now, MAX_FETCH_TIME),
@@ -178,7 +178,7 @@
 
     /// Records another box's digest: the shares that it has retired, which this box retires too, and the time since its last
     /// answer from the platform store.
-    pub fn hear(
+    pub fn apply_update(
         &mut self,
         from: BoxId,
         retired: Vec<Retired>,
--- a/crates/sillpin-gateway/src/peers/digest.rs
+++ b/crates/sillpin-gateway/src/peers/digest.rs
@@ -134,7 +134,7 @@
                     true => at_once = true,
                     false => {
                         work_due = Instant::now() + WORK_ROUND;
-                        let work = self.loads.told();
+                        let work = self.loads.updates_to_send();
                         if work != work_told {
                             work_told = work.clone();
                             self.tell_work(socket, work).await;
@@ -143,7 +143,7 @@
                 },
                 () = urgent.notified() => at_once = large,
                 // Callers come back within a second, and each time it costs a target.
-                () = self.fatal.found.notified() => match large {
+                () = self.fatal.observed.notified() => match large {
                     true => at_once = true,
                     false => self.round(socket, false).await,
                 },
@@ -211,10 +211,10 @@
         let fullness = self.kept.lock().fullness(stores.unwrap_or_default());
         {
             let mut retirements = self.kept.retirements();
-            retirements.wake(self.awake.slept());
+            retirements.add_suspended_time(self.awake.slept());
             retirements.update(&view, fullness, Instant::now());
         }
-        self.loads.words(|words| words.wake(self.awake.slept()));
+        self.loads.words(|words| words.add_suspended_time(self.awake.slept()));
         if large {
             return;
         }
@@ -241,7 +241,7 @@
         let from = self.me.id.clone();
         let replaced = self
             .loads
-            .words(|words| words.replaced.told(Instant::now()));
+            .words(|words| words.replaced.updates_to_send(Instant::now()));
         let word = WorkWord {
             from,
             work,
@@ -289,13 +289,13 @@
                 .filter_map(extent_of)
                 .collect(),
             clock: directory.engine_time(now, Duration::ZERO),
-            work: self.loads.told(),
-            replaced: self.loads.words(|words| words.replaced.told(now)),
+            work: self.loads.updates_to_send(),
+            replaced: self.loads.words(|words| words.replaced.updates_to_send(now)),
             named: ages(&view.wanted, now),
             contact_ms: view.operators.in_touch(now).map(|at| millis(now - at)),
-            retired: self.kept.retirements().told(now),
-            fatal: self.fatal.record().told(now),
-            limits: self.loads.words(|words| words.limits.told(now)),
+            retired: self.kept.retirements().updates_to_send(now),
+            fatal: self.fatal.record().updates_to_send(now),
+            limits: self.loads.words(|words| words.limits.updates_to_send(now)),
             stopping: self.stopping.is_cancelled(),
         }
     }
--- a/crates/sillpin-gateway/src/peers/ear.rs
+++ b/crates/sillpin-gateway/src/peers/ear.rs
@@ -146,8 +146,8 @@
             Datagram::Kept(word) => self.take_word(word),
             Datagram::Work(word) => {
                 self.loads
-                    .words(|words| words.replaced.hear(&word.replaced, Instant::now()));
-                self.loads.hear(word.from, word.work);
+                    .words(|words| words.replaced.apply_update(&word.replaced, Instant::now()));
+                self.loads.apply_update(word.from, word.work);
             }
             Datagram::Report(report) => self.take_report(report).await,
             Datagram::Bulletin(bulletin) => self.take_bulletin(bulletin).await,
@@ -162,15 +162,15 @@
         }
         let now = Instant::now();
         let from = digest.from.id.clone();
-        self.loads.hear(from.clone(), digest.work);
+        self.loads.apply_update(from.clone(), digest.work);
         self.loads
-            .words(|words| words.replaced.hear(&digest.replaced, now));
-        self.fatal.hear(&digest.fatal);
+            .words(|words| words.replaced.apply_update(&digest.replaced, now));
+        self.fatal.apply_update(&digest.fatal);
         self.take_limits(&digest.limits);
         let silence = digest.targets.age_ms.map(Duration::from_millis);
         let silence = silence.unwrap_or(Duration::MAX);
         let retired = digest.retired;
-        self.kept.retirements().hear(from, retired, silence, now);
+        self.kept.retirements().apply_update(from, retired, silence, now);
         self.kept.lock().set_clock(digest.clock, now);
         self.welcome(&digest.from);
         self.fleet.tell(FleetMsg::Heard(digest.from.clone())).await;
@@ -190,7 +190,7 @@
         }
         let changes = self
             .loads
-            .words(|words| words.limits.hear(news, Instant::now()));
+            .words(|words| words.limits.apply_update(news, Instant::now()));
         if changes.is_empty() {
             return;
         }
--- a/crates/sillpin-gateway/src/peers/ear/news.rs
+++ b/crates/sillpin-gateway/src/peers/ear/news.rs
@@ -31,7 +31,7 @@
             self.take_one(news.clone()).await;
         }
         self.kept.retirements().apply_shares(&report.retired);
-        self.fatal.hear(&report.fatal);
+        self.fatal.apply_update(&report.fatal);
         self.take_limits(&report.limits);
         let roster = self.zone_news.rosters.of(&self.fleet.view());
         if let Some(from) = roster.find(report.from) {
@@ -54,9 +54,9 @@
         if let Some(sums) = sums {
             self.loads.hear_sums(sums.work, &members);
             self.loads
-                .words(|words| words.replaced.hear(&sums.replaced, now));
+                .words(|words| words.replaced.apply_update(&sums.replaced, now));
             self.kept.retirements().apply_shares(&sums.retired);
-            self.fatal.hear(&sums.fatal);
+            self.fatal.apply_update(&sums.fatal);
             self.take_limits(&sums.limits);
             let roster = self.zone_news.rosters.of(&self.fleet.view());
             if let Some(hub) = members.first().and_then(|hub| roster.find(*hub)) {
@@ -75,7 +75,7 @@
             self.apply_changes(loading.clone()).await;
         }
         self.kept.retirements().apply_shares(&word.retired);
-        self.fatal.hear(&word.fatal);
+        self.fatal.apply_update(&word.fatal);
         self.take_limits(&word.limits);
         self.zone_news.hub().zone_word(word, Instant::now());
         self.tell_loads();
--- a/crates/sillpin-gateway/src/peers/spread.rs
+++ b/crates/sillpin-gateway/src/peers/spread.rs
@@ -87,8 +87,8 @@
             operators: extent(view.operators),
             targets: extent(view.listed),
             retired: self.kept.retirements().applied(),
-            fatal: self.fatal.record().told(now),
-            limits: self.loads.words(|words| words.limits.told(now)),
+            fatal: self.fatal.record().updates_to_send(now),
+            limits: self.loads.words(|words| words.limits.updates_to_send(now)),
         };
         let bulletins = self.zone_news.hub().bulletins(sums, now);
         for bulletin in bulletins {
@@ -113,10 +113,10 @@
         view: &View,
         now: Instant,
     ) {
-        let work = self.loads.told();
+        let work = self.loads.updates_to_send();
         let silent = is_due(spread.reported, REPORT_EVERY, now);
-        let fatal = self.fatal.record().found(now);
-        let limits = self.loads.words(|words| words.limits.found(now));
+        let fatal = self.fatal.record().observed(now);
+        let limits = self.loads.words(|words| words.limits.observed(now));
         let is_quiet = spread.pending.is_empty() && fatal.is_empty() && limits.is_empty();
         if work == spread.work && is_quiet && !silent {
             return;
@@ -134,7 +134,7 @@
             let report = Report {
                 from: me,
                 work: work.clone(),
-                replaced: self.loads.words(|words| words.replaced.told(now)),
+                replaced: self.loads.words(|words| words.replaced.updates_to_send(now)),
                 operators: extent(view.operators),
                 targets: extent(view.listed),
                 retired: self.kept.retirements().applied(),
@@ -171,8 +171,8 @@
         let Some(mut word) = word else {
             return;
         };
-        word.fatal = self.fatal.record().told(now);
-        word.limits = self.loads.words(|words| words.limits.told(now));
+        word.fatal = self.fatal.record().updates_to_send(now);
+        word.limits = self.loads.words(|words| words.limits.updates_to_send(now));
         let to = self.other_hubs(roster, now);
         self.send(socket, &Datagram::Zone(word), to).await;
     }
--- a/crates/sillpin-gateway/src/place/load.rs
+++ b/crates/sillpin-gateway/src/place/load.rs
@@ -155,7 +155,7 @@
     }
 
     /// Work of this box at engines, for the others.
-    pub fn told(&self) -> Vec<EngineWork> {
+    pub fn updates_to_send(&self) -> Vec<EngineWork> {
         let table = self.lock();
         let working = table.iter().filter(|(_, load)| load.work.tokens >= 1.0);
         working
@@ -164,9 +164,9 @@
     }
 
     /// Takes what another box tells.
-    pub fn hear(&self, from: BoxId, work: Vec<EngineWork>) {
+    pub fn apply_update(&self, from: BoxId, work: Vec<EngineWork>) {
         let mut others = self.others.lock().unwrap_or_else(|e| e.into_inner());
-        others.hear(from, work, Instant::now());
+        others.apply_update(from, work, Instant::now());
     }
 
     /// This box reports its work to its hub.
--- a/crates/sillpin-gateway/src/place/words/leaving.rs
+++ b/crates/sillpin-gateway/src/place/words/leaving.rs
@@ -23,7 +23,7 @@
 
 impl Leaving {
     /// A target says that it leaves; whether that is news.
-    pub fn hear(&mut self, target: LifeHash, now: Instant) -> bool {
+    pub fn apply_update(&mut self, target: LifeHash, now: Instant) -> bool {
         self.known.insert(target, now).is_none()
     }
 
--- a/crates/sillpin-gateway/src/place/words/limit.rs
+++ b/crates/sillpin-gateway/src/place/words/limit.rs
@@ -101,7 +101,7 @@
     /// Whether the target's last answer to this box named a limit that could not be read.
     unreadable: bool,
     /// When this box last found a change itself.
-    found: Option<Instant>,
+    observed: Option<Instant>,
 }
 
 impl Known {
@@ -153,7 +153,7 @@
         let known = self.known.get_mut(&target)?;
         known.unreadable = is_unreadable;
         if change.is_some() {
-            known.found = Some(now);
+            known.observed = Some(now);
         }
         if !is_unreadable || was_unreadable {
             return change;
@@ -167,7 +167,7 @@
     }
 
     /// Takes what another box tells; what changed by it.
-    pub fn hear(&mut self, news: &[LimitNews], now: Instant) -> Vec<LimitChange> {
+    pub fn apply_update(&mut self, news: &[LimitNews], now: Instant) -> Vec<LimitChange> {
         let mut changes = Vec::new();
         for one in news {
             let age = Duration::from_millis(u64::from(one.age_ms));
@@ -198,7 +198,7 @@
             learned: now,
             changed: now,
             unreadable: false,
-            found: None,
+            observed: None,
         });
         let before = known.rate;
         known.rate = rate;
@@ -273,10 +273,10 @@
     }
 
     /// What this box found itself of late, for those that tell it on.
-    pub fn found(&self, now: Instant) -> Vec<LimitNews> {
+    pub fn observed(&self, now: Instant) -> Vec<LimitNews> {
         let is_fresh = |known: &&Known| {
             known
-                .found
+                .observed
                 .is_some_and(|at| now.saturating_duration_since(at) < FRESH)
         };
         let fresh = self.known.iter().filter(|(_, known)| is_fresh(known));
@@ -287,7 +287,7 @@
     }
 
     /// What this box tells others: what changed of late, and of the rest some in turn.
-    pub fn told(&mut self, now: Instant) -> Vec<LimitNews> {
+    pub fn updates_to_send(&mut self, now: Instant) -> Vec<LimitNews> {
         let is_fresh = |known: &Known| now.saturating_duration_since(known.changed) < FRESH;
         let fresh = self.known.iter().filter(|(_, known)| is_fresh(known));
         let mut news: Vec<LimitNews> = fresh
--- a/crates/sillpin-gateway/src/place/words/mod.rs
+++ b/crates/sillpin-gateway/src/place/words/mod.rs
@@ -78,11 +78,11 @@
         };
         let limit = self.limits.answered(target, heard, now);
         let mut changes: Vec<Change> = limit.into_iter().map(Change::Limit).collect();
-        if said.words.leaving && self.leaving.hear(target, now) {
+        if said.words.leaving && self.leaving.apply_update(target, now) {
             changes.push(Change::Leaves);
         }
         if let Some(word) = said.words.retry_after.filter(|_| said.turned_away) {
-            let wait = self.backoffs.hear(target, word, now);
+            let wait = self.backoffs.apply_update(target, word, now);
             let is_readable = word != RetryAfter::Unreadable;
             changes.extend(wait.map(|wait| Change::BacksOff { wait, is_readable }));
         }
@@ -113,7 +113,7 @@
     }
 
     /// Makes what is known older by the time that the box was suspended, `slept` in all since its start.
-    pub fn wake(&mut self, slept: Duration) {
+    pub fn add_suspended_time(&mut self, slept: Duration) {
         let time = slept.saturating_sub(self.slept);
         self.slept = slept;
         self.limits.age(time);
--- a/crates/sillpin-gateway/src/place/words/replaced.rs
+++ b/crates/sillpin-gateway/src/place/words/replaced.rs
@@ -20,18 +20,18 @@
 #[derive(Debug, Default)]
 pub struct Replaced {
     until: HashMap<LifeHash, Instant>,
-    found: HashMap<LifeHash, Instant>,
+    observed: HashMap<LifeHash, Instant>,
 }
 
 impl Replaced {
     /// This box was told so by whoever has the address now.
     pub fn find(&mut self, target: LifeHash, now: Instant) {
-        self.found.insert(target, now);
-        self.hear(&[target], now);
+        self.observed.insert(target, now);
+        self.apply_update(&[target], now);
     }
 
     /// Another box was told so.
-    pub fn hear(&mut self, targets: &[LifeHash], now: Instant) {
+    pub fn apply_update(&mut self, targets: &[LifeHash], now: Instant) {
         self.until.retain(|_, until| now < *until);
         for target in targets {
             self.until.entry(*target).or_insert(now + MEMORY);
@@ -39,9 +39,9 @@
     }
 
     /// What this box found of late, for the others.
-    pub fn told(&mut self, now: Instant) -> Vec<LifeHash> {
-        self.found.retain(|_, at| now - *at < TELL);
-        self.found.keys().copied().collect()
+    pub fn updates_to_send(&mut self, now: Instant) -> Vec<LifeHash> {
+        self.observed.retain(|_, at| now - *at < TELL);
+        self.observed.keys().copied().collect()
     }
 
     /// All that are known to be replaced.
--- a/crates/sillpin-gateway/src/place/work.rs
+++ b/crates/sillpin-gateway/src/place/work.rs
@@ -136,7 +136,7 @@
 
 impl Others {
     /// Takes what a box tells.
-    pub fn hear(&mut self, from: BoxId, work: Vec<EngineWork>, now: Instant) {
+    pub fn apply_update(&mut self, from: BoxId, work: Vec<EngineWork>, now: Instant) {
         self.words.retain(|_, word| now - word.at < WORD_TIME);
         self.words.insert(from, Word { at: now, work });
     }
--- a/crates/sillpin-gateway/tests/awake.rs
+++ b/crates/sillpin-gateway/tests/awake.rs
@@ -84,7 +84,7 @@
     assert!(!may_fetch(&retirements, &fleet, now), "before any task ran");
     let woke = now + Duration::from_millis(1);
     fleet.sweep(woke);
-    retirements.wake(awake.slept());
+    retirements.add_suspended_time(awake.slept());
     assert!(!may_fetch(&retirements, &fleet, woke), "known too long ago");
     let asked = woke + Duration::from_millis(1);
     fleet.handle(read(Topic::Targets, "target/i-1", "ready 1", asked), asked);
--- a/crates/sillpin-gateway/tests/common/engines.rs
+++ b/crates/sillpin-gateway/tests/common/engines.rs
@@ -141,7 +141,7 @@
         if now >= self.tell {
             self.tell = now + self.lag.every;
             self.told.push_back((now + self.lag.late, self.total()));
-            self.boxes.iter().for_each(|of| of.report(of.told()));
+            self.boxes.iter().for_each(|of| of.report(of.updates_to_send()));
         }
         while self.told.front().is_some_and(|(at, _)| *at <= now) {
             let Some((_, work)) = self.told.pop_front() else {
--- a/crates/sillpin-gateway/tests/common/gossip.rs
+++ b/crates/sillpin-gateway/tests/common/gossip.rs
@@ -30,11 +30,11 @@
     /// What boxes tell each other.
     type Word: Clone;
     /// What it found itself of late.
-    fn found(&mut self, now: Instant) -> Vec<Self::Word>;
+    fn observed(&mut self, now: Instant) -> Vec<Self::Word>;
     /// What it tells.
-    fn told(&mut self, now: Instant) -> Vec<Self::Word>;
+    fn updates_to_send(&mut self, now: Instant) -> Vec<Self::Word>;
     /// Takes what another box tells.
-    fn hear(&mut self, words: &[Self::Word], now: Instant);
+    fn apply_update(&mut self, words: &[Self::Word], now: Instant);
 }
 
 /// One box.
@@ -114,7 +114,7 @@
 
     fn tell(&mut self, from: usize, to: usize, words: &[M::Word]) {
         if self.arrives(from, to) {
-            self.boxes[to].memory.hear(words, Instant::now());
+            self.boxes[to].memory.apply_update(words, Instant::now());
         }
     }
 
@@ -143,7 +143,7 @@
     }
 
     fn digest(&mut self, from: usize) {
-        let words = self.boxes[from].memory.told(Instant::now());
+        let words = self.boxes[from].memory.updates_to_send(Instant::now());
         let foreign = self.others(from, false);
         let foreign: Vec<usize> = foreign.sample(&mut self.rng, FOREIGN).copied().collect();
         for to in self.others(from, true).into_iter().chain(foreign) {
@@ -156,7 +156,7 @@
         for from in 0..self.boxes.len() {
             self.report(from, now);
             if (self.step + from).is_multiple_of(LARGE_DIGEST) {
-                let words = self.boxes[from].memory.told(now);
+                let words = self.boxes[from].memory.updates_to_send(now);
                 let zone = self.others(from, true);
                 let any = *zone.choose(&mut self.rng).unwrap();
                 self.tell(from, any, &words);
@@ -192,7 +192,7 @@
         if self.boxes[from].dead {
             return;
         }
-        let found = self.boxes[from].memory.found(now);
+        let found = self.boxes[from].memory.observed(now);
         let report = Report {
             from: self.boxes[from].name,
             work: Vec::new(),
@@ -208,7 +208,7 @@
         for to in self.reports_to(from, now) {
             if self.arrives(from, to) {
                 self.boxes[to].hub.report(report.clone(), now);
-                self.boxes[to].memory.hear(&found, now);
+                self.boxes[to].memory.apply_update(&found, now);
             }
         }
     }
@@ -217,7 +217,7 @@
         if self.boxes[hub].dead {
             return;
         }
-        let words = self.boxes[hub].memory.told(now);
+        let words = self.boxes[hub].memory.updates_to_send(now);
         let sums = || Sums {
             work: Vec::new(),
             replaced: Vec::new(),
@@ -247,7 +247,7 @@
             let to = self.find(*next);
             if self.arrives(from, to) {
                 self.boxes[to].hub.hear_bulletin(members, now);
-                self.boxes[to].memory.hear(words, now);
+                self.boxes[to].memory.apply_update(words, now);
                 self.pass_on(to, members, words, now);
             }
         }
--- a/crates/sillpin-gateway/tests/fatal.rs
+++ b/crates/sillpin-gateway/tests/fatal.rs
@@ -110,7 +110,7 @@
         here.abandoned(FATAL, life(number), now);
         there.ended(life(number), [OTHER], now, now);
     }
-    here.hear(&there.told(now), now);
+    here.apply_update(&there.updates_to_send(now), now);
     // Both have three: the next one decides.
     ended(&mut here, [3], now);
     assert!(is_refused(&here, FATAL, now));
@@ -125,10 +125,10 @@
     }
     assert!(record.len() <= MAX_REQUESTS, "{}", record.len());
     assert!(is_refused(&record, FATAL, now));
-    let word = bincode::serialize(&record.told(now)).unwrap();
+    let word = bincode::serialize(&record.updates_to_send(now)).unwrap();
     assert!(word.len() < 2_000, "{} bytes", word.len());
     let minutes = now + Duration::from_secs(61);
-    record.told(minutes);
+    record.updates_to_send(minutes);
     assert_eq!(record.len(), 1, "the others are forgotten");
 }
 
@@ -150,7 +150,7 @@
     let later = now + Duration::from_secs(5);
     let mut new = CrashRecord::default();
     for _ in 0..8 {
-        new.hear(&record.told(later), later);
+        new.apply_update(&record.updates_to_send(later), later);
     }
     for fingerprint in 0..40 {
         assert!(is_refused(&new, RequestFingerprint(fingerprint), later), "{fingerprint}");
@@ -175,14 +175,14 @@
                 false => drop(boxes[at].ended(life(target), [RequestFingerprint(fingerprint)], now, now)),
             }
         }
-        let words: Vec<Vec<CrashReport>> = boxes.iter_mut().map(|record| record.told(now)).collect();
+        let words: Vec<Vec<CrashReport>> = boxes.iter_mut().map(|record| record.updates_to_send(now)).collect();
         let mut one = CrashRecord::default();
         let mut other = CrashRecord::default();
         for word in &words {
-            one.hear(word, now);
+            one.apply_update(word, now);
         }
         for at in order.into_iter().chain([3, 2, 1, 0]) {
-            other.hear(&words[at], now);
+            other.apply_update(&words[at], now);
         }
         for fingerprint in 1..4 {
             let fingerprint = RequestFingerprint(fingerprint);
@@ -216,7 +216,7 @@
     ended(&mut record, [100, 101, 102], now);
     assert!(is_refused(&record, FATAL, now));
     let mut other = CrashRecord::default();
-    other.hear(&record.told(now), now);
+    other.apply_update(&record.updates_to_send(now), now);
     assert!(is_refused(&other, FATAL, now));
 }
 
--- a/crates/sillpin-gateway/tests/fatal_fleet.rs
+++ b/crates/sillpin-gateway/tests/fatal_fleet.rs
@@ -36,16 +36,16 @@
 impl Memory for CrashRecord {
     type Word = CrashReport;
 
-    fn found(&mut self, now: Instant) -> Vec<CrashReport> {
-        CrashRecord::found(self, now)
+    fn observed(&mut self, now: Instant) -> Vec<CrashReport> {
+        CrashRecord::observed(self, now)
     }
 
-    fn told(&mut self, now: Instant) -> Vec<CrashReport> {
-        CrashRecord::told(self, now)
+    fn updates_to_send(&mut self, now: Instant) -> Vec<CrashReport> {
+        CrashRecord::updates_to_send(self, now)
     }
 
-    fn hear(&mut self, words: &[CrashReport], now: Instant) {
-        CrashRecord::hear(self, words, now);
+    fn apply_update(&mut self, words: &[CrashReport], now: Instant) {
+        CrashRecord::apply_update(self, words, now);
     }
 }
 
--- a/crates/sillpin-gateway/tests/kept/retire.rs
+++ b/crates/sillpin-gateway/tests/kept/retire.rs
@@ -118,9 +118,9 @@
         0.0,
         "the other box has said nothing"
     );
-    retirements.hear(name("box-2"), told(0.25), Duration::ZERO, now);
+    retirements.apply_update(name("box-2"), told(0.25), Duration::ZERO, now);
     assert_eq!(unused(&retirements, now), 0.25);
-    retirements.hear(name("box-2"), told(1.0), Duration::ZERO, now);
+    retirements.apply_update(name("box-2"), told(1.0), Duration::ZERO, now);
     assert_eq!(unused(&retirements, now), 1.0);
 }
 
@@ -128,7 +128,7 @@
 async fn a_box_tells_of_retired_parts_only_when_its_fetches_of_them_are_over() {
     let mut retirements = Retirements::default();
     let start = Instant::now();
-    let told = |r: &Retirements| r.told(Instant::now()).first().map_or(0.0, |r| r.share);
+    let told = |r: &Retirements| r.updates_to_send(Instant::now()).first().map_or(0.0, |r| r.share);
     retirements.update(&view(2, start), FULL, start);
     assert_eq!(
         told(&retirements),
@@ -186,7 +186,7 @@
         let view = view(2, now);
         started.update(&view, roomy, now);
         holder.update(&view, roomy, now);
-        holder.hear(name("box-2"), started.told(now), Duration::ZERO, now);
+        holder.apply_update(name("box-2"), started.updates_to_send(now), Duration::ZERO, now);
         let unused = holder.unused_share(&old_weights(), &view, now);
         let used = |key: &&KeptKey| !started.is_retired(&salt, key);
         let freed = parts
@@ -216,12 +216,12 @@
     let view = view(2, now);
     let roomy = 0.5;
     started.update(&view, roomy, now);
-    started.hear(name("box-1"), holder.told(now), Duration::ZERO, now);
+    started.apply_update(name("box-1"), holder.updates_to_send(now), Duration::ZERO, now);
     started.update(&view, roomy, now);
     tokio::time::advance(MAX_FETCH_TIME).await;
     let now = Instant::now();
     holder.update(&view, roomy, now);
-    holder.hear(name("box-2"), started.told(now), Duration::ZERO, now);
+    holder.apply_update(name("box-2"), started.updates_to_send(now), Duration::ZERO, now);
     assert_eq!(holder.unused_share(&old_weights(), &view, now), 0.5);
 }
 
@@ -235,7 +235,7 @@
     let now = Instant::now();
     let silence = Duration::from_secs(8);
     assert!(!Retirements::default().may_fetch(&view(0, start), Duration::ZERO, now));
-    holder.hear(name("box-2"), told(0.0), silence, now);
+    holder.apply_update(name("box-2"), told(0.0), silence, now);
     assert_eq!(holder.unused_share(&old_weights(), &view(2, now), now), 0.5);
 }
 
@@ -250,12 +250,12 @@
         !retirements.may_fetch(&stale, Duration::ZERO, now),
         "the other box is not heard"
     );
-    retirements.hear(name("box-2"), Vec::new(), Duration::ZERO, now);
+    retirements.apply_update(name("box-2"), Vec::new(), Duration::ZERO, now);
     assert!(
         !retirements.may_fetch(&stale, Duration::ZERO, now),
         "the other box reaches the store"
     );
-    retirements.hear(name("box-2"), Vec::new(), Duration::from_secs(5), now);
+    retirements.apply_update(name("box-2"), Vec::new(), Duration::from_secs(5), now);
     assert!(retirements.may_fetch(&stale, Duration::ZERO, now));
 }
 
--- a/crates/sillpin-gateway/tests/limited_fleet.rs
+++ b/crates/sillpin-gateway/tests/limited_fleet.rs
@@ -70,16 +70,16 @@
 impl Memory for Limits {
     type Word = LimitNews;
 
-    fn found(&mut self, now: Instant) -> Vec<LimitNews> {
-        self.words.limits.found(now)
+    fn observed(&mut self, now: Instant) -> Vec<LimitNews> {
+        self.words.limits.observed(now)
     }
 
-    fn told(&mut self, now: Instant) -> Vec<LimitNews> {
-        self.words.limits.told(now)
+    fn updates_to_send(&mut self, now: Instant) -> Vec<LimitNews> {
+        self.words.limits.updates_to_send(now)
     }
 
-    fn hear(&mut self, words: &[LimitNews], now: Instant) {
-        self.words.limits.hear(words, now);
+    fn apply_update(&mut self, words: &[LimitNews], now: Instant) {
+        self.words.limits.apply_update(words, now);
     }
 }
 
--- a/crates/sillpin-gateway/tests/named_limit.rs
+++ b/crates/sillpin-gateway/tests/named_limit.rs
@@ -110,14 +110,14 @@
 async fn of_two_words_the_later_one_holds_in_whatever_order_they_come() {
     let (mut one, mut other) = (NamedLimits::default(), NamedLimits::default());
     one.answered(life("a"), naming("2"), Instant::now());
-    let named = one.told(Instant::now());
+    let named = one.updates_to_send(Instant::now());
     advance(Duration::from_millis(50)).await;
     let sent = Instant::now();
     one.answered(life("a"), silent(sent, true), sent);
-    let ended = one.told(Instant::now());
+    let ended = one.updates_to_send(Instant::now());
     // The end first, then the naming, told with its age.
     other.answered(life("a"), naming("2"), sent - Duration::from_millis(40));
-    other.hear(&ended, sent);
+    other.apply_update(&ended, sent);
     assert_eq!(other.rate(life("a")), None);
     let late: Vec<_> = named
         .into_iter()
@@ -126,7 +126,7 @@
             one
         })
         .collect();
-    other.hear(&late, sent);
+    other.apply_update(&late, sent);
     assert_eq!(other.rate(life("a")), None);
 }
 
@@ -139,11 +139,11 @@
     other.answered(life("a"), naming("2"), Instant::now());
     let sent = Instant::now() + Duration::from_millis(1);
     other.answered(life("a"), silent(sent, true), sent);
-    let mut told = other.told(sent);
+    let mut told = other.updates_to_send(sent);
     told[0].age_ms = 5_000;
     one.age(Duration::from_secs(10));
     advance(Duration::from_secs(6)).await;
-    one.hear(&told, Instant::now());
+    one.apply_update(&told, Instant::now());
     assert_eq!(one.rate(life("a")), None);
 }
 
@@ -167,9 +167,9 @@
     advance(Duration::from_secs(60)).await;
     let mut other = NamedLimits::default();
     for _ in 0..300 / 16 + 1 {
-        let word = limits.told(Instant::now());
+        let word = limits.updates_to_send(Instant::now());
         assert!(word.len() <= 72);
-        other.hear(&word, Instant::now());
+        other.apply_update(&word, Instant::now());
     }
     assert_eq!(other.count(), 300);
 }
--- a/crates/sillpin-gateway/tests/place.rs
+++ b/crates/sillpin-gateway/tests/place.rs
@@ -297,7 +297,7 @@
         plans: &[],
     };
     let work = vec![EngineWork(TargetHash::of(&target("e1")), 500, 9_000, 1)];
-    setting.loads.hear(name("box-2"), work);
+    setting.loads.apply_update(name("box-2"), work);
     assert_ne!(setting.choose(Some(prompt())).as_deref(), Some("e1"));
     tokio::time::advance(Duration::from_secs(2)).await;
     assert_eq!(setting.choose(Some(prompt())).as_deref(), Some("e1"));
@@ -322,13 +322,13 @@
     let model = name("m");
     let chosen = || setting.choose(Some(long_prompt(&model)));
     let tokens_at_e1 = |tokens| vec![EngineWork(TargetHash::of(&target("e1")), 0, tokens, 1)];
-    setting.loads.hear(name("box-2"), tokens_at_e1(20_000));
+    setting.loads.apply_update(name("box-2"), tokens_at_e1(20_000));
     assert_eq!(
         chosen().as_deref(),
         Some("e1"),
         "there is room for one more"
     );
-    setting.loads.hear(name("box-2"), tokens_at_e1(37_000));
+    setting.loads.apply_update(name("box-2"), tokens_at_e1(37_000));
     assert_eq!(chosen().as_deref(), Some("e2"));
 }
 
@@ -337,12 +337,12 @@
     let mut setting = Setting::new(targets(vec![engine("e1", "za"), engine("e2", "zb")]));
     let model = name("m");
     let queue_at_e1 = |ms| vec![EngineWork(TargetHash::of(&target("e1")), ms, 0, 0)];
-    setting.loads.hear(name("box-2"), queue_at_e1(20));
+    setting.loads.apply_update(name("box-2"), queue_at_e1(20));
     let chosen = |setting: &Setting| setting.choose(Some(long_prompt(&model)));
     assert_eq!(chosen(&setting).as_deref(), Some("e2"), "a short body");
     setting.body_len = 18_000;
     assert_eq!(chosen(&setting).as_deref(), Some("e1"));
-    setting.loads.hear(name("box-2"), queue_at_e1(60));
+    setting.loads.apply_update(name("box-2"), queue_at_e1(60));
     assert_eq!(chosen(&setting).as_deref(), Some("e2"));
 }
 
@@ -391,22 +391,22 @@
     let hash = LifeHash::of(&engine("e1", "za"));
     let finder = Loads::default();
     finder.words(|words| words.replaced.find(hash, Instant::now()));
-    let told = finder.words(|words| words.replaced.told(Instant::now()));
+    let told = finder.words(|words| words.replaced.updates_to_send(Instant::now()));
     setting
         .loads
-        .words(|words| words.replaced.hear(&told, Instant::now()));
+        .words(|words| words.replaced.apply_update(&told, Instant::now()));
     assert_ne!(setting.choose(None).as_deref(), Some("e1"));
     let heard = setting
         .loads
-        .words(|words| words.replaced.told(Instant::now()));
+        .words(|words| words.replaced.updates_to_send(Instant::now()));
     assert!(heard.is_empty(), "only who found it tells it");
     tokio::time::advance(Duration::from_secs(3)).await;
     setting
         .loads
-        .words(|words| words.replaced.hear(&told, Instant::now()));
+        .words(|words| words.replaced.apply_update(&told, Instant::now()));
     assert!(
         finder
-            .words(|words| words.replaced.told(Instant::now()))
+            .words(|words| words.replaced.updates_to_send(Instant::now()))
             .is_empty()
     );
     tokio::time::advance(Duration::from_secs(4)).await;
--- a/crates/sillpin-gateway/tests/words.rs
+++ b/crates/sillpin-gateway/tests/words.rs
@@ -97,11 +97,11 @@
     let mut words = Words::default();
     let target = life_of("i-1", 1);
     words.take(target, wait(3.0), Instant::now());
-    words.wake(2 * SECOND);
+    words.add_suspended_time(2 * SECOND);
     assert_eq!(left(&words, target), Some(1.0));
-    words.wake(2 * SECOND);
+    words.add_suspended_time(2 * SECOND);
     assert_eq!(left(&words, target), Some(1.0), "aged once");
-    words.wake(4 * SECOND);
+    words.add_suspended_time(4 * SECOND);
     assert_eq!(left(&words, target), None);
 }
 
