--- a/crates/sillpin-gateway/benches/decision.rs
+++ b/crates/sillpin-gateway/benches/decision.rs
@@ -17,7 +17,7 @@
 use sillpin_gateway::config::{EngineSpec, FleetConfig};
 use sillpin_gateway::control::TargetEntry;
 use sillpin_gateway::dialect::{Part, PartId, Prompt};
-use sillpin_gateway::kept::Kept;
+use sillpin_gateway::cache_stores::Kept;
 use sillpin_gateway::place::choose::PromptChoice;
 use sillpin_gateway::place::index::TargetIndex;
 use sillpin_gateway::place::parts::{PlanInputs, plan, salt};
--- a/crates/sillpin-gateway/src/kept/reader.rs
+++ b/crates/sillpin-gateway/src/cache_stores/reader.rs
@@ -4,7 +4,7 @@
 use crate::beliefs::{BoxEntry, FleetHandle, View};
 use crate::config::{FleetConfig, StoreSpec};
 use crate::control::{Control, ControlError, KeptList, KeptNews};
-use crate::kept::directory::Position;
+use crate::cache_stores::directory::Position;
 use crate::peers::datagram::{KeptListing, KeptWord, MAX_CHANGES, News};
 use crate::peers::roles::{Role, SMALL_FLEET};
 use crate::place::Loads;
--- a/crates/sillpin-gateway/src/front/shared.rs
+++ b/crates/sillpin-gateway/src/front/shared.rs
@@ -6,7 +6,7 @@
 use crate::budget::RetryBudget;
 use crate::dialect::Dialect;
 use crate::fatal::{FatalRequests, CrashDetector};
-use crate::kept::Kept;
+use crate::cache_stores::Kept;
 use crate::metrics::BoxMetrics;
 use crate::place::Loads;
 use crate::place::probe::Prober;
--- a/crates/sillpin-gateway/src/lib.rs
+++ b/crates/sillpin-gateway/src/lib.rs
@@ -26,7 +26,7 @@
 pub mod dialect;
 pub mod fatal;
 pub mod front;
-pub mod kept;
+pub mod cache_stores;
 pub mod metrics;
 pub mod ops;
 pub mod peers;
--- a/crates/sillpin-gateway/src/ops.rs
+++ b/crates/sillpin-gateway/src/ops.rs
@@ -12,8 +12,8 @@
 use crate::fatal::persist::CrashRecordSync;
 use crate::front::shared::Learned;
 use crate::front::{Front, Shared};
-use crate::kept::reader::Readers;
-use crate::kept::{self, Kept};
+use crate::cache_stores::reader::Readers;
+use crate::cache_stores::{self, Kept};
 use crate::metrics::{BoxMetrics, observe_fleet, observe_words};
 use crate::peers::datagram::{BoxHash, News};
 use crate::peers::digest::Gossip;
@@ -193,7 +193,7 @@
         log.clone(),
         stopping.clone(),
     ));
-    tokio::spawn(kept::reader::run(Readers {
+    tokio::spawn(cache_stores::reader::run(Readers {
         control: adapter.control.clone(),
         me: me.clone(),
         kept: shared.kept.clone(),
--- a/crates/sillpin-gateway/src/peers/digest.rs
+++ b/crates/sillpin-gateway/src/peers/digest.rs
@@ -13,7 +13,7 @@
 use crate::beliefs::wanted::ages;
 use crate::beliefs::{BoxEntry, FleetHandle, Known, View};
 use crate::fatal::FatalRequests;
-use crate::kept::Kept;
+use crate::cache_stores::Kept;
 use crate::metrics::BoxMetrics;
 use crate::place::Loads;
 use crate::place::work::EngineWork;
--- a/crates/sillpin-gateway/src/peers/ear/news.rs
+++ b/crates/sillpin-gateway/src/peers/ear/news.rs
@@ -3,7 +3,7 @@
 use super::{Ear, asked_at};
 use crate::beliefs::{FleetMsg, Topic};
 use crate::control::{KeptList, KeptNews};
-use crate::kept::directory::Position;
+use crate::cache_stores::directory::Position;
 use crate::peers::datagram::{
     Bulletin, KeptListing, KeptWord, LoadNews, News, PublishedWord, Report, ZoneWord,
 };
--- a/crates/sillpin-gateway/src/peers/hub.rs
+++ b/crates/sillpin-gateway/src/peers/hub.rs
@@ -10,7 +10,7 @@
 
 use super::datagram::{BoxHash, Bulletin, LoadNews, News, Report, Sums, ZoneWord, chunks};
 use crate::beliefs::BoxEntry;
-use crate::kept::retire::Retired;
+use crate::cache_stores::retire::Retired;
 use crate::place::work::{EngineWork, LifeHash, TargetHash, Work};
 use sillpin_core::ZoneId;
 use std::collections::{BTreeMap, HashMap};
--- a/crates/sillpin-gateway/src/peers/roles.rs
+++ b/crates/sillpin-gateway/src/peers/roles.rs
@@ -6,7 +6,7 @@
 //! be agreed when a reader dies or is cut off.
 
 use crate::beliefs::{BoxEntry, View};
-use crate::kept::homes::{hash_pair, to_unit_interval};
+use crate::cache_stores::homes::{hash_pair, to_unit_interval};
 use sillpin_core::BoxId;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/sillpin-gateway/src/place/choose.rs
+++ b/crates/sillpin-gateway/src/place/choose.rs
@@ -13,7 +13,7 @@
 use super::work::{LifeHash, TargetHash, Work};
 use crate::beliefs::fleet::served;
 use crate::control::TargetEntry;
-use crate::kept::homes::{hash_pair, to_unit_interval};
+use crate::cache_stores::homes::{hash_pair, to_unit_interval};
 use sillpin_core::{ModelId, PoolId, TargetId, Tokens, WeightVersion, ZoneId};
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
--- a/crates/sillpin-gateway/src/place/index.rs
+++ b/crates/sillpin-gateway/src/place/index.rs
@@ -4,7 +4,7 @@
 use crate::beliefs::Evacuations;
 use crate::beliefs::fleet::served;
 use crate::control::{Presence, TargetEntry};
-use crate::kept::homes::hash_pair;
+use crate::cache_stores::homes::hash_pair;
 use sillpin_core::{ModelId, PoolId, TargetId, WeightVersion, ZoneId};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
--- a/crates/sillpin-gateway/src/place/parts.rs
+++ b/crates/sillpin-gateway/src/place/parts.rs
@@ -3,10 +3,10 @@
 use crate::config::{EngineSpec, FleetConfig, Organisation, StoreSpec};
 use crate::control::KeptKey;
 use crate::dialect::{EngineSending, Prompt, Salt};
-use crate::kept::homes::{PartPosition, homes};
-use crate::kept::retire::MAX_FETCH_TIME;
-use crate::kept::salt::SaltParts;
-use crate::kept::{Directory, Kept};
+use crate::cache_stores::homes::{PartPosition, homes};
+use crate::cache_stores::retire::MAX_FETCH_TIME;
+use crate::cache_stores::salt::SaltParts;
+use crate::cache_stores::{Directory, Kept};
 use crate::place::residency::Residency;
 use derive_more::Display;
 use sillpin_core::{Tokens, WeightVersion, ZoneId};
--- a/crates/sillpin-gateway/src/place/shared_limit.rs
+++ b/crates/sillpin-gateway/src/place/shared_limit.rs
@@ -12,7 +12,7 @@
 
 use crate::beliefs::BoxEntry;
 use crate::control::TargetEntry;
-use crate::kept::homes::hash_pair;
+use crate::cache_stores::homes::hash_pair;
 use rand::RngExt;
 use sillpin_core::{BoxId, TargetId, ZoneId};
 use std::collections::{HashMap, VecDeque};
--- a/crates/sillpin-gateway/tests/awake.rs
+++ b/crates/sillpin-gateway/tests/awake.rs
@@ -10,7 +10,7 @@
 use sillpin_gateway::beliefs::fleet::Fleet;
 use sillpin_gateway::beliefs::{BoxEntry, FleetMsg, Reading, Source, Topic};
 use sillpin_gateway::control::TargetEntry;
-use sillpin_gateway::kept::retire::Retirements;
+use sillpin_gateway::cache_stores::retire::Retirements;
 use sillpin_gateway::pool::Pool;
 use sillpin_gateway::weights::election::Election;
 use sillpin_platform::{KvRevision, Snapshot};
--- a/crates/sillpin-gateway/tests/kept/changes.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/changes.rs
@@ -3,7 +3,7 @@
 use crate::{STORE, key, list, news};
 use sillpin_core::Tokens;
 use sillpin_gateway::control::{KeptChange, KeptNews};
-use sillpin_gateway::kept::directory::{Directory, Position};
+use sillpin_gateway::cache_stores::directory::{Directory, Position};
 use sillpin_gateway::peers::datagram::{KeptWord, MAX_CHANGES};
 use tokio::time::Instant;
 
--- a/crates/sillpin-gateway/tests/kept/fetch_shares.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/fetch_shares.rs
@@ -2,7 +2,7 @@
 
 use crate::STORE;
 use sillpin_core::Tokens;
-use sillpin_gateway::kept::fetch_shares::FetchShares;
+use sillpin_gateway::cache_stores::fetch_shares::FetchShares;
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/crates/sillpin-gateway/tests/kept/homes.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/homes.rs
@@ -5,8 +5,8 @@
 use rstest::rstest;
 use sillpin_core::Tokens;
 use sillpin_gateway::dialect::PartId;
-use sillpin_gateway::kept::homes::{PartPosition, homes};
-use sillpin_gateway::kept::salt::SaltParts;
+use sillpin_gateway::cache_stores::homes::{PartPosition, homes};
+use sillpin_gateway::cache_stores::salt::SaltParts;
 
 #[test]
 fn small_parts_go_to_fast_stores_and_large_ones_to_roomy_ones() {
--- a/crates/sillpin-gateway/tests/kept/listing.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/listing.rs
@@ -13,8 +13,8 @@
     Control, ControlError, EngineReport, FreeOrder, KeptList, KeptNews, OrderOutcome, WeightsOrder,
 };
 use sillpin_gateway::dialect::EngineTime;
-use sillpin_gateway::kept::Kept;
-use sillpin_gateway::kept::reader::{self, Readers};
+use sillpin_gateway::cache_stores::Kept;
+use sillpin_gateway::cache_stores::reader::{self, Readers};
 use sillpin_gateway::place::Loads;
 use sillpin_platform::{KvRevision, Snapshot};
 use std::net::SocketAddr;
--- a/crates/sillpin-gateway/tests/common/engines.rs
+++ b/crates/sillpin-gateway/tests/common/engines.rs
@@ -7,7 +7,7 @@
 use sillpin_gateway::config::{EngineSpec, FleetConfig};
 use sillpin_gateway::control::TargetEntry;
 use sillpin_gateway::dialect::{Part, PartId, Prompt};
-use sillpin_gateway::kept::Kept;
+use sillpin_gateway::cache_stores::Kept;
 use sillpin_gateway::peers::datagram::BoxHash;
 use sillpin_gateway::place::choose::PromptChoice;
 use sillpin_gateway::place::index::TargetIndex;
--- a/crates/sillpin-gateway/tests/limited_fleet.rs
+++ b/crates/sillpin-gateway/tests/limited_fleet.rs
@@ -13,7 +13,7 @@
 use sillpin_gateway::beliefs::BoxEntry;
 use sillpin_gateway::control::TargetEntry;
 use sillpin_gateway::dialect::LimitWord;
-use sillpin_gateway::kept::homes::hash_pair;
+use sillpin_gateway::cache_stores::homes::hash_pair;
 use sillpin_gateway::peers::roles::SMALL_FLEET;
 use sillpin_gateway::place::limits::{Gate, Limits};
 use sillpin_gateway::place::shared_limit::{Admission, KNOWS_AFTER, Sharers};
--- a/crates/sillpin-gateway/tests/parts.rs
+++ b/crates/sillpin-gateway/tests/parts.rs
@@ -8,7 +8,7 @@
 use sillpin_gateway::config::{EngineSpec, FleetConfig, StoreSpec};
 use sillpin_gateway::control::{KeptKey, KeptList};
 use sillpin_gateway::dialect::{EngineSending, EngineTime, Part, PartId, Prompt};
-use sillpin_gateway::kept::Kept;
+use sillpin_gateway::cache_stores::Kept;
 use sillpin_gateway::place::parts::{Plan, PlanInputs, plan, salt};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/sillpin-gateway/tests/place.rs
+++ b/crates/sillpin-gateway/tests/place.rs
@@ -10,7 +10,7 @@
 use sillpin_gateway::control::{KeptKey, KeptList};
 use sillpin_gateway::control::{Presence, TargetEntry};
 use sillpin_gateway::dialect::{LimitWord, Part, PartId, Prompt};
-use sillpin_gateway::kept::Kept;
+use sillpin_gateway::cache_stores::Kept;
 use sillpin_gateway::place::choose::PromptChoice;
 use sillpin_gateway::place::index::TargetIndex;
 use sillpin_gateway::place::limits::Gate;
--- a/crates/sillpin-gateway/tests/reclaimer.rs
+++ b/crates/sillpin-gateway/tests/reclaimer.rs
@@ -12,8 +12,8 @@
     PartialPart, WeightsOrder,
 };
 use sillpin_gateway::dialect::{EngineTime, PartId, Salt};
-use sillpin_gateway::kept::Kept;
-use sillpin_gateway::kept::reclaimer::Reclaimer;
+use sillpin_gateway::cache_stores::Kept;
+use sillpin_gateway::cache_stores::reclaimer::Reclaimer;
 use sillpin_platform::{KvRevision, Snapshot};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
--- a/crates/sillpin-gateway/tests/residency.rs
+++ b/crates/sillpin-gateway/tests/residency.rs
@@ -8,7 +8,7 @@
 use sillpin_gateway::config::{EngineSpec, FleetConfig};
 use sillpin_gateway::control::{KeptKey, KeptList, TargetEntry};
 use sillpin_gateway::dialect::{Part, PartId, Prompt};
-use sillpin_gateway::kept::Kept;
+use sillpin_gateway::cache_stores::Kept;
 use sillpin_gateway::place::index::TargetIndex;
 use sillpin_gateway::place::parts::{PlanInputs, plan, salt};
 use sillpin_gateway::place::residency::{Residency, ZoneRegion, ZoneRegions};
--- a/crates/sillpin-gateway/tests/rollout.rs
+++ b/crates/sillpin-gateway/tests/rollout.rs
@@ -11,7 +11,7 @@
     Control, ControlError, EngineReport, FreeOrder, KeptList, KeptNews, OrderOutcome, Served,
     WeightsOrder,
 };
-use sillpin_gateway::kept::Kept;
+use sillpin_gateway::cache_stores::Kept;
 use sillpin_gateway::place::Loads;
 use sillpin_gateway::weights::election::Election;
 use sillpin_gateway::weights::rollout::Rollout;
