--- a/crates/sillpin-gateway/benches/decision.rs
+++ b/crates/sillpin-gateway/benches/decision.rs
@@ -17,7 +17,7 @@
 use sillpin_gateway::config::{EngineSpec, FleetConfig};
 use sillpin_gateway::control::TargetEntry;
 use sillpin_gateway::dialect::{Part, PartId, Prompt};
-use sillpin_gateway::cache_stores::Kept;
+use sillpin_gateway::cache_stores::CacheStores;
 use sillpin_gateway::place::choose::PromptChoice;
 use sillpin_gateway::place::index::TargetIndex;
 use sillpin_gateway::place::parts::{PlanInputs, plan, salt};
@@ -79,7 +79,7 @@
             token_bytes: 18_432,
             models: vec![name("m")],
         };
-        let (pool, zone, kept) = (name("llm"), name("z0"), Kept::default());
+        let (pool, zone, kept) = (name("llm"), name("z0"), CacheStores::default());
         let mut number = 0;
         let looks = if heard_late { "few" } else { "all" };
         group.bench_function(BenchmarkId::new(looks, count), |b| {
--- a/crates/sillpin-gateway/src/cache_stores/directory.rs
+++ b/crates/sillpin-gateway/src/cache_stores/directory.rs
@@ -338,13 +338,13 @@
 
 /// State of kept parts, shared by the store readers and request placement; clones share it.
 #[derive(Debug, Clone, Default)]
-pub struct Kept {
+pub struct CacheStores {
     directory: Arc<Mutex<Directory>>,
     retirements: Arc<Mutex<Retirements>>,
     fetch_shares: Arc<Mutex<FetchShares>>,
 }
 
-impl Kept {
+impl CacheStores {
     /// Locks the directory. The guard is held only for look-ups, never across an `await`.
     pub fn lock(&self) -> MutexGuard<'_, Directory> {
         self.directory.lock().unwrap_or_else(|e| e.into_inner())
--- a/crates/sillpin-gateway/src/cache_stores/mod.rs
+++ b/crates/sillpin-gateway/src/cache_stores/mod.rs
@@ -20,4 +20,4 @@
 pub mod retire;
 pub mod salt;
 
-pub use directory::{Directory, Kept};
+pub use directory::{Directory, CacheStores};
--- a/crates/sillpin-gateway/src/cache_stores/reader.rs
+++ b/crates/sillpin-gateway/src/cache_stores/reader.rs
@@ -1,6 +1,6 @@
 //! Tasks that poll the stores for changes, one for each store that this box polls.
 
-use super::Kept;
+use super::CacheStores;
 use crate::beliefs::{BoxEntry, FleetHandle, View};
 use crate::config::{FleetConfig, StoreSpec};
 use crate::control::{Control, ControlError, KeptList, KeptNews};
@@ -54,7 +54,7 @@
     /// This box.
     pub me: BoxEntry,
     /// State that the results update.
-    pub kept: Kept,
+    pub kept: CacheStores,
     /// State of the fleet.
     pub fleet: FleetHandle,
     /// Load and liveness of boxes.
@@ -232,7 +232,7 @@
     fleet: FleetHandle,
     loads: Loads,
     news: mpsc::Sender<News>,
-    kept: Kept,
+    kept: CacheStores,
     log: Logger,
 }
 
--- a/crates/sillpin-gateway/src/cache_stores/reclaimer.rs
+++ b/crates/sillpin-gateway/src/cache_stores/reclaimer.rs
@@ -1,6 +1,6 @@
 //! Frees parts that are no longer used. Runs on the leader only.
 
-use super::Kept;
+use super::CacheStores;
 use super::retire::{retirement_rank, salt_weights};
 use super::salt::SaltParts;
 use crate::awake::Awake;
@@ -41,7 +41,7 @@
     /// Client for calls to stores.
     pub control: C,
     /// Content of the stores.
-    pub kept: Kept,
+    pub kept: CacheStores,
     /// State of the fleet.
     pub fleet: FleetHandle,
     /// Time of [`Awake::now`] after which no order is sent.
--- a/crates/sillpin-gateway/src/front/shared.rs
+++ b/crates/sillpin-gateway/src/front/shared.rs
@@ -6,7 +6,7 @@
 use crate::budget::RetryBudget;
 use crate::dialect::Dialect;
 use crate::fatal::{FatalRequests, CrashDetector};
-use crate::cache_stores::Kept;
+use crate::cache_stores::CacheStores;
 use crate::metrics::BoxMetrics;
 use crate::place::Loads;
 use crate::place::probe::Prober;
@@ -33,7 +33,7 @@
     /// What is known of the fleet.
     pub fleet: FleetHandle,
     /// What the stores hold.
-    pub kept: Kept,
+    pub kept: CacheStores,
     /// Loads of targets.
     pub loads: Loads,
     /// Connections to targets.
@@ -67,7 +67,7 @@
     /// Loads of targets.
     pub loads: Loads,
     /// What the stores hold.
-    pub kept: Kept,
+    pub kept: CacheStores,
     /// Requests that end the targets that run them.
     pub fatal: FatalRequests,
     /// Time asleep.
--- a/crates/sillpin-gateway/src/ops.rs
+++ b/crates/sillpin-gateway/src/ops.rs
@@ -13,7 +13,7 @@
 use crate::front::shared::Learned;
 use crate::front::{Front, Shared};
 use crate::cache_stores::reader::Readers;
-use crate::cache_stores::{self, Kept};
+use crate::cache_stores::{self, CacheStores};
 use crate::metrics::{BoxMetrics, observe_fleet, observe_words};
 use crate::peers::datagram::{BoxHash, News};
 use crate::peers::digest::Gossip;
@@ -181,7 +181,7 @@
     let learned = Learned {
         fleet: fleet.clone(),
         loads,
-        kept: Kept::default(),
+        kept: CacheStores::default(),
         fatal: FatalRequests::new(log.clone()),
         awake,
     };
--- a/crates/sillpin-gateway/src/peers/asker.rs
+++ b/crates/sillpin-gateway/src/peers/asker.rs
@@ -6,7 +6,7 @@
 use crate::beliefs::transfers::Transfers;
 use crate::beliefs::{BoxEntry, FleetHandle, FleetMsg, Reading, Source, Topic};
 use crate::control::{KeptList, KeptNews};
-use crate::cache_stores::Kept;
+use crate::cache_stores::CacheStores;
 use crate::cache_stores::directory::Position;
 use crate::metrics::BoxMetrics;
 use derive_more::{Display, Error, From};
@@ -105,7 +105,7 @@
     }
 
     /// Asks a box for what it knows of some stores and takes it over. One call for all: a box that lags lacks changes of dozens.
-    pub async fn ask_kept(&self, from: &BoxEntry, stores: Vec<SocketAddr>, kept: &Kept) {
+    pub async fn ask_kept(&self, from: &BoxEntry, stores: Vec<SocketAddr>, kept: &CacheStores) {
         let mut copying = self.begin(from, "kept parts", None);
         let reached: HashMap<SocketAddr, Option<Position>> = {
             let directory = kept.lock();
@@ -259,7 +259,7 @@
 }
 
 /// Takes over what another box knows of a store beyond what was known when it was asked.
-fn take_kept(copy: KeptCopy, after: Option<Position>, asked: Instant, kept: &Kept) {
+fn take_kept(copy: KeptCopy, after: Option<Position>, asked: Instant, kept: &CacheStores) {
     let KeptCopy {
         store,
         position: Position { epoch, next },
--- a/crates/sillpin-gateway/src/peers/digest.rs
+++ b/crates/sillpin-gateway/src/peers/digest.rs
@@ -13,7 +13,7 @@
 use crate::beliefs::wanted::ages;
 use crate::beliefs::{BoxEntry, FleetHandle, Known, View};
 use crate::fatal::FatalRequests;
-use crate::cache_stores::Kept;
+use crate::cache_stores::CacheStores;
 use crate::metrics::BoxMetrics;
 use crate::place::Loads;
 use crate::place::work::EngineWork;
@@ -62,7 +62,7 @@
     /// Loads of targets.
     pub loads: Loads,
     /// What is known of kept parts.
-    pub kept: Kept,
+    pub kept: CacheStores,
     /// Time asleep.
     pub awake: Awake,
     /// Requests that end the targets that run them.
--- a/crates/sillpin-gateway/src/peers/ear.rs
+++ b/crates/sillpin-gateway/src/peers/ear.rs
@@ -12,7 +12,7 @@
 use crate::beliefs::wanted::NamedAge;
 use crate::beliefs::{BoxEntry, FleetHandle, FleetMsg, Known, Named, Source, Topic};
 use crate::fatal::FatalRequests;
-use crate::cache_stores::Kept;
+use crate::cache_stores::CacheStores;
 use crate::cache_stores::directory::Directory;
 use crate::metrics::BoxMetrics;
 use crate::place::Loads;
@@ -82,7 +82,7 @@
     /// Loads of targets.
     pub loads: Loads,
     /// What is known of kept parts.
-    pub kept: Kept,
+    pub kept: CacheStores,
     /// Requests that end the targets that run them.
     pub fatal: FatalRequests,
     /// Calls under way.
--- a/crates/sillpin-gateway/src/peers/link.rs
+++ b/crates/sillpin-gateway/src/peers/link.rs
@@ -5,7 +5,7 @@
 use super::wire::FleetKey;
 use crate::beliefs::{Copied, FleetHandle, Topic};
 use crate::control::{KeptChange, KeptKey};
-use crate::cache_stores::Kept;
+use crate::cache_stores::CacheStores;
 use crate::cache_stores::directory::Position;
 use serde::{Deserialize, Serialize};
 use sillpin_core::Tokens;
@@ -71,7 +71,7 @@
     /// What it knows of the fleet.
     pub fleet: FleetHandle,
     /// What it knows of kept parts.
-    pub kept: Kept,
+    pub kept: CacheStores,
     /// Log.
     pub log: Logger,
 }
--- a/crates/sillpin-gateway/src/place/parts.rs
+++ b/crates/sillpin-gateway/src/place/parts.rs
@@ -6,7 +6,7 @@
 use crate::cache_stores::homes::{PartPosition, homes};
 use crate::cache_stores::retire::MAX_FETCH_TIME;
 use crate::cache_stores::salt::SaltParts;
-use crate::cache_stores::{Directory, Kept};
+use crate::cache_stores::{Directory, CacheStores};
 use crate::place::residency::Residency;
 use derive_more::Display;
 use sillpin_core::{Tokens, WeightVersion, ZoneId};
@@ -103,7 +103,7 @@
     /// The engines.
     pub engine: &'a EngineSpec,
     /// What the stores hold.
-    pub kept: &'a Kept,
+    pub kept: &'a CacheStores,
     /// Where what is kept of the prompt may be.
     pub residency: Residency<'a>,
     /// Whether this box is in touch, so that it may fetch.
--- a/crates/sillpin-gateway/src/weights/rollout.rs
+++ b/crates/sillpin-gateway/src/weights/rollout.rs
@@ -6,7 +6,7 @@
 use crate::beliefs::wanted::{NamedAge, ages};
 use crate::beliefs::{BoxEntry, FleetHandle, FleetMsg, Source, View};
 use crate::control::{Control, Presence, TargetEntry};
-use crate::cache_stores::Kept;
+use crate::cache_stores::CacheStores;
 use crate::cache_stores::reclaimer::Reclaimer;
 use crate::peers::datagram::LoadNews;
 use crate::peers::hub::LARGE_ZONE;
@@ -81,7 +81,7 @@
     /// Load of targets and liveness of boxes.
     pub loads: Loads,
     /// State of kept parts.
-    pub kept: Kept,
+    pub kept: CacheStores,
     /// Updates for all boxes.
     pub news: mpsc::Sender<LoadNews>,
     /// Cancelled when the box shuts down.
--- a/crates/sillpin-gateway/tests/cache_stores/listing.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/listing.rs
@@ -13,7 +13,7 @@
     Control, ControlError, EngineReport, FreeOrder, KeptList, KeptNews, OrderOutcome, WeightsOrder,
 };
 use sillpin_gateway::dialect::EngineTime;
-use sillpin_gateway::cache_stores::Kept;
+use sillpin_gateway::cache_stores::CacheStores;
 use sillpin_gateway::cache_stores::reader::{self, Readers};
 use sillpin_gateway::place::Loads;
 use sillpin_platform::{KvRevision, Snapshot};
@@ -147,7 +147,7 @@
         let me = box_entry(index);
         tokio::spawn(Fleet::new(me.id.clone(), TestKeys, log.clone()).run(port));
         let (news, heard) = mpsc::channel(100);
-        let kept = Kept::default();
+        let kept = CacheStores::default();
         tokio::spawn(reader::run(Readers {
             control: store.clone(),
             me,
@@ -175,7 +175,7 @@
         }
     }
     // A fetch also needs to say until when it may last.
-    let knows = |(kept, _, _): &(Kept, _, _)| {
+    let knows = |(kept, _, _): &(CacheStores, _, _)| {
         let directory = kept.lock();
         directory.is_known(addr, Instant::now()) && directory.has_clock()
     };
--- a/crates/sillpin-gateway/tests/common/engines.rs
+++ b/crates/sillpin-gateway/tests/common/engines.rs
@@ -7,7 +7,7 @@
 use sillpin_gateway::config::{EngineSpec, FleetConfig};
 use sillpin_gateway::control::TargetEntry;
 use sillpin_gateway::dialect::{Part, PartId, Prompt};
-use sillpin_gateway::cache_stores::Kept;
+use sillpin_gateway::cache_stores::CacheStores;
 use sillpin_gateway::peers::datagram::BoxHash;
 use sillpin_gateway::place::choose::PromptChoice;
 use sillpin_gateway::place::index::TargetIndex;
@@ -252,7 +252,7 @@
     let inputs = PlanInputs {
         config: &FleetConfig::default(),
         engine: &engine,
-        kept: &Kept::default(),
+        kept: &CacheStores::default(),
         residency: anywhere(),
         in_touch: true,
         now: Instant::now(),
--- a/crates/sillpin-gateway/tests/parts.rs
+++ b/crates/sillpin-gateway/tests/parts.rs
@@ -8,7 +8,7 @@
 use sillpin_gateway::config::{EngineSpec, FleetConfig, StoreSpec};
 use sillpin_gateway::control::{KeptKey, KeptList};
 use sillpin_gateway::dialect::{EngineSending, EngineTime, Part, PartId, Prompt};
-use sillpin_gateway::cache_stores::Kept;
+use sillpin_gateway::cache_stores::CacheStores;
 use sillpin_gateway::place::parts::{Plan, PlanInputs, plan, salt};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -40,7 +40,7 @@
 
 /// A plan made while the stores hold `session` as said, and what an engine in `zone` is told.
 fn sending(in_a: bool, in_b: bool, zone: &str) -> (Plan, EngineSending) {
-    let (prompt, stores, kept) = (prompt(), stores(), Kept::default());
+    let (prompt, stores, kept) = (prompt(), stores(), CacheStores::default());
     let now = Instant::now();
     let salt = salt(&prompt, VERSION, None);
     for (store, holds) in stores.iter().zip([in_a, in_b]) {
--- a/crates/sillpin-gateway/tests/place.rs
+++ b/crates/sillpin-gateway/tests/place.rs
@@ -10,7 +10,7 @@
 use sillpin_gateway::control::{KeptKey, KeptList};
 use sillpin_gateway::control::{Presence, TargetEntry};
 use sillpin_gateway::dialect::{LimitWord, Part, PartId, Prompt};
-use sillpin_gateway::cache_stores::Kept;
+use sillpin_gateway::cache_stores::CacheStores;
 use sillpin_gateway::place::choose::PromptChoice;
 use sillpin_gateway::place::index::TargetIndex;
 use sillpin_gateway::place::limits::Gate;
@@ -498,7 +498,7 @@
         max_output: Tokens(10),
     };
     let store = store("s", 7, zone, 1_722_605, 6);
-    let (kept, now) = (Kept::default(), Instant::now());
+    let (kept, now) = (CacheStores::default(), Instant::now());
     let salt = salt(&prompt, WeightVersion(1), None);
     let key = KeptKey {
         salt: salt.salt(),
--- a/crates/sillpin-gateway/tests/reclaimer.rs
+++ b/crates/sillpin-gateway/tests/reclaimer.rs
@@ -12,7 +12,7 @@
     PartialPart, WeightsOrder,
 };
 use sillpin_gateway::dialect::{EngineTime, PartId, Salt};
-use sillpin_gateway::cache_stores::Kept;
+use sillpin_gateway::cache_stores::CacheStores;
 use sillpin_gateway::cache_stores::reclaimer::Reclaimer;
 use sillpin_platform::{KvRevision, Snapshot};
 use std::net::SocketAddr;
@@ -112,7 +112,7 @@
         listed,
         freed,
     };
-    let kept = Kept::default();
+    let kept = CacheStores::default();
     kept.lock().apply_list(addr, list(&[]), start);
     kept.lock().set_clock(Some(EngineTime(0)), start);
     let (_limit, until) = watch::channel(start + Duration::from_secs(60));
--- a/crates/sillpin-gateway/tests/residency.rs
+++ b/crates/sillpin-gateway/tests/residency.rs
@@ -8,7 +8,7 @@
 use sillpin_gateway::config::{EngineSpec, FleetConfig};
 use sillpin_gateway::control::{KeptKey, KeptList, TargetEntry};
 use sillpin_gateway::dialect::{Part, PartId, Prompt};
-use sillpin_gateway::cache_stores::Kept;
+use sillpin_gateway::cache_stores::CacheStores;
 use sillpin_gateway::place::index::TargetIndex;
 use sillpin_gateway::place::parts::{PlanInputs, plan, salt};
 use sillpin_gateway::place::residency::{Residency, ZoneRegion, ZoneRegions};
@@ -129,7 +129,7 @@
         salt: salt.salt(),
         part: PartId("kept".to_owned()),
     };
-    let kept = Kept::default();
+    let kept = CacheStores::default();
     for (addr, whole) in [(near.addr, vec![]), (far.addr, vec![(key, Tokens(500))])] {
         let list = KeptList {
             epoch: 1,
--- a/crates/sillpin-gateway/tests/rollout.rs
+++ b/crates/sillpin-gateway/tests/rollout.rs
@@ -11,7 +11,7 @@
     Control, ControlError, EngineReport, FreeOrder, KeptList, KeptNews, OrderOutcome, Served,
     WeightsOrder,
 };
-use sillpin_gateway::cache_stores::Kept;
+use sillpin_gateway::cache_stores::CacheStores;
 use sillpin_gateway::place::Loads;
 use sillpin_gateway::weights::election::Election;
 use sillpin_gateway::weights::rollout::Rollout;
@@ -262,7 +262,7 @@
             control: self.engines.clone(),
             fleet: self.fleet.clone(),
             loads: Loads::default(),
-            kept: Kept::default(),
+            kept: CacheStores::default(),
             news: mpsc::channel(64).0,
             stopping: self.stopping.clone(),
             log,
