--- a/crates/sillpin-gateway/tests/cache_stores/changes.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of what a store keeps, as boxes count and tell them.
+//! Changes of a store's content, as boxes record them and send them to each other.
 
 use crate::{STORE, key, list, news};
 use sillpin_core::Tokens;
@@ -20,7 +20,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_box_that_lacks_some_changes_gets_just_these() {
+async fn only_changes_after_the_given_position_are_returned() {
     let mut directory = Directory::default();
     let now = Instant::now();
     directory.apply_list(STORE, list(1, &["a"]), now);
@@ -37,12 +37,12 @@
     assert_eq!(numbers(at(13)), Some(vec![14, 15]));
     assert_eq!(numbers(at(15)), Some(Vec::new()));
     assert_eq!(numbers(at(9)), None, "from before the list");
-    let other_life = Position { epoch: 2, next: 13 };
-    assert_eq!(numbers(other_life), None);
+    let other_incarnation = Position { epoch: 2, next: 13 };
+    assert_eq!(numbers(other_incarnation), None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn changes_that_were_forgotten_are_not_passed_over() {
+async fn no_changes_are_returned_if_older_ones_were_dropped() {
     let mut directory = Directory::default();
     let now = Instant::now();
     directory.apply_list(STORE, list(1, &["a"]), now);
@@ -64,9 +64,9 @@
 }
 
 #[test]
-fn a_long_word_is_told_in_several_that_go_on_from_each_other() {
+fn a_long_update_is_split_into_contiguous_ones() {
     let changes: Vec<KeptChange> = (11..=160).map(|number| numbered(number, "b")).collect();
-    let word = KeptWord {
+    let update = KeptWord {
         addr: STORE,
         since: 10,
         epoch: 1,
@@ -74,16 +74,16 @@
         age_ms: 0,
         changes: changes.clone(),
     };
-    let words = word.split();
-    assert!(words.iter().all(|word| word.changes.len() <= MAX_CHANGES));
-    let spans: Vec<(u64, u64)> = words.iter().map(|word| (word.since, word.next)).collect();
+    let updates = update.split();
+    assert!(updates.iter().all(|update| update.changes.len() <= MAX_CHANGES));
+    let spans: Vec<(u64, u64)> = updates.iter().map(|update| (update.since, update.next)).collect();
     assert_eq!(spans, [(10, 70), (70, 130), (130, 170)]);
-    let told: Vec<KeptChange> = words.into_iter().flat_map(|word| word.changes).collect();
-    assert_eq!(told, changes);
+    let sent: Vec<KeptChange> = updates.into_iter().flat_map(|update| update.changes).collect();
+    assert_eq!(sent, changes);
 }
 
 #[tokio::test(start_paused = true)]
-async fn changes_keep_count_of_the_room() {
+async fn changes_update_the_used_capacity() {
     let mut directory = Directory::default();
     let now = Instant::now();
     directory.apply_list(STORE, list(1, &["a"]), now);
--- a/crates/sillpin-gateway/tests/cache_stores/directory.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/directory.rs
@@ -1,4 +1,4 @@
-//! What a box believes of a store, and for how long.
+//! How long the content of a store counts as known, and when parts are saved.
 
 use crate::{STORE, key, list, news};
 use sillpin_core::Tokens;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-fn kept(directory: &Directory, part: &str) -> bool {
+fn holds(directory: &Directory, part: &str) -> bool {
     directory.holds(STORE, &key(part), Tokens(100), Instant::now())
 }
 
@@ -18,34 +18,34 @@
     let mut directory = Directory::default();
     let now = Instant::now();
     directory.apply_list(STORE, list(1, &["a"]), now);
-    assert!(kept(&directory, "a"));
+    assert!(holds(&directory, "a"));
     assert!(!directory.apply_changes(STORE, 10, news(2, Vec::new()), now, now));
-    assert!(!kept(&directory, "a"), "it may be written anew");
-    assert_eq!(directory.position(STORE), None, "so that it is listed");
+    assert!(!holds(&directory, "a"), "it may be written again");
+    assert_eq!(directory.position(STORE), None, "a listing is needed");
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_older_copy_does_not_bring_back_a_life_of_the_store_that_is_over() {
+async fn an_older_listing_does_not_restore_an_ended_incarnation() {
     let mut directory = Directory::default();
     let before = Instant::now();
     tokio::time::advance(Duration::from_millis(10)).await;
     directory.apply_list(STORE, list(2, &[]), Instant::now());
     directory.apply_list(STORE, list(1, &["a"]), before);
-    assert!(!kept(&directory, "a"));
+    assert!(!holds(&directory, "a"));
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_a_silent_store_holds_is_not_believed_for_long() {
+async fn the_content_of_an_unresponsive_store_expires() {
     let mut directory = Directory::default();
     directory.apply_list(STORE, list(1, &["a"]), Instant::now());
     tokio::time::advance(CONTENT_TTL).await;
-    assert!(!kept(&directory, "a"));
+    assert!(!holds(&directory, "a"));
     let now = Instant::now();
     assert!(!directory.should_save(STORE, &key("b"), Tokens(100), now));
 }
 
 #[tokio::test(start_paused = true)]
-async fn lost_events_ask_for_a_list() {
+async fn lost_events_require_a_listing() {
     let mut directory = Directory::default();
     let now = Instant::now();
     directory.apply_list(STORE, list(1, &["a"]), now);
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_part_is_asked_to_be_saved_once_at_a_time() {
+async fn a_pending_save_is_not_requested_again() {
     let mut directory = Directory::default();
     let now = Instant::now();
     directory.apply_list(STORE, list(1, &["a"]), now);
@@ -70,80 +70,79 @@
     assert!(!directory.should_save(STORE, &key("b"), Tokens(100), now));
 }
 
-/// An engine was asked to keep a part that many prompts share, and the store had no room for it just then. Prompts with that
-/// part came several times a second, and each put the next try off anew: the part was kept only once they had ceased for a
-/// while, and was read anew for each of them until then.
+/// Guards against a retry time that each request for a save restarts: a store without free capacity dropped the save of a part
+/// that several prompts a second needed, each of them postponed the retry, and the part was recomputed for all of them.
 #[tokio::test(start_paused = true)]
-async fn a_save_that_was_lost_is_asked_for_again_however_often_the_part_is_wanted() {
+async fn a_lost_save_is_requested_again_even_if_the_part_is_needed_often() {
     let mut directory = Directory::default();
     let step = Duration::from_millis(400);
-    let mut asked = Vec::new();
+    let mut requested = Vec::new();
     for round in 0..10u32 {
         let now = Instant::now();
         directory.apply_list(STORE, list(1, &[]), now);
         if directory.should_save(STORE, &key("b"), Tokens(100), now) {
-            asked.push(step * round);
+            requested.push(step * round);
         }
         tokio::time::advance(step).await;
     }
-    // The first time that SAVE_MEMORY is over, and again after as long.
+    // The first round after SAVE_RETRY_INTERVAL has passed, and again after as long.
     let ms = Duration::from_millis;
-    assert_eq!(asked, [ms(0), ms(1_600), ms(3_200)]);
+    assert_eq!(requested, [ms(0), ms(1_600), ms(3_200)]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_engines_clock_is_never_ahead() {
+async fn the_estimate_of_the_engines_clock_is_never_ahead() {
     let mut directory = Directory::default();
-    let asked = Instant::now();
-    directory.apply_list(STORE, list(1, &[]), asked);
+    let requested_at = Instant::now();
+    directory.apply_list(STORE, list(1, &[]), requested_at);
     tokio::time::advance(Duration::from_millis(900)).await;
-    let answered = Instant::now();
-    directory.apply_changes(STORE, 10, news(1, Vec::new()), asked, answered);
-    let read = directory.engine_time(answered, Duration::ZERO);
+    let received_at = Instant::now();
+    directory.apply_changes(STORE, 10, news(1, Vec::new()), requested_at, received_at);
+    let read = directory.engine_time(received_at, Duration::ZERO);
     assert_eq!(
         read,
         Some(EngineTime(5_000)),
-        "made at the answer, not when it was asked for"
+        "taken when the response arrived, not at the request"
     );
 }
 
-/// A store lost its parts and was back within a second. A box that had not learned of it had sent a fetch of a part that waited in its
-/// engine's queue; another box, which had, asked for the part to be saved anew, and the fetch got what was written so far.
+/// Guards against a fetch of an incomplete part: a store restarts within a second and loses its parts, a fetch by a box that has not
+/// detected this waits in an engine's queue, and another box requests a save of the same part.
 #[tokio::test(start_paused = true)]
-async fn nothing_is_saved_in_a_new_life_of_a_store_while_fetches_of_the_one_before_may_go_on() {
+async fn nothing_is_saved_after_a_restart_while_fetches_from_before_may_run() {
     let part = Tokens(100);
-    let mut late = Directory::default();
-    let mut quick = Directory::default();
+    let mut unaware = Directory::default();
+    let mut aware = Directory::default();
     let start = Instant::now();
-    late.apply_list(STORE, list(1, &["a"]), start);
-    quick.apply_list(STORE, list(1, &["a"]), start);
+    unaware.apply_list(STORE, list(1, &["a"]), start);
+    aware.apply_list(STORE, list(1, &["a"]), start);
     let mut fetches_until = start;
     for round in 0..60u32 {
         let now = Instant::now();
-        if late.holds(STORE, &key("a"), part, now) {
+        if unaware.holds(STORE, &key("a"), part, now) {
             fetches_until = now + MAX_FETCH_TIME;
         }
         if round == 7 {
-            assert!(!quick.apply_changes(STORE, 10, news(2, Vec::new()), now, now));
+            assert!(!aware.apply_changes(STORE, 10, news(2, Vec::new()), now, now));
         }
         if round > 7 {
-            quick.apply_list(STORE, list(2, &[]), now);
-            let saves = quick.should_save(STORE, &key("a"), part, now);
+            aware.apply_list(STORE, list(2, &[]), now);
+            let saves = aware.should_save(STORE, &key("a"), part, now);
             assert!(!saves || now >= fetches_until, "after {:?}", now - start);
         }
         tokio::time::advance(Duration::from_millis(100)).await;
     }
     let now = Instant::now();
     assert!(
-        !quick.should_save(STORE, &key("a"), part, now),
-        "it was asked for"
+        !aware.should_save(STORE, &key("a"), part, now),
+        "it was requested already"
     );
 }
 
-/// A store lost its parts and was back within a second, and a box started just then. It could not know that the store had held parts
-/// before, nor that another box had just sent a fetch of one of them, and it asked for that part to be saved anew.
+/// Guards against the same failure by a box that starts just after the restart: it cannot know of the earlier incarnation or of
+/// another box's fetch from it, and requests a save of the same part.
 #[tokio::test(start_paused = true)]
-async fn a_box_that_starts_saves_nothing_while_fetches_of_an_earlier_life_of_a_store_may_go_on() {
+async fn a_box_that_starts_saves_nothing_while_fetches_from_an_earlier_incarnation_may_run() {
     let mut directory = Directory::default();
     directory.track(STORE, Instant::now());
     tokio::time::advance(Duration::from_millis(300)).await;
@@ -160,10 +159,10 @@
     assert!(saves(&mut directory));
 }
 
-/// A partition cut a box off from a store, and the store restarted behind it seconds later. The box's calls had failed for so long
-/// that any fetch would have been over; a box beyond the partition had believed in the earlier life until the restart.
+/// Guards against taking failed calls for a restart: a store is partitioned from this box and restarts seconds later. This box's
+/// fetches are over by then, but a box on the store's side used the earlier incarnation until the restart.
 #[tokio::test(start_paused = true)]
-async fn calls_that_fail_do_not_show_that_a_life_of_a_store_is_over() {
+async fn failed_calls_do_not_count_as_a_restart_of_the_store() {
     let mut directory = Directory::default();
     directory.apply_list(STORE, list(1, &["a"]), Instant::now());
     directory.forget(STORE);
@@ -177,9 +176,9 @@
     assert!(directory.should_save(STORE, &key("a"), Tokens(100), now));
 }
 
-/// A box's calls of a store failed for a moment, and the store was as before: parts are saved at once.
+/// Guards against a needless wait: calls to a store failed briefly, but the store did not restart.
 #[tokio::test(start_paused = true)]
-async fn a_store_that_was_only_out_of_reach_is_written_at_once() {
+async fn parts_are_saved_immediately_in_a_store_that_was_only_unreachable() {
     let mut directory = Directory::default();
     directory.apply_list(STORE, list(1, &["a"]), Instant::now());
     directory.forget(STORE);
--- a/crates/sillpin-gateway/tests/cache_stores/fetch_shares.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/fetch_shares.rs
@@ -1,4 +1,4 @@
-//! How many fetches a slow store still gets.
+//! Share of prompts that fetch from a store with a slow link.
 
 use crate::STORE;
 use sillpin_core::Tokens;
@@ -10,7 +10,7 @@
 const LONG: Tokens = Tokens(9_000);
 const SHORT: Tokens = Tokens(800);
 
-/// When their first events are wanted.
+/// Latency objective for their first events.
 const AIM: Duration = Duration::from_millis(500);
 
 #[tokio::test(start_paused = true)]
@@ -26,7 +26,7 @@
     assert!(slow < 0.3, "{slow}");
     assert!(
         slow > 0.0,
-        "some fetches go on, to notice that it is well again"
+        "some fetches continue, to detect its recovery"
     );
     for _ in 0..200 {
         tokio::time::advance(Duration::from_millis(50)).await;
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_fleet_that_is_slow_with_long_prompts_keeps_fetching() {
+async fn fetches_continue_if_all_long_prompts_are_slow() {
     let mut fetch_shares = FetchShares::default();
     for _ in 0..100 {
         fetch_shares.record_prefill(SHORT, Duration::from_millis(20));
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_fetch_that_is_late_for_one_aim_is_in_time_for_a_longer_one() {
+async fn lateness_of_a_fetch_depends_on_the_latency_objective() {
     let share_after = |aim: Duration| {
         let mut fetch_shares = FetchShares::default();
         for _ in 0..60 {
--- a/crates/sillpin-gateway/tests/cache_stores/homes.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/homes.rs
@@ -1,4 +1,4 @@
-//! Which store a part belongs to, and how salts are written.
+//! Choice of the store for a part, and parsing of salts.
 
 use crate::common::store;
 use proptest::prelude::*;
@@ -9,7 +9,7 @@
 use sillpin_gateway::cache_stores::salt::SaltParts;
 
 #[test]
-fn small_parts_go_to_fast_stores_and_large_ones_to_roomy_ones() {
+fn small_parts_go_to_fast_stores_and_large_ones_to_stores_of_large_capacity() {
     let stores = [
         store("fast", 1, "za", 158_767, 0),
         store("roomy-1", 2, "za", 1_885_363, 6),
@@ -23,12 +23,12 @@
     assert!(first(5_000, PartPosition::Last).starts_with("roomy"));
     assert!(
         first(13_300, PartPosition::Last).starts_with("roomy"),
-        "no store suits it"
+        "too large for every store"
     );
     assert_eq!(
         first(2_520, PartPosition::Inner),
         "fast",
-        "all prompts of its sessions have it"
+        "all prompts of its sessions contain it"
     );
 }
 
@@ -55,7 +55,7 @@
 #[case("m/x", None)]
 #[case("m/1/acme/more", None)]
 #[case("", None)]
-fn salts_read_back(#[case] text: &str, #[case] expected: Option<(u64, Option<&str>)>) {
+fn salts_are_parsed_and_formatted_alike(#[case] text: &str, #[case] expected: Option<(u64, Option<&str>)>) {
     let read = text.parse::<SaltParts>().ok();
     let seen = read.as_ref().map(|salt| {
         let wall = salt.wall.as_ref().map(|org| org.as_str());
--- a/crates/sillpin-gateway/tests/cache_stores/listing.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/listing.rs
@@ -1,8 +1,8 @@
-//! How soon a box that has just started knows what the stores hold.
+//! How soon a box that has just started knows the content of the stores.
 //!
-//! All of 71 boxes lost power for 1.5 s. After that the boxes waited for their zones' readers to tell them of full stores, which those told only
-//! boxes drawn by lot, one in 0.8 s; after 1.7 s they listed the stores themselves. Until then every prompt was read whole: of what came in the second
-//! after the power was back, half was answered late.
+//! Guards against slow recovery after a power loss of 1.5 s at all of 71 boxes: the boxes waited for their zones' readers, which sent the
+//! listings of full stores to one random box in 0.8 s, and listed the stores themselves only after 1.7 s. Until then every prompt was
+//! recomputed in full; half of the requests that arrived in the second after the power returned were answered late.
 
 use crate::common::{TestKeys, entry, name};
 use rstest::rstest;
@@ -26,15 +26,15 @@
 
 const BOXES: usize = 71;
 
-/// A store answers after this long.
+/// Response time of the store.
 const CALL: Duration = Duration::from_millis(10);
 
-/// Listings that it answers at once; more are refused.
-const AT_ONCE: usize = 12;
+/// Maximum number of concurrent listings; further ones are refused.
+const MAX_CONCURRENT: usize = 12;
 
 #[derive(Clone, Default)]
 struct Store {
-    under_way: Arc<AtomicUsize>,
+    running: Arc<AtomicUsize>,
     refused: Arc<AtomicUsize>,
 }
 
@@ -76,10 +76,10 @@
     }
 
     async fn kept_list(&self, addr: SocketAddr) -> Result<KeptList, ControlError> {
-        let under_way = self.under_way.fetch_add(1, Ordering::Relaxed);
+        let running = self.running.fetch_add(1, Ordering::Relaxed);
         tokio::time::sleep(CALL).await;
-        self.under_way.fetch_sub(1, Ordering::Relaxed);
-        if under_way >= AT_ONCE {
+        self.running.fetch_sub(1, Ordering::Relaxed);
+        if running >= MAX_CONCURRENT {
             self.refused.fetch_add(1, Ordering::Relaxed);
             return Err(refused(addr));
         }
@@ -106,15 +106,15 @@
     }
 }
 
-/// It learns who is registered.
-async fn learn_boxes(fleet: &FleetHandle, index: usize) {
+/// Gives a box the list of registered boxes.
+async fn send_boxes(fleet: &FleetHandle, index: usize) {
     let others = (0..BOXES).filter(|other| *other != index);
     let registered = others.map(box_entry).collect();
     fleet.tell(FleetMsg::RegisteredBefore(registered)).await;
 }
 
-/// It learns a configuration that names a store.
-async fn learn_config(fleet: &FleetHandle) {
+/// Gives a box a configuration that names a store.
+async fn send_config(fleet: &FleetHandle) {
     let snapshot = Snapshot {
         entries: vec![entry("ops/config", "7", 5)],
         revision: KvRevision(5),
@@ -128,13 +128,13 @@
     fleet.tell(msg).await;
 }
 
-/// All boxes start in the same moment and hear nothing of each other but who is registered. In a trial in which they learned that last, 100 boxes listed 13
-/// stores at once, and two in three were refused.
+/// All boxes start together and receive nothing but the list of registered boxes. Guards against concurrent listings: when boxes
+/// received that list last, 100 boxes listed 13 stores immediately, and two in three listings were refused.
 #[rstest]
 #[case::the_boxes_first(Duration::ZERO, Duration::from_millis(20))]
 #[case::the_configuration_first(Duration::from_millis(20), Duration::ZERO)]
 #[tokio::test(start_paused = true)]
-async fn boxes_that_all_start_know_the_stores_within_half_a_second(
+async fn boxes_that_start_together_know_the_stores_within_half_a_second(
     #[case] boxes_after: Duration,
     #[case] config_after: Duration,
 ) {
@@ -146,7 +146,7 @@
         let (fleet, port) = beliefs::channel();
         let me = box_entry(index);
         tokio::spawn(Fleet::new(me.id.clone(), TestKeys, log.clone()).run(port));
-        let (news, heard) = mpsc::channel(100);
+        let (news, received) = mpsc::channel(100);
         let kept = CacheStores::default();
         tokio::spawn(reader::run(Readers {
             control: store.clone(),
@@ -157,24 +157,24 @@
             news,
             log,
         }));
-        boxes.push((kept, fleet, heard));
+        boxes.push((kept, fleet, received));
     }
     let began = Instant::now();
-    let learning = async |fleet: &FleetHandle, index: usize, at: Duration| {
+    let send_due = async |fleet: &FleetHandle, index: usize, at: Duration| {
         if at == boxes_after {
-            learn_boxes(fleet, index).await;
+            send_boxes(fleet, index).await;
         }
         if at == config_after {
-            learn_config(fleet).await;
+            send_config(fleet).await;
         }
     };
     for at in [Duration::ZERO, Duration::from_millis(20)] {
         tokio::time::sleep_until(began + at).await;
         for (index, (_, fleet, _)) in boxes.iter().enumerate() {
-            learning(fleet, index, at).await;
+            send_due(fleet, index, at).await;
         }
     }
-    // A fetch also needs to say until when it may last.
+    // A fetch also needs the engines' clock, for its deadline.
     let knows = |(kept, _, _): &(CacheStores, _, _)| {
         let directory = kept.lock();
         directory.is_known(addr, Instant::now()) && directory.has_clock()
@@ -184,5 +184,5 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     let refused = store.refused.load(Ordering::Relaxed);
-    assert_eq!(refused, 0, "the store is not asked by too many at once");
+    assert_eq!(refused, 0, "too many concurrent listings");
 }
--- a/crates/sillpin-gateway/tests/cache_stores/main.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/main.rs
@@ -1,4 +1,4 @@
-//! What is known of kept parts, and when they may be fetched and freed.
+//! Content of the cache stores, and when parts may be fetched, saved and freed.
 
 mod changes;
 // Shared with the other tests of this crate.
--- a/crates/sillpin-gateway/tests/cache_stores/retire.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/retire.rs
@@ -1,4 +1,4 @@
-//! When parts of replaced weights are retired, and when nobody fetches them any more.
+//! When parts of replaced weights are retired, and from when on no box fetches them.
 
 use crate::common::{engine, name, target};
 use crate::{STORE, key};
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// `upgraded` of four engines serve version 2; one other box is known.
+/// A view in which `upgraded` of four engines serve version 2 and one other box is known.
 fn view(upgraded: usize, confirmed: Instant) -> View {
     let engines = (0..4).map(|i| {
         let mut engine = engine(&format!("e{i}"), "za");
@@ -47,7 +47,7 @@
     }
 }
 
-/// A store that is as full as it gets.
+/// Used share of a store at which no parts are saved.
 const FULL: f64 = 0.975;
 
 fn old_weights() -> Weights {
@@ -57,7 +57,7 @@
     }
 }
 
-fn told(share: f64) -> Vec<Retired> {
+fn reported(share: f64) -> Vec<Retired> {
     vec![Retired {
         weights: old_weights(),
         share,
@@ -65,7 +65,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn parts_are_retired_in_step_with_the_engines_and_never_come_back() {
+async fn parts_are_retired_in_step_with_the_engines_and_are_never_used_again() {
     let mut retirements = Retirements::default();
     let salt: SaltParts = "m/1".parse().unwrap();
     let parts: Vec<KeptKey> = (0..400).map(|i| key(&format!("p{i}"))).collect();
@@ -80,7 +80,7 @@
     assert_eq!(
         retired(&retirements),
         half,
-        "an engine that went back brings no part back"
+        "an engine that returns to old weights reactivates no part"
     );
     retirements.update(&view(4, now), FULL, now);
     assert_eq!(retired(&retirements), 400);
@@ -89,7 +89,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn replaced_parts_stay_in_use_while_there_is_room_and_an_engine_for_them() {
+async fn replaced_parts_stay_in_use_while_there_is_capacity_and_an_engine_for_them() {
     let mut retirements = Retirements::default();
     let salt: SaltParts = "m/1".parse().unwrap();
     let parts: Vec<KeptKey> = (0..400).map(|i| key(&format!("p{i}"))).collect();
@@ -105,7 +105,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn nothing_is_unused_while_a_box_may_still_fetch_it() {
+async fn no_part_counts_as_unused_while_a_box_may_still_fetch_it() {
     let mut retirements = Retirements::default();
     let start = Instant::now();
     retirements.update(&view(4, start), FULL, start);
@@ -116,48 +116,48 @@
     assert_eq!(
         unused(&retirements, now),
         0.0,
-        "the other box has said nothing"
+        "the other box has sent no report"
     );
-    retirements.apply_update(name("box-2"), told(0.25), Duration::ZERO, now);
+    retirements.apply_update(name("box-2"), reported(0.25), Duration::ZERO, now);
     assert_eq!(unused(&retirements, now), 0.25);
-    retirements.apply_update(name("box-2"), told(1.0), Duration::ZERO, now);
+    retirements.apply_update(name("box-2"), reported(1.0), Duration::ZERO, now);
     assert_eq!(unused(&retirements, now), 1.0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_box_tells_of_retired_parts_only_when_its_fetches_of_them_are_over() {
+async fn a_box_reports_retired_parts_only_when_its_fetches_of_them_are_over() {
     let mut retirements = Retirements::default();
     let start = Instant::now();
-    let told = |r: &Retirements| r.updates_to_send(Instant::now()).first().map_or(0.0, |r| r.share);
+    let settled = |r: &Retirements| r.updates_to_send(Instant::now()).first().map_or(0.0, |r| r.share);
     retirements.update(&view(2, start), FULL, start);
     assert_eq!(
-        told(&retirements),
+        settled(&retirements),
         0.0,
         "a fetch may have begun just before"
     );
     tokio::time::advance(MAX_FETCH_TIME).await;
-    assert_eq!(told(&retirements), 0.5);
+    assert_eq!(settled(&retirements), 0.5);
     let now = Instant::now();
     retirements.update(&view(4, now), FULL, now);
-    assert_eq!(told(&retirements), 0.5);
+    assert_eq!(settled(&retirements), 0.5);
     tokio::time::advance(MAX_FETCH_TIME).await;
-    assert_eq!(told(&retirements), 1.0);
+    assert_eq!(settled(&retirements), 1.0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_box_that_says_nothing_has_stopped_fetching_after_a_while() {
+async fn a_box_without_contact_stops_fetching_before_parts_are_freed() {
     let mut retirements = Retirements::default();
     let start = Instant::now();
     retirements.update(&view(4, start), FULL, start);
     assert!(retirements.may_fetch(&view(4, start), Duration::ZERO, start));
-    // Out of touch after 2.5 s, half a second of margin, and the last fetch.
+    // Out of contact after 2.5 s, half a second of margin, and the last fetch.
     let rounds = (Duration::from_millis(3_100) + MAX_FETCH_TIME).as_millis() / 100;
     for _ in 0..rounds {
         tokio::time::advance(Duration::from_millis(100)).await;
         let now = Instant::now();
         retirements.update(&view(4, now), FULL, now);
         let unused = retirements.unused_share(&old_weights(), &view(4, now), now);
-        // The other box, silent and out of touch since the start, applies the same rule to itself.
+        // The other box, without contact and without reports since the start, applies the same rule to itself.
         let may_fetch = Retirements::default().may_fetch(&view(4, start), Duration::ZERO, now);
         assert!(unused == 0.0 || !may_fetch, "after {:?}", now - start);
     }
@@ -168,27 +168,27 @@
     );
 }
 
-/// A box was started anew while engines changed to new weights. By then there was room in the stores again, so it used parts of
-/// the replaced weights that the others had retired while the stores were full, and said so. The box that frees parts had known
-/// them to be retired for long and went by that: it freed parts that the new box's engines were fetching.
+/// Guards against freeing parts that are being fetched: a box restarts during a change of weights, when the stores have free capacity
+/// again, and uses and reports parts that the others retired while the stores were full. The leader ignored that report, since it
+/// had known the parts to be retired for long.
 #[tokio::test(start_paused = true)]
-async fn what_a_box_that_started_anew_still_uses_is_not_freed() {
+async fn parts_that_a_restarted_box_still_uses_are_not_freed() {
     let salt: SaltParts = "m/1".parse().unwrap();
     let parts: Vec<KeptKey> = (0..400).map(|i| key(&format!("p{i}"))).collect();
-    let mut holder = Retirements::default();
-    let mut started = Retirements::default();
+    let mut leader = Retirements::default();
+    let mut restarted = Retirements::default();
     let step = Duration::from_millis(400);
-    let roomy = 0.5;
-    holder.update(&view(2, Instant::now()), FULL, Instant::now());
+    let free_capacity = 0.5;
+    leader.update(&view(2, Instant::now()), FULL, Instant::now());
     tokio::time::advance(Duration::from_secs(8)).await;
     for round in 0..20u32 {
         let now = Instant::now();
         let view = view(2, now);
-        started.update(&view, roomy, now);
-        holder.update(&view, roomy, now);
-        holder.apply_update(name("box-2"), started.updates_to_send(now), Duration::ZERO, now);
-        let unused = holder.unused_share(&old_weights(), &view, now);
-        let used = |key: &&KeptKey| !started.is_retired(&salt, key);
+        restarted.update(&view, free_capacity, now);
+        leader.update(&view, free_capacity, now);
+        leader.apply_update(name("box-2"), restarted.updates_to_send(now), Duration::ZERO, now);
+        let unused = leader.unused_share(&old_weights(), &view, now);
+        let used = |key: &&KeptKey| !restarted.is_retired(&salt, key);
         let freed = parts
             .iter()
             .filter(used)
@@ -203,44 +203,44 @@
     }
 }
 
-/// A box that was started anew, when there was room in the stores again, used parts that all others had retired. As long as it does
-/// so nobody may free them, and the room stays taken.
+/// Guards against capacity that is never freed: a box that restarts when the stores have free capacity uses parts that all others have
+/// retired, and as long as it does so the parts cannot be freed.
 #[tokio::test(start_paused = true)]
-async fn a_box_that_started_anew_takes_over_what_others_have_retired() {
-    let mut holder = Retirements::default();
-    let mut started = Retirements::default();
+async fn a_restarted_box_takes_over_the_shares_that_others_have_retired() {
+    let mut leader = Retirements::default();
+    let mut restarted = Retirements::default();
     let start = Instant::now();
-    holder.update(&view(2, start), FULL, start);
+    leader.update(&view(2, start), FULL, start);
     tokio::time::advance(MAX_FETCH_TIME).await;
     let now = Instant::now();
     let view = view(2, now);
-    let roomy = 0.5;
-    started.update(&view, roomy, now);
-    started.apply_update(name("box-1"), holder.updates_to_send(now), Duration::ZERO, now);
-    started.update(&view, roomy, now);
+    let free_capacity = 0.5;
+    restarted.update(&view, free_capacity, now);
+    restarted.apply_update(name("box-1"), leader.updates_to_send(now), Duration::ZERO, now);
+    restarted.update(&view, free_capacity, now);
     tokio::time::advance(MAX_FETCH_TIME).await;
     let now = Instant::now();
-    holder.update(&view, roomy, now);
-    holder.apply_update(name("box-2"), started.updates_to_send(now), Duration::ZERO, now);
-    assert_eq!(holder.unused_share(&old_weights(), &view, now), 0.5);
+    leader.update(&view, free_capacity, now);
+    leader.apply_update(name("box-2"), restarted.updates_to_send(now), Duration::ZERO, now);
+    assert_eq!(leader.unused_share(&old_weights(), &view, now), 0.5);
 }
 
-/// A box that the store does not answer says so, and has stopped fetching: what it last used is no reason to keep parts.
+/// A box without an answer from the platform store reports that, and has stopped fetching: parts that it last used may be freed.
 #[tokio::test(start_paused = true)]
-async fn a_box_that_says_that_it_is_out_of_touch_holds_nothing_back() {
-    let mut holder = Retirements::default();
+async fn a_box_that_reports_lost_contact_does_not_block_freeing() {
+    let mut leader = Retirements::default();
     let start = Instant::now();
-    holder.update(&view(2, start), FULL, start);
+    leader.update(&view(2, start), FULL, start);
     tokio::time::advance(Duration::from_secs(8)).await;
     let now = Instant::now();
     let silence = Duration::from_secs(8);
     assert!(!Retirements::default().may_fetch(&view(0, start), Duration::ZERO, now));
-    holder.apply_update(name("box-2"), told(0.0), silence, now);
-    assert_eq!(holder.unused_share(&old_weights(), &view(2, now), now), 0.5);
+    leader.apply_update(name("box-2"), reported(0.0), silence, now);
+    assert_eq!(leader.unused_share(&old_weights(), &view(2, now), now), 0.5);
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_the_store_boxes_fetch_on_only_if_none_of_them_reaches_it() {
+async fn without_the_platform_store_boxes_fetch_only_if_no_box_reaches_it() {
     let mut retirements = Retirements::default();
     let start = Instant::now();
     tokio::time::advance(Duration::from_secs(5)).await;
@@ -248,7 +248,7 @@
     let stale = view(0, start);
     assert!(
         !retirements.may_fetch(&stale, Duration::ZERO, now),
-        "the other box is not heard"
+        "no report from the other box"
     );
     retirements.apply_update(name("box-2"), Vec::new(), Duration::ZERO, now);
     assert!(
@@ -267,19 +267,19 @@
     assert!((400..600).contains(&low), "{low} of 1,000");
 }
 
-/// In a large zone a box hears few digests. Had it learned only from those what others retired, it might have gone on fetching parts that were
-/// freed after five seconds because nobody was heard to use them.
+/// Guards against freeing parts in use in a large zone, where a box receives few digests: without the hub's update it might fetch parts
+/// that are freed after five seconds because no report says that they are used.
 #[tokio::test(start_paused = true)]
-async fn what_a_hub_tells_is_retired_at_once() {
-    let holder = {
-        let mut holder = Retirements::default();
-        holder.update(&view(4, Instant::now()), 0.0, Instant::now());
-        holder
+async fn shares_from_a_hub_are_retired_immediately() {
+    let leader = {
+        let mut leader = Retirements::default();
+        leader.update(&view(4, Instant::now()), 0.0, Instant::now());
+        leader
     };
     let mut other = Retirements::default();
     assert!(!other.has_any());
-    other.apply_shares(&holder.applied());
-    assert_eq!(other.applied(), holder.applied());
+    other.apply_shares(&leader.applied());
+    assert_eq!(other.applied(), leader.applied());
     let salt = SaltParts {
         model: name("m"),
         version: WeightVersion(1),
--- a/crates/sillpin-gateway/tests/election.rs
+++ b/crates/sillpin-gateway/tests/election.rs
@@ -1,4 +1,4 @@
-//! The duty to order engines: one holder at a time, and orders of two holders far apart.
+//! Election of the leader: one leader at a time, and a minimum time between the orders of two leaders to one engine.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Least time between two holders' orders to one engine.
+/// Minimum time between two leaders' orders to one engine.
 const MIN_ORDER_GAP: Duration = Duration::from_millis(3_000);
 
 fn election(store: &MemoryStore, me: &str) -> Election<MemoryStore> {
@@ -24,7 +24,7 @@
     }
 }
 
-/// Records and orders an engine as a holder does, if it may.
+/// Records and orders an engine as a leader does, if it may. Returns the time of the order.
 async fn order(election: &Election<MemoryStore>, leadership: &mut Leadership, id: &TargetId) -> Option<Instant> {
     let now = Instant::now();
     if !leadership.may_order(now) || !leadership.may_order_target(id, now) {
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_second_box_takes_the_duty_only_when_the_lease_is_over() {
+async fn a_second_box_becomes_leader_only_after_the_lease_has_expired() {
     let store = MemoryStore::default();
     let first = election(&store, "box-1");
     let mut leadership = first.acquire().await.unwrap();
@@ -49,12 +49,12 @@
     }
     let successor = waiting.await.unwrap().unwrap();
     let now = Instant::now();
-    assert!(!leadership.may_order(now), "the first holder stopped before");
+    assert!(!leadership.may_order(now), "the first leader stopped before");
     assert!(successor.fence > leadership.fence);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_box_waits_for_a_duty_that_was_taken_before_the_stores_history() {
+async fn a_box_waits_for_a_leader_that_was_elected_before_the_stores_history() {
     let store = MemoryStore::default();
     let first = election(&store, "box-1");
     let mut leadership = first.acquire().await.unwrap();
@@ -62,18 +62,18 @@
     let second = election(&store, "box-2");
     let waiting = tokio::spawn(async move { second.acquire().await });
     tokio::time::sleep(Duration::from_millis(1_000)).await;
-    assert!(!waiting.is_finished(), "it does not ask again and again");
+    assert!(!waiting.is_finished(), "it does not poll");
     assert!(first.renew(&mut leadership).await);
     waiting.await.unwrap().unwrap();
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_successor_goes_on_at_once_but_leaves_recorded_engines_alone() {
+async fn a_successor_orders_immediately_except_recorded_engines() {
     let store = MemoryStore::default();
     let first = election(&store, "box-1");
     let mut leadership = first.acquire().await.unwrap();
     let ordered_at = order(&first, &mut leadership, &target("e1")).await.unwrap();
-    // The first holder freezes here.
+    // The first leader freezes here.
     let second = election(&store, "box-2");
     let mut successor = second.acquire().await.unwrap();
     assert!(order(&second, &mut successor, &target("e2")).await.is_some());
@@ -88,13 +88,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_holder_that_wakes_cannot_record_another_order() {
+async fn a_leader_that_resumes_after_its_lease_cannot_record_another_order() {
     let store = MemoryStore::default();
     let first = election(&store, "box-1");
     let mut leadership = first.acquire().await.unwrap();
     let second = election(&store, "box-2");
     second.acquire().await.unwrap();
-    // Even if its clock had stood still, the record would stop it.
+    // Even if its clock had stopped, it could not write the record.
     leadership.lease_renewed(Instant::now());
     assert!(leadership.may_order(Instant::now()));
     assert_eq!(order(&first, &mut leadership, &target("e9")).await, None);
@@ -102,7 +102,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_third_holder_knows_what_the_first_ordered_a_moment_ago() {
+async fn a_third_leader_knows_which_engines_the_first_ordered_recently() {
     let store = MemoryStore::default();
     let first = election(&store, "box-1");
     let mut leadership = first.acquire().await.unwrap();
@@ -119,7 +119,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_holder_without_the_store_stops_ordering_in_time() {
+async fn a_leader_without_the_store_stops_ordering_in_time() {
     let store = MemoryStore::default();
     let first = election(&store, "box-1");
     let mut leadership = first.acquire().await.unwrap();
@@ -133,7 +133,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_duty_can_be_given_up() {
+async fn a_leader_can_resign() {
     let store = MemoryStore::default();
     let first = election(&store, "box-1");
     let leadership = first.acquire().await.unwrap();
@@ -143,7 +143,7 @@
     assert!(began.elapsed() < Duration::from_millis(200));
 }
 
-/// Renews until the engine may be ordered; how long that took.
+/// Renews until the engine may be ordered. Returns the time that this took.
 async fn hold_off(election: &Election<MemoryStore>, leadership: &mut Leadership, id: &TargetId) -> Duration {
     let began = Instant::now();
     while order(election, leadership, id).await.is_none() {
@@ -153,11 +153,11 @@
     began.elapsed()
 }
 
-/// Weights are named every few seconds and the box that orders the loads is killed. Its successor left alone for over
-/// 3 s every engine that had been ordered within the last 4.4 s, on some days the whole fleet, although most of these
-/// orders were seconds old.
+/// Guards against a needless wait when the leader is killed while new weights are requested every few seconds: its successor did not
+/// order, for over 3 s, any engine that had been ordered within the last 4.4 s, which could be the whole fleet, although most of
+/// these orders were seconds old.
 #[tokio::test(start_paused = true)]
-async fn a_successor_waits_only_for_what_is_left_of_the_time_after_each_order() {
+async fn a_successor_waits_only_for_the_remaining_time_after_each_order() {
     let store = MemoryStore::default();
     let first = election(&store, "box-1");
     let mut leadership = first.acquire().await.unwrap();
@@ -168,7 +168,7 @@
         assert!(first.renew(&mut leadership).await);
     }
     order(&first, &mut leadership, &target("e2")).await.unwrap();
-    // The first holder dies here; its lease lapses 1.4 s later.
+    // The first leader dies here; its lease expires 1.4 s later.
     let second = election(&store, "box-2");
     let mut successor = second.acquire().await.unwrap();
     let waited = hold_off(&second, &mut successor, &target("e1")).await;
@@ -177,10 +177,10 @@
     assert!(!successor.may_order_target(&target("e2"), Instant::now()));
 }
 
-/// Two boxes that held the duty die one after the other. The second wrote the first one's engines down anew, and the
-/// third left them alone as if they had just been ordered.
+/// Guards against restarting the wait when two leaders die one after the other: the second rewrote the record of the first one's
+/// engines, and the third treated them as if they had just been ordered.
 #[tokio::test(start_paused = true)]
-async fn a_third_holder_does_not_begin_the_first_ones_time_anew() {
+async fn a_third_leader_does_not_restart_the_wait_after_the_first_ones_orders() {
     let store = MemoryStore::default();
     let first = election(&store, "box-1");
     let mut leadership = first.acquire().await.unwrap();
@@ -200,10 +200,9 @@
     assert!(!successor.may_order_target(&target("e2"), Instant::now()));
 }
 
-/// An engine that stayed silent was written down before each try, but no order went out: a successor may order it at
-/// once.
+/// An unresponsive engine is recorded before each attempt, but if no order was sent, a successor may order it immediately.
 #[tokio::test(start_paused = true)]
-async fn an_engine_that_was_never_ordered_is_not_left_alone() {
+async fn an_engine_that_was_never_ordered_may_be_ordered_immediately() {
     let store = MemoryStore::default();
     let first = election(&store, "box-1");
     let mut leadership = first.acquire().await.unwrap();
@@ -216,10 +215,10 @@
     assert!(!successor.may_order_target(&target("e2"), Instant::now()));
 }
 
-/// Boxes are replaced one at a time: a record by a box of the version before names engines without times, and each
-/// of them counts as ordered just now.
+/// Boxes are upgraded one at a time: a record by a box of the previous version has no ages, and each of its engines counts as
+/// ordered just now.
 #[tokio::test(start_paused = true)]
-async fn a_record_without_times_counts_from_the_taking() {
+async fn a_record_without_ages_counts_from_the_election() {
     let store = MemoryStore::default();
     let absent = KvRevision::ABSENT;
     let text = r#"{"targets":["e1"]}"#;
@@ -231,7 +230,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_holder_leaves_all_engines_alone_while_the_store_has_lost_which_were_ordered() {
+async fn a_leader_orders_no_engine_for_a_while_after_the_store_lost_the_record() {
     let store = MemoryStore::default();
     let first = election(&store, "box-1");
     let mut leadership = first.acquire().await.unwrap();
@@ -241,7 +240,7 @@
     let second = election(&store, "box-2");
     let mut successor = second.acquire().await.unwrap();
     assert!(successor.fence > leadership.fence);
-    // It writes the record, which the next one must not believe.
+    // It writes the record, which the next leader must not rely on.
     second.record(&mut successor, &[]).await.unwrap();
     second.resign(&successor).await;
     let third = election(&store, "box-3");
--- a/crates/sillpin-gateway/tests/fatal.rs
+++ b/crates/sillpin-gateway/tests/fatal.rs
@@ -1,4 +1,4 @@
-//! Requests that end the targets that run them: who is refused, who is spared, and what boxes tell each other of it.
+//! Requests that crash the targets that run them: which are refused, which are not, and what boxes report to each other.
 
 mod common;
 
@@ -24,10 +24,10 @@
     })
 }
 
-/// So many targets ended under the fatal request alone.
-fn ended(record: &mut CrashRecord, lives: impl IntoIterator<Item = usize>, now: Instant) {
-    for number in lives {
-        record.ended(life(number), [FATAL], now, now);
+/// Records that targets crashed under the fatal request alone.
+fn record_crashes(record: &mut CrashRecord, targets: impl IntoIterator<Item = usize>, now: Instant) {
+    for number in targets {
+        record.record_crash(life(number), [FATAL], now, now);
     }
 }
 
@@ -36,14 +36,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_is_refused_from_the_third_ended_target_on() {
+async fn a_request_is_refused_from_the_third_crashed_target_on() {
     let (mut record, now) = (CrashRecord::default(), Instant::now());
-    ended(&mut record, [0, 1, 1, 1], now);
+    record_crashes(&mut record, [0, 1, 1, 1], now);
     assert!(
         !is_refused(&record, FATAL, now),
         "the same target counts once"
     );
-    ended(&mut record, [2], now);
+    record_crashes(&mut record, [2], now);
     assert!(is_refused(&record, FATAL, now));
     let hour = now + Duration::from_secs(3_599);
     assert!(is_refused(&record, FATAL, hour));
@@ -51,94 +51,94 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_beside_a_fatal_one_is_spared() {
+async fn a_request_beside_a_fatal_one_is_not_refused() {
     let (mut record, now) = (CrashRecord::default(), Instant::now());
     for number in 0..3 {
-        record.ended(life(number), [FATAL, OTHER], now, now);
+        record.record_crash(life(number), [FATAL, OTHER], now, now);
     }
     assert!(
         !is_refused(&record, OTHER, now) && !is_refused(&record, FATAL, now),
-        "either may be the reason: each is sent on once more"
+        "either may be the cause: each is sent once more"
     );
-    ended(&mut record, [3], now);
+    record_crashes(&mut record, [3], now);
     assert!(is_refused(&record, FATAL, now));
     assert!(!is_refused(&record, OTHER, now));
 }
 
 #[tokio::test(start_paused = true)]
-async fn two_that_always_come_together_are_refused_after_one_more() {
+async fn two_requests_that_always_run_together_are_refused_after_one_more_crash() {
     let (mut record, now) = (CrashRecord::default(), Instant::now());
     for number in 0..4 {
-        record.ended(life(number), [FATAL, OTHER], now, now);
+        record.record_crash(life(number), [FATAL, OTHER], now, now);
     }
     assert!(is_refused(&record, OTHER, now) && is_refused(&record, FATAL, now));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_that_was_served_begins_anew() {
+async fn serving_a_request_clears_it_of_earlier_crashes() {
     let (mut record, now) = (CrashRecord::default(), Instant::now());
-    ended(&mut record, [0, 1], now);
+    record_crashes(&mut record, [0, 1], now);
     record.served(FATAL, now);
     let later = now + Duration::from_secs(1);
-    ended(&mut record, [2, 3], later);
+    record_crashes(&mut record, [2, 3], later);
     assert!(!is_refused(&record, FATAL, later));
-    ended(&mut record, [4], later);
+    record_crashes(&mut record, [4], later);
     assert!(is_refused(&record, FATAL, later));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_whose_caller_left_counts_if_its_target_ends_soon_after() {
+async fn an_abandoned_attempt_counts_if_its_target_crashes_soon_after() {
     let (mut record, now) = (CrashRecord::default(), Instant::now());
     for number in 0..3 {
         record.abandoned(FATAL, life(number), now);
         record.abandoned(OTHER, life(number + 10), now);
-        record.ended(life(number), [RequestFingerprint(9 + number as u64)], now, now);
+        record.record_crash(life(number), [RequestFingerprint(9 + number as u64)], now, now);
     }
     let late = now + Duration::from_secs(3);
     for number in 10..13 {
-        record.ended(life(number), [RequestFingerprint(50)], late, late);
+        record.record_crash(life(number), [RequestFingerprint(50)], late, late);
     }
     assert!(is_refused(&record, FATAL, now));
-    assert!(!is_refused(&record, OTHER, late), "it had left long before");
+    assert!(!is_refused(&record, OTHER, late), "it was abandoned long before");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_target_that_another_box_saw_end_counts_for_what_was_left_there() {
+async fn a_crash_that_another_box_observed_counts_for_attempts_abandoned_there() {
     let now = Instant::now();
     let (mut here, mut there) = (CrashRecord::default(), CrashRecord::default());
     for number in 0..3 {
         here.abandoned(FATAL, life(number), now);
-        there.ended(life(number), [OTHER], now, now);
+        there.record_crash(life(number), [OTHER], now, now);
     }
     here.apply_update(&there.updates_to_send(now), now);
-    // Both have three: the next one decides.
-    ended(&mut here, [3], now);
+    // Both requests have three crashes: the next one decides.
+    record_crashes(&mut here, [3], now);
     assert!(is_refused(&here, FATAL, now));
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_remembered_is_bounded_and_the_fatal_stays() {
+async fn the_record_is_bounded_and_keeps_fatal_requests() {
     let (mut record, now) = (CrashRecord::default(), Instant::now());
-    ended(&mut record, 0..3, now);
+    record_crashes(&mut record, 0..3, now);
     for number in 0..3 * MAX_REQUESTS as u64 {
-        record.ended(life(100), [RequestFingerprint(10 + number)], now, now);
+        record.record_crash(life(100), [RequestFingerprint(10 + number)], now, now);
     }
     assert!(record.len() <= MAX_REQUESTS, "{}", record.len());
     assert!(is_refused(&record, FATAL, now));
-    let word = bincode::serialize(&record.updates_to_send(now)).unwrap();
-    assert!(word.len() < 2_000, "{} bytes", word.len());
+    let report = bincode::serialize(&record.updates_to_send(now)).unwrap();
+    assert!(report.len() < 2_000, "{} bytes", report.len());
     let minutes = now + Duration::from_secs(61);
     record.updates_to_send(minutes);
-    assert_eq!(record.len(), 1, "the others are forgotten");
+    assert_eq!(record.len(), 1, "the others have expired");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_box_that_starts_hears_of_every_fatal_request_however_many_others_there_are() {
+async fn a_box_that_starts_receives_every_fatal_request_however_many_others_there_are() {
     let (mut record, mut now) = (CrashRecord::default(), Instant::now());
     for fingerprint in 0..40 {
         for number in 0..3 {
             now += Duration::from_millis(100);
-            record.ended(
+            record.record_crash(
                 life(fingerprint * 3 + number),
                 [RequestFingerprint(fingerprint as u64)],
                 now,
@@ -146,7 +146,7 @@
             );
         }
     }
-    record.ended(life(999), (1_000..1_500).map(RequestFingerprint), now, now);
+    record.record_crash(life(999), (1_000..1_500).map(RequestFingerprint), now, now);
     let later = now + Duration::from_secs(5);
     let mut new = CrashRecord::default();
     for _ in 0..8 {
@@ -158,9 +158,9 @@
 }
 
 proptest! {
-    /// Boxes that hear the same, in whatever order and however often, refuse the same.
+    /// Boxes that receive the same reports, in whatever order and however often, refuse the same requests.
     #[test]
-    fn the_order_of_news_does_not_matter(
+    fn the_order_of_reports_does_not_matter(
         notes in prop::collection::vec((0usize..4, 1u64..4, 0usize..6, any::<bool>()), 1..30),
         order in prop::collection::vec(0usize..4, 8),
     ) {
@@ -168,21 +168,21 @@
         let mut boxes: Vec<CrashRecord> = (0..4).map(|_| CrashRecord::default()).collect();
         let mut now = start;
         for (at, fingerprint, target, served) in notes {
-            // Longer than the ages told are rounded.
+            // Longer than the rounding of the reported ages.
             now += Duration::from_millis(5);
             match served {
                 true => boxes[at].served(RequestFingerprint(fingerprint), now),
-                false => drop(boxes[at].ended(life(target), [RequestFingerprint(fingerprint)], now, now)),
+                false => drop(boxes[at].record_crash(life(target), [RequestFingerprint(fingerprint)], now, now)),
             }
         }
-        let words: Vec<Vec<CrashReport>> = boxes.iter_mut().map(|record| record.updates_to_send(now)).collect();
+        let reports: Vec<Vec<CrashReport>> = boxes.iter_mut().map(|record| record.updates_to_send(now)).collect();
         let mut one = CrashRecord::default();
         let mut other = CrashRecord::default();
-        for word in &words {
-            one.apply_update(word, now);
+        for report in &reports {
+            one.apply_update(report, now);
         }
         for at in order.into_iter().chain([3, 2, 1, 0]) {
-            other.apply_update(&words[at], now);
+            other.apply_update(&reports[at], now);
         }
         for fingerprint in 1..4 {
             let fingerprint = RequestFingerprint(fingerprint);
@@ -192,54 +192,55 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_target_that_ended_before_a_request_was_served_does_not_count_if_it_is_found_out_later() {
+async fn a_crash_before_a_request_was_served_does_not_count_if_it_is_detected_later() {
     let (mut record, began) = (CrashRecord::default(), Instant::now());
-    ended(&mut record, [0, 1], began);
+    record_crashes(&mut record, [0, 1], began);
     let served = began + Duration::from_millis(10);
     record.served(FATAL, served);
-    let found = began + Duration::from_millis(500);
+    let detected = began + Duration::from_millis(500);
     for number in 2..5 {
-        record.ended(life(number), [FATAL], began, found);
+        record.record_crash(life(number), [FATAL], began, detected);
     }
-    assert!(!is_refused(&record, FATAL, found));
+    assert!(!is_refused(&record, FATAL, detected));
 }
 
 #[tokio::test(start_paused = true)]
-async fn ends_before_a_request_was_served_leave_room_for_later_ones() {
+async fn crashes_before_a_request_was_served_do_not_displace_later_ones() {
     let (mut record, mut now) = (CrashRecord::default(), Instant::now());
     for round in 0..6 {
-        ended(&mut record, [2 * round, 2 * round + 1], now);
+        record_crashes(&mut record, [2 * round, 2 * round + 1], now);
         now += Duration::from_millis(10);
         record.served(FATAL, now);
         now += Duration::from_millis(10);
     }
-    ended(&mut record, [100, 101, 102], now);
+    record_crashes(&mut record, [100, 101, 102], now);
     assert!(is_refused(&record, FATAL, now));
     let mut other = CrashRecord::default();
     other.apply_update(&record.updates_to_send(now), now);
     assert!(is_refused(&other, FATAL, now));
 }
 
-/// A crash of many targets at once, as of a rack, takes requests along that are resumed at the next target and meet the next crash there. On a day of
-/// six crashes such requests had three ended targets each, though nothing they did ended one.
+/// Guards against refusing requests that were merely interrupted: when many targets crash together, as in a rack, their requests are
+/// resumed at other targets and may meet the next such crash there. On a day of six such crashes, requests had three crashed targets
+/// each without causing any.
 #[tokio::test(start_paused = true)]
-async fn targets_that_end_at_the_same_moment_did_not_end_because_of_one_request() {
+async fn crashes_at_the_same_time_are_not_attributed_to_one_request() {
     let (mut record, mut now) = (CrashRecord::default(), Instant::now());
     for wave in 0..5 {
         for number in 0..5 {
             let at = now + Duration::from_millis(10 * number as u64);
             let beside = RequestFingerprint((100 + 10 * wave + number) as u64);
-            record.ended(life(10 * wave + number), [beside], at, at);
+            record.record_crash(life(10 * wave + number), [beside], at, at);
         }
-        record.ended(life(10 * wave), [OTHER], now, now);
+        record.record_crash(life(10 * wave), [OTHER], now, now);
         now += Duration::from_millis(1_500);
     }
     assert!(!is_refused(&record, OTHER, now));
-    ended(&mut record, [200, 201, 202], now);
-    assert!(is_refused(&record, FATAL, now), "all three under it");
+    record_crashes(&mut record, [200, 201, 202], now);
+    assert!(is_refused(&record, FATAL, now), "all three crashed under it");
 }
 
-/// Requests that each end a target a second, all at the same time.
+/// Several requests that each crash a target a second, during the same time.
 #[rstest]
 #[case::two(2)]
 #[case::ten(10)]
@@ -247,22 +248,22 @@
 async fn fatal_requests_do_not_clear_each_other(#[case] count: u64) {
     let mut rng = StdRng::seed_from_u64(count);
     let mut record = CrashRecord::default();
-    let mut ends: Vec<(u64, RequestFingerprint)> = Vec::new();
+    let mut crashes: Vec<(u64, RequestFingerprint)> = Vec::new();
     for fingerprint in 0..count {
         let mut at = 0;
         for _ in 0..6 {
             at += rng.random_range(600..1_400);
-            ends.push((at, RequestFingerprint(fingerprint)));
+            crashes.push((at, RequestFingerprint(fingerprint)));
         }
     }
-    ends.sort_unstable();
+    crashes.sort_unstable();
     let start = Instant::now();
     let mut reached = vec![0; count as usize];
-    for (number, (at, fingerprint)) in ends.into_iter().enumerate() {
+    for (number, (at, fingerprint)) in crashes.into_iter().enumerate() {
         let now = start + Duration::from_millis(at);
         if !is_refused(&record, fingerprint, now) {
             reached[fingerprint.0 as usize] += 1;
-            record.ended(life(number), [fingerprint], now, now);
+            record.record_crash(life(number), [fingerprint], now, now);
         }
     }
     assert!(reached.iter().all(|reached| *reached <= 5), "{reached:?}");
--- a/crates/sillpin-gateway/tests/fatal_fleet.rs
+++ b/crates/sillpin-gateway/tests/fatal_fleet.rs
@@ -1,6 +1,6 @@
-//! A fatal request in whole fleets: it comes again and again at boxes drawn by lot, and ends a target wherever it is sent on. Boxes tell each other by the
-//! ways that small and large zones have, and lose some of what they are told. Counted is how often it reaches a target later than boxes have to know
-//! it, and how many targets end in all.
+//! A fatal request in whole fleets: it arrives repeatedly at random boxes, and crashes each target that it is sent to. Boxes exchange
+//! reports by the routes of small and large zones, and some messages are lost. The tests count how often the request reaches a target
+//! at a time when boxes must know it, and how many targets crash in total.
 
 mod common;
 
@@ -16,21 +16,21 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How often the request reaches targets at most once boxes must know it.
-const MOST_MORE: usize = 3;
+/// Maximum number of times that the request reaches a target once boxes must know it.
+const MAX_LATE: usize = 3;
 
 const FATAL: RequestFingerprint = RequestFingerprint(7);
 
-/// What becomes of some boxes while the request comes.
+/// Fault of some boxes while the request arrives.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Trouble {
+enum Fault {
     None,
-    /// A third of the boxes neither hears nor is heard for a while.
-    CutOff,
-    /// Half of the boxes start anew, and know nothing.
-    StartAnew,
-    /// The hubs end and do not come back.
-    HubsEnd,
+    /// A third of the boxes is partitioned for a while.
+    Partition,
+    /// Half of the boxes restart without any record.
+    Restart,
+    /// The hubs stop and do not return.
+    HubsStop,
 }
 
 impl Memory for CrashRecord {
@@ -44,40 +44,40 @@
         CrashRecord::updates_to_send(self, now)
     }
 
-    fn apply_update(&mut self, words: &[CrashReport], now: Instant) {
-        CrashRecord::apply_update(self, words, now);
+    fn apply_update(&mut self, reports: &[CrashReport], now: Instant) {
+        CrashRecord::apply_update(self, reports, now);
     }
 }
 
-/// The fleets of these tests.
-trait Struck {
-    /// Trouble begins.
-    fn begin(&mut self, trouble: Trouble);
-    /// Boxes that were cut off are so no more.
-    fn end_cuts(&mut self);
+/// Injects faults into the fleets of these tests.
+trait InjectFaults {
+    /// Starts a fault.
+    fn start_fault(&mut self, fault: Fault);
+    /// Ends the partition.
+    fn end_partition(&mut self);
 }
 
-impl Struck for Fleet<CrashRecord> {
-    fn begin(&mut self, trouble: Trouble) {
+impl InjectFaults for Fleet<CrashRecord> {
+    fn start_fault(&mut self, fault: Fault) {
         let step = self.step;
         let hubs: Vec<bool> = self.boxes.iter().map(|one| one.hub.is_active()).collect();
         for (index, one) in self.boxes.iter_mut().enumerate() {
-            match trouble {
-                Trouble::None => {}
-                Trouble::CutOff => one.cut = index % 3 == 0,
-                Trouble::StartAnew if index % 2 == 0 => {
+            match fault {
+                Fault::None => {}
+                Fault::Partition => one.cut = index % 3 == 0,
+                Fault::Restart if index % 2 == 0 => {
                     let place = one.name;
                     *one = OneBox::new(one.zone, 0, step);
                     one.name = place;
                     one.hub = Hub::new(place);
                 }
-                Trouble::StartAnew => {}
-                Trouble::HubsEnd => one.dead |= hubs[index],
+                Fault::Restart => {}
+                Fault::HubsStop => one.dead |= hubs[index],
             }
         }
     }
 
-    fn end_cuts(&mut self) {
+    fn end_partition(&mut self) {
         let step = self.step;
         for one in self.boxes.iter_mut().filter(|one| one.cut) {
             (one.cut, one.began) = (false, step);
@@ -92,13 +92,13 @@
     })
 }
 
-/// Plays 40 s of a request that comes every 0.3 to 1.2 s: the targets that ended, and how many of them under boxes that were in touch so long that they
-/// had to know it.
-async fn play(
+/// Simulates 40 s of a request that arrives every 0.3 to 1.2 s. Returns the number of crashed targets, and how many of them the
+/// request reached through boxes that had been in contact long enough to know it.
+async fn simulate(
     count: usize,
     zones: usize,
     contact: Duration,
-    trouble: Trouble,
+    fault: Fault,
     seed: u64,
 ) -> (usize, usize) {
     let steps = |time: Duration| (time.as_millis() / STEP.as_millis()) as usize;
@@ -106,12 +106,12 @@
     for _ in 0..20 {
         fleet.round().await;
     }
-    let (mut ended, mut late, mut known) = (0, 0, None);
+    let (mut crashed, mut late, mut known) = (0, 0, None);
     let mut next = fleet.step;
     for step in 0..steps(Duration::from_secs(40)) {
         match step {
-            5 | 25 => fleet.begin(trouble),
-            45 => fleet.end_cuts(),
+            5 | 25 => fleet.start_fault(fault),
+            45 => fleet.end_partition(),
             _ => {}
         }
         fleet.round().await;
@@ -126,29 +126,29 @@
         if one.memory.refused_until(FATAL, now).is_some() {
             continue;
         }
-        let in_touch = !one.cut && step - one.began > steps(contact);
+        let in_contact = !one.cut && step - one.began > steps(contact);
         let must_know = known.is_some_and(|known| step - known > steps(contact));
-        late += usize::from(in_touch && must_know);
-        one.memory.ended(life(ended), [FATAL], now, now);
-        ended += 1;
-        if ended == 3 {
+        late += usize::from(in_contact && must_know);
+        one.memory.record_crash(life(crashed), [FATAL], now, now);
+        crashed += 1;
+        if crashed == 3 {
             known = Some(step);
         }
     }
-    (ended, late)
+    (crashed, late)
 }
 
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn a_fatal_request_reaches_few_targets_in_fleets_of_any_size(
     #[values((7, 3, 3_000), (59, 3, 4_000), (295, 5, 5_000))] fleet: (usize, usize, u64),
-    #[values(Trouble::None, Trouble::CutOff, Trouble::StartAnew, Trouble::HubsEnd)]
-    trouble: Trouble,
+    #[values(Fault::None, Fault::Partition, Fault::Restart, Fault::HubsStop)]
+    fault: Fault,
     #[values(1, 2, 3)] seed: u64,
 ) {
     let (count, zones, contact) = fleet;
     let contact = Duration::from_millis(contact);
-    let (ended, late) = play(count, zones, contact, trouble, seed).await;
-    println!("{count} boxes, {trouble:?}: {ended} targets ended, {late} late");
-    assert!(late <= MOST_MORE, "{late} times late");
+    let (crashed, late) = simulate(count, zones, contact, fault, seed).await;
+    println!("{count} boxes, {fault:?}: {crashed} targets crashed, {late} late");
+    assert!(late <= MAX_LATE, "{late} times late");
 }
--- a/crates/sillpin-gateway/tests/reclaimer.rs
+++ b/crates/sillpin-gateway/tests/reclaimer.rs
@@ -1,4 +1,4 @@
-//! Which parts the holder of the duty frees, seen from a store.
+//! Which parts the leader frees, as observed by a store.
 
 mod common;
 
@@ -21,7 +21,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// A store that answers with one list after the other, and takes note of what is freed.
+/// A store that returns one listing after the other, and records the orders to free parts.
 #[derive(Clone)]
 struct ListedStore {
     lists: Arc<Mutex<Vec<KeptList>>>,
@@ -31,7 +31,7 @@
 
 impl Control for ListedStore {
     async fn report(&self, _: SocketAddr, _: &TargetId) -> Result<EngineReport, ControlError> {
-        unreachable!("no engine is asked")
+        unreachable!("no engine is polled")
     }
 
     async fn order(&self, _: SocketAddr, _: &WeightsOrder) -> Result<OrderOutcome, ControlError> {
@@ -44,7 +44,7 @@
         _: u64,
         _: Duration,
     ) -> Result<KeptNews, ControlError> {
-        unreachable!("the freer reads no news")
+        unreachable!("the reclaimer does not poll for changes")
     }
 
     async fn kept_list(&self, _: SocketAddr) -> Result<KeptList, ControlError> {
@@ -85,7 +85,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn only_parts_that_nobody_writes_any_more_are_freed_and_only_at_once() {
+async fn only_stalled_parts_are_freed_and_only_shortly_after_the_listing() {
     let (fleet, port) = beliefs::channel();
     let log = sillpin_telemetry::logs::discard();
     tokio::spawn(Fleet::new(name("box-1"), TestKeys, log.clone()).run(port));
@@ -132,6 +132,6 @@
     let latest = EngineTime(0).plus(at - start + Duration::from_millis(60));
     assert!(
         order.until < latest,
-        "a box may have heard that it is whole"
+        "a box may have received the event that it is complete"
     );
 }
--- a/crates/sillpin-gateway/tests/rollout.rs
+++ b/crates/sillpin-gateway/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Engines are brought to the weights that operators want, also beside trouble.
+//! Rollout of the weights that operators request, also to engines that do not answer.
 
 mod common;
 
@@ -24,38 +24,38 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Least time between two holders' orders to one engine.
+/// Minimum time between two leaders' orders to one engine.
 const MIN_ORDER_GAP: Duration = Duration::from_millis(3_000);
 
-/// How long a load takes.
+/// Duration of a load.
 const LOAD: Duration = Duration::from_millis(760);
 
-/// How old reports are: a load that has ended still shows as under way.
+/// Age of reports: a load that has ended is still reported as running.
 const REPORT_AGE: Duration = Duration::from_millis(100);
 
-/// Time of a call that is answered.
+/// Duration of a call that is answered.
 const CALL: Duration = Duration::from_millis(2);
 
-/// After that a call counts as unanswered.
+/// Time after which a call counts as unanswered.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// An engine that loads weights when it is told to.
+/// An engine that loads weights when it is ordered to.
 #[derive(Default)]
 struct Engine {
     version: u64,
     orders_taken: u64,
-    /// Weights that it loads, and until when.
+    /// Version that it loads, and until when.
     loading: Option<(u64, Instant)>,
-    /// Next orders that get no answer and are not carried out.
+    /// Number of next orders that get no answer and are not carried out.
     loses: u32,
-    /// Answers nothing.
-    silent: bool,
+    /// Whether it answers no call.
+    unresponsive: bool,
     /// Versions ordered, and when each order arrived.
     ordered: Vec<(u64, Instant)>,
     reports: u32,
     /// When it first served each version.
     served_at: BTreeMap<u64, Instant>,
-    /// What it served before its last load ended, and when that was.
+    /// Version that it served before its last load ended, and when that load ended.
     before: Option<(u64, Instant)>,
 }
 
@@ -116,7 +116,7 @@
         f(self.lock().entry(name(id)).or_default())
     }
 
-    /// How long after `since` the last of `ids` served `version` or a later one; waits for it.
+    /// Waits until all of `ids` serve `version` or a later one. Returns the time from `since` until the last one did.
     async fn all_serve(&self, ids: &[String], version: u64, since: Instant) -> Duration {
         while !ids.iter().all(|id| self.with(id, |e| e.version >= version)) {
             assert!(since.elapsed() < Duration::from_secs(60), "not served");
@@ -142,11 +142,11 @@
 
 impl Control for Engines {
     async fn report(&self, _: SocketAddr, id: &TargetId) -> Result<EngineReport, ControlError> {
-        let silent = self.with(id.as_str(), |e| {
+        let unresponsive = self.with(id.as_str(), |e| {
             e.reports += 1;
-            e.silent
+            e.unresponsive
         });
-        if silent {
+        if unresponsive {
             return Err(self.unanswered().await);
         }
         tokio::time::sleep(CALL).await;
@@ -161,7 +161,7 @@
         let now = Instant::now();
         let lost = self.with(order.target.as_str(), |e| {
             e.ordered.push((order.version.0, now));
-            let lost = e.silent || e.loses > 0;
+            let lost = e.unresponsive || e.loses > 0;
             e.loses = e.loses.saturating_sub(1);
             lost
         });
@@ -190,7 +190,7 @@
     }
 }
 
-/// A box that holds the duty, and the engines of a fleet that serve version 1.
+/// A box that is the leader, and the engines of a fleet that serve version 1.
 struct Scene {
     engines: Engines,
     ids: Vec<String>,
@@ -198,7 +198,7 @@
     revision: u64,
     stopping: CancellationToken,
     platform: MemoryStore,
-    holder: tokio::task::JoinHandle<()>,
+    leader: tokio::task::JoinHandle<()>,
 }
 
 impl Drop for Scene {
@@ -212,7 +212,7 @@
         Self::on(MemoryStore::default(), count).await
     }
 
-    /// The same on a platform that other boxes have used.
+    /// Creates the scene on a platform store that other boxes have used.
     async fn on(platform: MemoryStore, count: usize) -> Scene {
         let log = sillpin_telemetry::logs::discard();
         let engines = Engines::default();
@@ -230,11 +230,11 @@
             revision: 1,
             stopping: CancellationToken::new(),
             platform,
-            holder: tokio::spawn(async {}),
+            leader: tokio::spawn(async {}),
         };
         scene.list().await;
-        scene.holder = tokio::spawn(scene.rollout(log).run());
-        // The duty is taken and nothing is left to do.
+        scene.leader = tokio::spawn(scene.rollout(log).run());
+        // The box has become the leader and has nothing to do.
         tokio::time::sleep(Duration::from_millis(500)).await;
         scene
     }
@@ -293,39 +293,39 @@
         self.read(Topic::Targets, values).await;
     }
 
-    /// Names weights; when that was.
+    /// Requests weights as an operator. Returns when.
     async fn want(&mut self, version: u64) -> Instant {
-        let named = Instant::now();
+        let requested_at = Instant::now();
         let value = ("ops/weights/m".to_owned(), version.to_string());
         self.read(Topic::Operators, vec![value]).await;
-        named
+        requested_at
     }
 }
 
-/// Engines leave orders unanswered for a while and carry them out late or never. The holder waited 1.9 s after each
+/// Guards against a slow retry of orders that engines leave unanswered and carry out late or never: the leader waited 1.9 s after each
 /// such order and 1 s more before the next, so an engine that lost two of them served replaced weights for over 6 s.
 #[tokio::test(start_paused = true)]
-async fn an_unanswered_order_is_given_again_at_once() {
+async fn an_unanswered_order_is_repeated_immediately() {
     let mut scene = Scene::new(1).await;
     scene.engines.with("e00", |e| e.loses = 2);
-    let named = scene.want(2).await;
-    let took = scene.engines.all_serve(&scene.ids, 2, named).await;
+    let requested_at = scene.want(2).await;
+    let took = scene.engines.all_serve(&scene.ids, 2, requested_at).await;
     assert!(took < Duration::from_millis(2_700), "took {took:?}");
     let orders = scene.engines.with("e00", |e| e.ordered.len());
     assert_eq!(orders, 3);
 }
 
-/// While an order stays unanswered, operators name further weights. The holder went on with the replaced ones.
+/// Guards against repeating an unanswered order for replaced weights after operators have requested newer ones.
 #[tokio::test(start_paused = true)]
-async fn an_order_that_is_given_again_names_the_newest_weights() {
+async fn a_repeated_order_is_for_the_newest_weights() {
     let mut scene = Scene::new(1).await;
     scene.engines.with("e00", |e| e.loses = 1);
     scene.want(2).await;
     while scene.engines.with("e00", |e| e.ordered.is_empty()) {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    let named = scene.want(3).await;
-    let took = scene.engines.all_serve(&scene.ids, 3, named).await;
+    let requested_at = scene.want(3).await;
+    let took = scene.engines.all_serve(&scene.ids, 3, requested_at).await;
     assert!(took < Duration::from_millis(1_600), "took {took:?}");
     let versions: Vec<u64> = scene.engines.with("e00", |e| {
         e.ordered.iter().map(|(version, _)| *version).collect()
@@ -333,12 +333,12 @@
     assert_eq!(versions, [2, 3]);
 }
 
-/// An engine that took an order without answering is not ordered a second time.
+/// An engine that accepted an order without answering is not ordered a second time.
 #[tokio::test(start_paused = true)]
-async fn an_order_that_was_taken_late_is_left_to_end() {
+async fn an_order_that_was_accepted_late_is_not_repeated() {
     let mut scene = Scene::new(1).await;
     scene.engines.with("e00", |e| e.loses = 1);
-    let named = scene.want(2).await;
+    let requested_at = scene.want(2).await;
     while scene.engines.with("e00", |e| e.ordered.is_empty()) {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -346,58 +346,59 @@
         e.orders_taken += 1;
         e.loading = Some((2, Instant::now() + LOAD));
     });
-    scene.engines.all_serve(&scene.ids, 2, named).await;
+    scene.engines.all_serve(&scene.ids, 2, requested_at).await;
     tokio::time::sleep(Duration::from_secs(3)).await;
     assert_eq!(scene.engines.with("e00", |e| e.ordered.len()), 1);
 }
 
-/// Half of the engines are silent for seconds. They came first at each try and took places among the engines that load,
-/// 0.85 s each time, while the others waited.
+/// Guards against load slots blocked by unresponsive engines: half of the engines did not answer for seconds, came first at each
+/// attempt and occupied the slots for 0.85 s each time, while the others waited.
 #[tokio::test(start_paused = true)]
-async fn silent_engines_do_not_hold_up_the_others() {
+async fn unresponsive_engines_do_not_delay_the_others() {
     let mut scene = Scene::new(18).await;
     let ids = scene.ids.clone();
-    let (silent, others) = ids.split_at(9);
-    for id in silent {
-        scene.engines.with(id, |e| e.silent = true);
+    let (unresponsive, others) = ids.split_at(9);
+    for id in unresponsive {
+        scene.engines.with(id, |e| e.unresponsive = true);
     }
-    let named = scene.want(2).await;
-    let took = scene.engines.all_serve(others, 2, named).await;
+    let requested_at = scene.want(2).await;
+    let took = scene.engines.all_serve(others, 2, requested_at).await;
     assert!(took < Duration::from_millis(4_500), "took {took:?}");
-    for id in silent {
-        scene.engines.with(id, |e| e.silent = false);
+    for id in unresponsive {
+        scene.engines.with(id, |e| e.unresponsive = false);
     }
     let back = Instant::now();
-    let took = scene.engines.all_serve(silent, 2, back).await;
+    let took = scene.engines.all_serve(unresponsive, 2, back).await;
     assert!(took < Duration::from_millis(4_500), "took {took:?}");
 }
 
-/// Nine engines load three at a time. The holder looked at each when it could not be done yet and then only 0.25 s
-/// later, so that places stood empty.
+/// Guards against idle load slots: nine engines load three at a time, and the leader polled each one before its load could be complete
+/// and then only 0.25 s later.
 #[tokio::test(start_paused = true)]
-async fn a_place_is_given_on_soon_after_a_load_has_ended() {
+async fn a_slot_is_reused_soon_after_a_load_has_ended() {
     let mut scene = Scene::new(9).await;
-    let named = scene.want(2).await;
-    let took = scene.engines.all_serve(&scene.ids, 2, named).await;
+    let requested_at = scene.want(2).await;
+    let took = scene.engines.all_serve(&scene.ids, 2, requested_at).await;
     assert!(took < Duration::from_millis(3_650), "took {took:?}");
     let reports = |id: &String| scene.engines.with(id, |e| e.reports);
     let reports: u32 = scene.ids.iter().map(reports).sum();
     assert!(reports <= 3 * 9, "{reports} reports");
 }
 
-/// All boxes lost power 5 s after version 2 was named, while no engine could be ordered. Those that started read that version 2 was wanted, not since
-/// when, and used version 1 for as long as if it had been named at their start.
+/// Guards against losing the time at which weights were requested: all boxes lost power 5 s after version 2 was requested, while no
+/// engine could be ordered. The boxes read the version again but not its age, and used version 1 for as long as if version 2 had been
+/// requested at their start.
 #[tokio::test(start_paused = true)]
-async fn when_weights_were_named_outlives_the_loss_of_all_boxes() {
+async fn the_time_of_a_request_for_weights_survives_the_loss_of_all_boxes() {
     let platform = MemoryStore::default();
     let mut before = Scene::on(platform.clone(), 3).await;
     for id in before.ids.clone() {
-        before.engines.with(&id, |e| e.silent = true);
+        before.engines.with(&id, |e| e.unresponsive = true);
     }
     before.want(1).await;
-    let named = before.want(2).await;
+    let requested_at = before.want(2).await;
     tokio::time::sleep(Duration::from_secs(5)).await;
-    before.holder.abort();
+    before.leader.abort();
     let mut after = Scene::on(platform, 3).await;
     after.want(2).await;
     let known_for = |scene: &Scene| {
@@ -410,8 +411,8 @@
         known_for(&after) < Some(Duration::from_secs(1)),
         "just read"
     );
-    // The lease of the holder lapses after 1.4 s.
+    // The lease of the leader expires after 1.4 s.
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let short_by = named.elapsed() - known_for(&after).unwrap();
+    let short_by = requested_at.elapsed() - known_for(&after).unwrap();
     assert!(short_by < Duration::from_secs(3), "short by {short_by:?}");
 }
