--- a/crates/sillpin-gateway/src/beliefs/reader.rs
+++ b/crates/sillpin-gateway/src/beliefs/reader.rs
@@ -80,7 +80,7 @@
     /// What is on its way to this box.
     pub transfers: Transfers,
     /// How long to wait for a change where another box reads for the zone.
-    pub hold: Duration,
+    pub long_poll: Duration,
     /// Whether the hub of a large zone is heard.
     pub loads: Loads,
     /// News for the zone.
@@ -250,7 +250,7 @@
         let is_confirmed = self.fleet.view().known(self.topic).confirmed.is_some();
         let wait = match turn {
             _ if !is_confirmed => FIRST_WAIT,
-            Turn::Holds => self.hold,
+            Turn::Holds => self.long_poll,
             Turn::Reads | Turn::Rests => WATCH_WAIT,
         };
         let mut under_way = None;
--- a/crates/sillpin-gateway/src/weights/election.rs
+++ b/crates/sillpin-gateway/src/weights/election.rs
@@ -161,7 +161,7 @@
     pub min_order_gap: Duration,
     /// Maximum time of one watch of the key by a box that is not the leader. Each watch costs a call, and another one to read the
     /// key after a watch without changes.
-    pub hold: Duration,
+    pub long_poll: Duration,
     /// Clock that includes suspended time, in which a lease may have expired.
     pub awake: Awake,
     /// Logger.
@@ -296,7 +296,7 @@
     async fn wait_until_free(&self, since: KvRevision) -> Result<(), PlatformError> {
         let mut after = since;
         loop {
-            let reply = self.platform.watch(LEADER_KEY, after, self.hold).await?;
+            let reply = self.platform.watch(LEADER_KEY, after, self.long_poll).await?;
             let is_leader_key = |key: &str| key == LEADER_KEY;
             let latest = reply.changed.iter().rfind(|entry| is_leader_key(&entry.key));
             after = reply.revision;
--- a/crates/sillpin-gateway/tests/awake.rs
+++ b/crates/sillpin-gateway/tests/awake.rs
@@ -98,7 +98,7 @@
         platform: MemoryStore::default(),
         me: name("box-1"),
         min_order_gap: Duration::from_secs(3),
-        hold: Duration::from_secs(25),
+        long_poll: Duration::from_secs(25),
         awake: awake.clone(),
         log: sillpin_telemetry::logs::discard(),
     };
--- a/crates/sillpin-gateway/tests/election.rs
+++ b/crates/sillpin-gateway/tests/election.rs
@@ -18,7 +18,7 @@
         platform: store.clone(),
         me: name(me),
         min_order_gap: MIN_ORDER_GAP,
-        hold: Duration::from_secs(25),
+        long_poll: Duration::from_secs(25),
         awake: Awake::manual(),
         log: sillpin_telemetry::logs::discard(),
     }
--- a/crates/sillpin-gateway/tests/rollout.rs
+++ b/crates/sillpin-gateway/tests/rollout.rs
@@ -254,7 +254,7 @@
                 platform: self.platform.clone(),
                 me: me.id.clone(),
                 min_order_gap: MIN_ORDER_GAP,
-                hold: Duration::from_secs(25),
+                long_poll: Duration::from_secs(25),
                 awake: Awake::manual(),
                 log: log.clone(),
             },
