--- a/crates/sillpin-gateway/src/cache_stores/directory.rs
+++ b/crates/sillpin-gateway/src/cache_stores/directory.rs
@@ -35,7 +35,7 @@
 struct StoreState {
     epoch: u64,
     next: u64,
-    whole: HashMap<KeptKey, Tokens>,
+    parts: HashMap<KeptKey, Tokens>,
     used: Tokens,
     last_confirmed: Option<Instant>,
     recent: Recent,
@@ -71,9 +71,9 @@
         let previous = match tokens {
             Some(tokens) => {
                 self.used += tokens;
-                self.whole.insert(key, tokens)
+                self.parts.insert(key, tokens)
             }
-            None => self.whole.remove(&key),
+            None => self.parts.remove(&key),
         };
         let previous = previous.unwrap_or_default();
         self.used = Tokens(self.used.0.saturating_sub(previous.0));
@@ -171,27 +171,27 @@
         &mut self,
         addr: SocketAddr,
         since: u64,
-        news: KeptNews,
+        update: KeptNews,
         requested_at: Instant,
         received_at: Instant,
     ) -> bool {
-        self.set_clock(news.clock, received_at);
-        self.record_epoch(addr, news.epoch, received_at);
+        self.set_clock(update.clock, received_at);
+        self.record_epoch(addr, update.epoch, received_at);
         let Some(state) = self.stores.get_mut(&addr) else {
             return false;
         };
-        if news.lost || news.epoch != state.epoch || since > state.next {
+        if update.lost || update.epoch != state.epoch || since > state.next {
             self.stores.remove(&addr);
             return false;
         }
-        for change in news.changes {
+        for change in update.changes {
             // An update from another box may have delivered it already.
             if change.number > state.next {
                 state.recent.push(change.clone());
                 state.set(change.key, change.tokens);
             }
         }
-        state.next = state.next.max(news.next);
+        state.next = state.next.max(update.next);
         state.last_confirmed = state.last_confirmed.max(Some(requested_at));
         true
     }
@@ -272,11 +272,11 @@
         if !self.is_known(addr, now) {
             return false;
         }
-        let kept = self
+        let held = self
             .stores
             .get(&addr)
-            .and_then(|state| state.whole.get(key));
-        kept.is_some_and(|kept| *kept >= tokens)
+            .and_then(|state| state.parts.get(key));
+        held.is_some_and(|held| *held >= tokens)
     }
 
     /// Returns the number of tokens that complete parts occupy in a store.
@@ -326,9 +326,9 @@
     }
 
     /// Returns all complete parts of a store and their lengths.
-    pub fn whole(&self, addr: SocketAddr) -> Vec<(KeptKey, Tokens)> {
+    pub fn complete_parts(&self, addr: SocketAddr) -> Vec<(KeptKey, Tokens)> {
         let state = self.stores.get(&addr);
-        let parts = state.map(|state| state.whole.iter());
+        let parts = state.map(|state| state.parts.iter());
         let copy = |(key, tokens): (&KeptKey, &Tokens)| (key.clone(), *tokens);
         parts
             .map(|parts| parts.map(copy).collect())
--- a/crates/sillpin-gateway/src/cache_stores/fetch_shares.rs
+++ b/crates/sillpin-gateway/src/cache_stores/fetch_shares.rs
@@ -71,14 +71,14 @@
         *mean += SAMPLE_WEIGHT * (millis(excess) - *mean);
     }
 
-    /// Records that a prompt with a fetch took `excess` longer than prefill and transfer explain. `aim` is the latency objective for
+    /// Records that a prompt with a fetch took `excess` longer than prefill and transfer explain. `latency_objective` is the latency objective for
     /// its first event.
     pub fn record_fetch(
         &mut self,
         store: SocketAddr,
         prompt: Tokens,
         excess: Duration,
-        aim: Duration,
+        latency_objective: Duration,
         now: Instant,
     ) {
         let similar = self.prefill_excess_ms.get(&length_class(prompt));
@@ -90,7 +90,7 @@
         });
         link.share = link.share_at(now);
         link.at = now;
-        let excess_ratio = extra_ms / millis(aim).max(1.0);
+        let excess_ratio = extra_ms / millis(latency_objective).max(1.0);
         link.excess_ratio += SAMPLE_WEIGHT * (excess_ratio - link.excess_ratio);
         if link.excess_ratio > LATE_FRACTION {
             link.share = (link.share * DECREASE_FACTOR).max(MIN_SHARE);
--- a/crates/sillpin-gateway/src/cache_stores/homes.rs
+++ b/crates/sillpin-gateway/src/cache_stores/homes.rs
@@ -71,9 +71,9 @@
 }
 
 /// Weighted rendezvous hashing: the largest rank wins, and each store wins in proportion to its capacity.
-fn weighted_rank(store: &PoolId, part: &PartId, room: Tokens) -> f64 {
+fn weighted_rank(store: &PoolId, part: &PartId, capacity: Tokens) -> f64 {
     let hash = hash_pair(store.as_str(), &part.0);
-    room.0.max(1) as f64 / -to_unit_interval(hash).ln()
+    capacity.0.max(1) as f64 / -to_unit_interval(hash).ln()
 }
 
 /// Maps a hash to a number in the open interval (0, 1).
--- a/crates/sillpin-gateway/src/cache_stores/reader.rs
+++ b/crates/sillpin-gateway/src/cache_stores/reader.rs
@@ -159,9 +159,9 @@
 impl<C: Control> Readers<C> {
     /// Starts to track stores that the configuration names anew, and drops those that it no longer names.
     fn track(&self, tracked: &mut HashMap<SocketAddr, TrackedStore>, stores: &[StoreSpec]) {
-        let named: HashSet<SocketAddr> = stores.iter().map(|store| store.addr).collect();
+        let configured: HashSet<SocketAddr> = stores.iter().map(|store| store.addr).collect();
         tracked.retain(|addr, store| {
-            if named.contains(addr) {
+            if configured.contains(addr) {
                 return true;
             }
             if let Some(reader) = &store.reader {
@@ -170,7 +170,7 @@
             self.kept.lock().forget(*addr);
             false
         });
-        for addr in named {
+        for addr in configured {
             tracked.entry(addr).or_insert_with(|| {
                 self.kept.lock().track(addr, Instant::now());
                 TrackedStore {
@@ -346,7 +346,7 @@
             .await?;
         let (epoch, lost) = (news.epoch, news.lost);
         if !lost && self.should_send(&news) {
-            let word = KeptWord {
+            let update = KeptWord {
                 addr: self.addr,
                 since: position.next,
                 epoch,
@@ -355,7 +355,7 @@
                 changes: news.changes.clone(),
             };
             // Boxes that miss it detect the gap from a digest.
-            let _ = self.news.try_send(News::Kept(word));
+            let _ = self.news.try_send(News::Kept(update));
         }
         if !self
             .kept
--- a/crates/sillpin-gateway/src/cache_stores/reclaimer.rs
+++ b/crates/sillpin-gateway/src/cache_stores/reclaimer.rs
@@ -99,7 +99,7 @@
         if !self.kept.retirements().has_any() {
             return Vec::new();
         }
-        let whole = self.kept.lock().whole(store.addr);
+        let parts = self.kept.lock().parts(store.addr);
         let retirements = self.kept.retirements();
         // Cached by salt: a store holds thousands of parts under a few salts.
         let mut shares: HashMap<Salt, f64> = HashMap::new();
@@ -108,7 +108,7 @@
             Err(_) => 0.0,
         };
         let mut unused = Vec::new();
-        for (key, _) in whole {
+        for (key, _) in parts {
             let share = match shares.get(&key.salt) {
                 Some(share) => *share,
                 None => {
--- a/crates/sillpin-gateway/src/cache_stores/retire.rs
+++ b/crates/sillpin-gateway/src/cache_stores/retire.rs
@@ -261,7 +261,7 @@
     }
 }
 
-/// Returns, for each version older than the wanted one, the share of the model's engines whose entries
+/// Returns, for each version older than the desired one, the share of the model's engines whose entries
 /// list newer weights.
 fn replaced_shares(view: &View) -> Vec<(Weights, f64)> {
     let mut shares = Vec::new();
--- a/crates/sillpin-gateway/src/fatal/crash_detector.rs
+++ b/crates/sillpin-gateway/src/fatal/crash_detector.rs
@@ -77,8 +77,8 @@
 
     /// Checks whether an unreachable target crashed, if this box recently abandoned an attempt there.
     pub fn unreachable(&self, target: &Arc<TargetEntry>) {
-        let life = LifeHash::of(target);
-        if self.fatal.record().has_abandoned(life, Instant::now()) {
+        let incarnation = LifeHash::of(target);
+        if self.fatal.record().has_abandoned(incarnation, Instant::now()) {
             self.start_check(target, None);
         }
     }
@@ -95,14 +95,14 @@
     }
 
     async fn check(self, target: Arc<TargetEntry>) {
-        let (began, life) = (Instant::now(), LifeHash::of(&target));
+        let (began, incarnation) = (Instant::now(), LifeHash::of(&target));
         let crashed = self.has_crashed(&target).await;
-        let requests = self.pending().remove(&life).unwrap_or_default();
+        let requests = self.pending().remove(&incarnation).unwrap_or_default();
         if !crashed {
             return;
         }
         let fingerprints = requests.iter().map(|broken| broken.fingerprint);
-        self.fatal.record_crash(life, fingerprints, began);
+        self.fatal.record_crash(incarnation, fingerprints, began);
         for broken in requests {
             event!(self.log, events::TARGET_ENDED, "request" => broken.id,
                 "print" => broken.fingerprint.to_string(), "target" => target.id.as_str(),
--- a/crates/sillpin-gateway/src/fatal/mod.rs
+++ b/crates/sillpin-gateway/src/fatal/mod.rs
@@ -52,11 +52,11 @@
     /// Records that a target crashed at `at` while it ran requests of this box.
     pub fn record_crash(
         &self,
-        life: LifeHash,
+        incarnation: LifeHash,
         under: impl IntoIterator<Item = RequestFingerprint>,
         at: Instant,
     ) {
-        let fatal = self.record().record_crash(life, under, at, Instant::now());
+        let fatal = self.record().record_crash(incarnation, under, at, Instant::now());
         self.observed.notify_waiters();
         self.log_fatal(&fatal, "this box");
     }
@@ -76,11 +76,11 @@
     }
 
     /// Tracks an attempt that is about to be sent to a target. It counts as abandoned there unless [`AttemptGuard::end`] is called.
-    pub fn sent(&self, fingerprint: RequestFingerprint, life: LifeHash) -> AttemptGuard<'_> {
+    pub fn sent(&self, fingerprint: RequestFingerprint, incarnation: LifeHash) -> AttemptGuard<'_> {
         AttemptGuard {
             fatal: self,
             fingerprint,
-            life,
+            incarnation,
             abandoned: true,
         }
     }
@@ -97,7 +97,7 @@
 pub struct AttemptGuard<'a> {
     fatal: &'a FatalRequests,
     fingerprint: RequestFingerprint,
-    life: LifeHash,
+    incarnation: LifeHash,
     abandoned: bool,
 }
 
@@ -112,7 +112,7 @@
     fn drop(&mut self) {
         if self.abandoned {
             let mut record = self.fatal.record();
-            record.abandoned(self.fingerprint, self.life, Instant::now());
+            record.record_abandoned(self.fingerprint, self.incarnation, Instant::now());
         }
     }
 }
--- a/crates/sillpin-gateway/src/fatal/persist.rs
+++ b/crates/sillpin-gateway/src/fatal/persist.rs
@@ -27,7 +27,7 @@
 /// Maximum number of requests that are persisted: some 10 KB.
 const MAX_PERSISTED: usize = 64;
 
-/// Delay before a box that has started reads the key again: a stale read, at a tenth of the price, may be seconds old.
+/// Delay before a box that has started reads the key again: a stale read, at a tenth of the cost, may be seconds old.
 const SECOND_READ_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Number of reads by a box that has started.
@@ -76,13 +76,13 @@
             let mut views = self.fleet.subscribe();
             let mut era = StoreEra::default();
             loop {
-                let found = history.observed.notified();
+                let changed = history.observed.notified();
                 if self.has_unwritten(&written) {
                     self.write(&mut written).await;
                     continue;
                 }
                 tokio::select! {
-                    () = found => {}
+                    () = changed => {}
                     // The backup may be older than the last write.
                     () = era_advanced(&mut views, &mut era) => written.clear(),
                 }
@@ -156,11 +156,11 @@
             ended: report
                 .ended
                 .iter()
-                .map(|(life, age)| (*life, now.saturating_sub(u64::from(*age))))
+                .map(|(incarnation, age)| (*incarnation, now.saturating_sub(u64::from(*age))))
                 .collect(),
         };
-        let kept: Vec<KeptRequest> = reports.iter().map(persisted).collect();
-        let text = serde_json::to_string(&kept).unwrap_or_default();
+        let persisted_requests: Vec<KeptRequest> = reports.iter().map(persisted).collect();
+        let text = serde_json::to_string(&persisted_requests).unwrap_or_default();
         let expect = entry.map_or(KvRevision::ABSENT, |entry| entry.revision);
         self.platform.put(FATAL_KEY, &text, expect, None).await?;
         Ok(reports)
@@ -168,8 +168,8 @@
 
     fn parse(&self, entry: &KvEntry) -> Vec<CrashReport> {
         let text = entry.value.as_deref().unwrap_or_default();
-        let kept: Vec<KeptRequest> = match serde_json::from_str(text) {
-            Ok(kept) => kept,
+        let persisted_requests: Vec<KeptRequest> = match serde_json::from_str(text) {
+            Ok(persisted_requests) => persisted_requests,
             Err(e) => {
                 event!(self.log, events::VALUE_UNREADABLE, "key" => FATAL_KEY, "why" => e.to_string());
                 Vec::new()
@@ -177,16 +177,16 @@
         };
         let now = unix_ms();
         let age = |at: u64| u32::try_from(now.saturating_sub(at)).unwrap_or(u32::MAX);
-        let report = |kept: KeptRequest| CrashReport {
-            fingerprint: kept.print,
-            crashes: kept
+        let report = |persisted: KeptRequest| CrashReport {
+            fingerprint: persisted.print,
+            crashes: persisted
                 .ended
                 .iter()
-                .map(|(life, at)| (*life, age(*at)))
+                .map(|(incarnation, at)| (*incarnation, age(*at)))
                 .collect(),
             served: None,
         };
-        kept.into_iter().map(report).collect()
+        persisted_requests.into_iter().map(report).collect()
     }
 
     async fn back_off(&self, e: &PlatformError, backoff: &mut Duration) {
--- a/crates/sillpin-gateway/src/fatal/record.rs
+++ b/crates/sillpin-gateway/src/fatal/record.rs
@@ -100,7 +100,7 @@
         let crashes = self.crashes.iter();
         crashes
             .filter(|(_, at)| !self.is_cleared(**at))
-            .map(|(life, _)| life)
+            .map(|(incarnation, _)| incarnation)
     }
 
     fn crash_count(&self) -> usize {
@@ -121,15 +121,15 @@
     }
 
     /// Records a crash, and returns whether it is new. Of two times for one crash the earlier is kept, as the more accurate one.
-    fn add(&mut self, life: LifeHash, at: Instant) -> bool {
-        if let Some(known) = self.crashes.get_mut(&life) {
+    fn add(&mut self, incarnation: LifeHash, at: Instant) -> bool {
+        if let Some(known) = self.crashes.get_mut(&incarnation) {
             *known = at.min(*known);
             return false;
         }
         if self.crashes.len() >= MAX_CRASHES && !self.evict_cleared(at) {
             return false;
         }
-        self.crashes.insert(life, at);
+        self.crashes.insert(incarnation, at);
         true
     }
 
@@ -139,8 +139,8 @@
             return false;
         }
         let cleared = self.crashes.iter().filter(|(_, at)| self.is_cleared(**at));
-        let oldest = cleared.min_by_key(|(_, at)| **at).map(|(life, _)| *life);
-        oldest.is_some_and(|life| self.crashes.remove(&life).is_some())
+        let oldest = cleared.min_by_key(|(_, at)| **at).map(|(incarnation, _)| *incarnation);
+        oldest.is_some_and(|incarnation| self.crashes.remove(&incarnation).is_some())
     }
 
     fn report(&self, fingerprint: RequestFingerprint, now: Instant) -> CrashReport {
@@ -153,7 +153,7 @@
             crashes: self
                 .crashes
                 .iter()
-                .map(|(life, at)| (*life, age(*at)))
+                .map(|(incarnation, at)| (*incarnation, age(*at)))
                 .collect(),
             served: self.served.map(age),
         }
@@ -164,7 +164,7 @@
 #[derive(Debug)]
 struct AbandonedAttempt {
     fingerprint: RequestFingerprint,
-    life: LifeHash,
+    incarnation: LifeHash,
     at: Instant,
 }
 
@@ -182,16 +182,16 @@
     /// Records that a target crashed at `at` while it ran requests of this box. Returns those that are refused from now on.
     pub fn record_crash(
         &mut self,
-        life: LifeHash,
+        incarnation: LifeHash,
         under: impl IntoIterator<Item = RequestFingerprint>,
         at: Instant,
         now: Instant,
     ) -> Vec<RequestFingerprint> {
-        let mut fingerprints = self.take_abandoned(life, at);
+        let mut fingerprints = self.take_abandoned(incarnation, at);
         fingerprints.extend(under);
         fingerprints.sort_unstable();
         fingerprints.dedup();
-        fingerprints.retain(|fingerprint| self.add_crash(*fingerprint, life, at, now));
+        fingerprints.retain(|fingerprint| self.add_crash(*fingerprint, incarnation, at, now));
         self.enforce_limit(now);
         fingerprints.retain(|fingerprint| self.refused_until(*fingerprint, now).is_some());
         fingerprints
@@ -199,8 +199,8 @@
 
     /// Removes the attempts that this box abandoned at a target, and returns the requests of those abandoned shortly before it
     /// crashed.
-    fn take_abandoned(&mut self, life: LifeHash, crashed_at: Instant) -> Vec<RequestFingerprint> {
-        let is_at_target = |attempt: &AbandonedAttempt| attempt.life == life;
+    fn take_abandoned(&mut self, incarnation: LifeHash, crashed_at: Instant) -> Vec<RequestFingerprint> {
+        let is_at_target = |attempt: &AbandonedAttempt| attempt.incarnation == incarnation;
         let is_recent = |attempt: &&AbandonedAttempt| crashed_at.saturating_duration_since(attempt.at) < ABANDONED_TIME;
         let recent = self.abandoned.iter().filter(|attempt| is_at_target(attempt)).filter(is_recent);
         let fingerprints = recent.map(|attempt| attempt.fingerprint).collect();
@@ -208,10 +208,10 @@
         fingerprints
     }
 
-    fn add_crash(&mut self, fingerprint: RequestFingerprint, life: LifeHash, at: Instant, now: Instant) -> bool {
+    fn add_crash(&mut self, fingerprint: RequestFingerprint, incarnation: LifeHash, at: Instant, now: Instant) -> bool {
         let suspect = self.suspects.entry(fingerprint);
         let suspect = suspect.or_insert_with(|| Suspect::new(now));
-        let is_new = suspect.add(life, at);
+        let is_new = suspect.add(incarnation, at);
         if is_new {
             suspect.changed = now;
             suspect.observed = Some(now);
@@ -220,20 +220,20 @@
     }
 
     /// Records that this box abandoned an attempt before the response: its target may still run it.
-    pub fn abandoned(&mut self, fingerprint: RequestFingerprint, life: LifeHash, now: Instant) {
+    pub fn record_abandoned(&mut self, fingerprint: RequestFingerprint, incarnation: LifeHash, now: Instant) {
         if self.abandoned.len() >= MAX_ABANDONED {
             self.abandoned.pop_front();
         }
         let at = now;
-        self.abandoned.push_back(AbandonedAttempt { fingerprint, life, at });
+        self.abandoned.push_back(AbandonedAttempt { fingerprint, incarnation, at });
     }
 
     /// Returns whether this box recently abandoned an attempt at a target.
-    pub fn has_abandoned(&self, life: LifeHash, now: Instant) -> bool {
+    pub fn has_abandoned(&self, incarnation: LifeHash, now: Instant) -> bool {
         let is_recent = |attempt: &AbandonedAttempt| now.saturating_duration_since(attempt.at) < ABANDONED_TIME;
         self.abandoned
             .iter()
-            .any(|attempt| attempt.life == life && is_recent(attempt))
+            .any(|attempt| attempt.incarnation == incarnation && is_recent(attempt))
     }
 
     /// Records that a request was served, which clears it of all earlier crashes.
@@ -252,20 +252,20 @@
         if count < FATAL_CRASHES {
             return None;
         }
-        let has_other_cause = |life: &LifeHash| {
+        let has_other_cause = |incarnation: &LifeHash| {
             let others = self.suspects.iter().filter(|(other, _)| **other != fingerprint);
-            let mut there = others.filter(|(_, other)| other.crashes.contains_key(life));
+            let mut there = others.filter(|(_, other)| other.crashes.contains_key(incarnation));
             there.any(|(_, other)| explains(other.crash_count(), count))
         };
-        let is_unexplained = |life: &&LifeHash| !has_other_cause(life) && !self.is_mass_crash(suspect, life);
+        let is_unexplained = |incarnation: &&LifeHash| !has_other_cause(incarnation) && !self.is_mass_crash(suspect, incarnation);
         let unexplained = suspect.counted_crashes().filter(is_unexplained).count();
         let until = suspect.last_crash()? + FATAL_RETENTION;
         (unexplained >= FATAL_CRASHES && now < until).then_some(until)
     }
 
     /// Returns whether a target crashed together with others that did not run the request.
-    fn is_mass_crash(&self, suspect: &Suspect, life: &LifeHash) -> bool {
-        let Some(at) = suspect.crashes.get(life) else {
+    fn is_mass_crash(&self, suspect: &Suspect, incarnation: &LifeHash) -> bool {
+        let Some(at) = suspect.crashes.get(incarnation) else {
             return false;
         };
         let is_near = |other: &Instant| {
@@ -273,11 +273,11 @@
                 && at.saturating_duration_since(*other) < SAME_TIME
         };
         let crashes = self.suspects.values().flat_map(|other| &other.crashes);
-        let beside: BTreeSet<&LifeHash> = crashes
+        let others_crashed: BTreeSet<&LifeHash> = crashes
             .filter(|(other, at)| is_near(at) && !suspect.crashes.contains_key(*other))
             .map(|(other, _)| other)
             .collect();
-        beside.len() >= MASS_CRASH
+        others_crashed.len() >= MASS_CRASH
     }
 
     /// Returns the number of crashes that count for a request.
@@ -288,11 +288,11 @@
     /// Applies reports from another box or from the platform store. Returns the requests that are refused from now on.
     pub fn apply_update(&mut self, reports: &[CrashReport], now: Instant) -> Vec<RequestFingerprint> {
         let mut fatal = Vec::new();
-        for (life, age) in reports.iter().flat_map(|report| &report.crashes) {
+        for (incarnation, age) in reports.iter().flat_map(|report| &report.crashes) {
             let crashed_at = now.checked_sub(Duration::from_millis(u64::from(*age)));
             if let Some(crashed_at) = crashed_at.filter(|_| !self.abandoned.is_empty()) {
-                for fingerprint in self.take_abandoned(*life, crashed_at) {
-                    self.add_crash(fingerprint, *life, crashed_at, now);
+                for fingerprint in self.take_abandoned(*incarnation, crashed_at) {
+                    self.add_crash(fingerprint, *incarnation, crashed_at, now);
                 }
             }
         }
@@ -316,8 +316,8 @@
         // Boxes compute slightly different times for the same event.
         let mut is_new = served > suspect.served.map(|at| at + RECENT);
         suspect.served = suspect.served.max(served);
-        for (life, age) in &report.crashes {
-            is_new |= time_before(*age).is_some_and(|at| suspect.add(*life, at));
+        for (incarnation, age) in &report.crashes {
+            is_new |= time_before(*age).is_some_and(|at| suspect.add(*incarnation, at));
         }
         if is_new {
             suspect.changed = now;
@@ -372,10 +372,10 @@
         takes: impl Fn(usize) -> bool,
     ) -> Vec<RequestFingerprint> {
         let begin = after.map_or(Bound::Unbounded, Bound::Excluded);
-        let behind = self.suspects.range((begin, Bound::Unbounded));
+        let following = self.suspects.range((begin, Bound::Unbounded));
         let taken =
             |(fingerprint, suspect): (&RequestFingerprint, &Suspect)| takes(suspect.crash_count()).then_some(*fingerprint);
-        behind
+        following
             .chain(self.suspects.iter())
             .filter_map(taken)
             .take(max)
@@ -385,11 +385,11 @@
     /// Returns at most `max` requests with at least `min_crashes` crashes, for persistence: most crashes first, then newest first.
     pub fn to_persist(&self, min_crashes: usize, max: usize, now: Instant) -> Vec<CrashReport> {
         let enough = |(_, suspect): &(&RequestFingerprint, &Suspect)| suspect.crash_count() >= min_crashes;
-        let mut kept: Vec<_> = self.suspects.iter().filter(enough).collect();
-        kept.sort_by_key(|(_, suspect)| std::cmp::Reverse((suspect.crash_count(), suspect.changed)));
-        kept.truncate(max);
+        let mut selected: Vec<_> = self.suspects.iter().filter(enough).collect();
+        selected.sort_by_key(|(_, suspect)| std::cmp::Reverse((suspect.crash_count(), suspect.changed)));
+        selected.truncate(max);
         let report = |(fingerprint, suspect): (&RequestFingerprint, &Suspect)| suspect.report(*fingerprint, now);
-        kept.into_iter().map(report).collect()
+        selected.into_iter().map(report).collect()
     }
 
     /// Returns whether this box itself observed the last change of a request.
--- a/crates/sillpin-gateway/src/weights/election.rs
+++ b/crates/sillpin-gateway/src/weights/election.rs
@@ -18,7 +18,7 @@
 pub const ORDERED_KEY: &str = "sillpin/weights-ordered";
 
 /// Time to live of the leader's lease. Short, since the failure of a leader delays a change of weights by
-/// this long; three renewals fit in, each at a tenth of a call's price.
+/// this long; three renewals fit in, each at a tenth of a call's cost.
 const LEASE_TTL: Duration = Duration::from_millis(1_400);
 
 /// Time between two renewals.
@@ -53,7 +53,7 @@
     /// Era of the store whose orders the record covers until `record_lost_until`.
     recorded_era: StoreEra,
     /// When operators requested weights, for the record; initially as the previous leader wrote it.
-    pub named: Vec<NamedAge>,
+    pub version_ages: Vec<NamedAge>,
     /// Revision of the record of orders.
     record: KvRevision,
     /// When the record was last written.
@@ -186,7 +186,7 @@
         let revision = put.await?;
         let (ordered, record) = self.take_record().await?;
         let now = Instant::now();
-        let named = ordered.named.clone();
+        let version_ages = ordered.named.clone();
         let recorded_era = ordered.era;
         let record_lost = recorded_era != revision.era();
         let record_lost_until = record_lost.then(|| now + self.order_hold_off());
@@ -203,7 +203,7 @@
             own_orders: HashMap::new(),
             record_lost_until,
             recorded_era,
-            named,
+            version_ages,
             record,
             recorded: now,
         };
@@ -270,7 +270,7 @@
         leadership.own_orders.retain(|_, own_orders| own_orders.age(now).is_some_and(recent));
         leadership.others_until.retain(|_, until| now < *until);
         let mut ordered = Ordered {
-            named: leadership.named.clone(),
+            named: leadership.version_ages.clone(),
             era: leadership.era(now),
             ..Ordered::default()
         };
--- a/crates/sillpin-gateway/src/weights/load.rs
+++ b/crates/sillpin-gateway/src/weights/load.rs
@@ -39,7 +39,7 @@
     /// The engine.
     pub target: TargetId,
     /// The incarnation of the engine in its last report.
-    pub life: Option<Life>,
+    pub incarnation: Option<Life>,
     /// The model.
     pub model: ModelId,
     /// The version that it serves now, if the load succeeded.
@@ -84,7 +84,7 @@
     /// State of the fleet, for weights that operators request meanwhile.
     pub fleet: FleetHandle,
     /// The leader's id, for the order.
-    pub holder: String,
+    pub leader: String,
     /// The leader's fencing token.
     pub fence: Fence,
     /// Its slot among the concurrent loads.
@@ -100,8 +100,8 @@
 /// Progress of a job.
 struct Progress {
     /// The incarnation of the engine in its last report.
-    life: Option<Life>,
-    /// The version to load: the one wanted at the last order.
+    incarnation: Option<Life>,
+    /// The version to load: the one desired at the last order.
     version: WeightVersion,
     /// Time after which the job fails.
     until: Instant,
@@ -133,7 +133,7 @@
     pub async fn run(self) -> LoadResult {
         tokio::time::sleep(ANNOUNCE_LEAD).await;
         let mut progress = Progress {
-            life: self.target.life,
+            incarnation: self.target.life,
             version: self.version,
             until: Instant::now() + LOAD_TIMEOUT,
             last_order: None,
@@ -143,7 +143,7 @@
         let done = self.load(&mut progress).await;
         LoadResult {
             target: self.target.id.clone(),
-            life: progress.life,
+            incarnation: progress.incarnation,
             model: self.model.clone(),
             version: done.then_some(progress.version),
             last_order: progress.last_order,
@@ -176,9 +176,9 @@
 
     /// Records the engine's incarnation; an engine that restarted has lost the order.
     fn record_incarnation(&self, progress: &mut Progress, report: Option<&EngineReport>) {
-        let life = report.and_then(|report| report.life).or(progress.life);
-        progress.accepted &= life == progress.life;
-        progress.life = life;
+        let incarnation = report.and_then(|report| report.life).or(progress.incarnation);
+        progress.accepted &= incarnation == progress.incarnation;
+        progress.incarnation = incarnation;
     }
 
     /// Sends an order unless the engine serves the weights or is busy with a load.
@@ -204,7 +204,7 @@
             target: self.target.id.clone(),
             model: self.model.clone(),
             version: progress.version,
-            holder: self.holder.clone(),
+            holder: self.leader.clone(),
             fence: self.fence,
             expected_orders: orders_taken,
         };
@@ -236,7 +236,7 @@
         }
     }
 
-    /// Returns the newest version that operators want, as known to this box.
+    /// Returns the newest desired version, as known to this box.
     fn wanted(&self) -> WeightVersion {
         let view = self.fleet.view();
         view.wanted
--- a/crates/sillpin-gateway/src/weights/rollout.rs
+++ b/crates/sillpin-gateway/src/weights/rollout.rs
@@ -170,7 +170,7 @@
 
     /// Orders engines until leadership is lost or resigned.
     async fn lead(&self, mut leadership: Leadership) {
-        self.apply_recorded_versions(&leadership.named).await;
+        self.apply_recorded_versions(&leadership.version_ages).await;
         let mut active = ActiveLoads::default();
         let mut scan = tokio::time::interval(SCAN_INTERVAL);
         let mut renew = tokio::time::interval(RENEW_INTERVAL);
@@ -216,9 +216,9 @@
     }
 
     /// Applies the times at which operators requested weights, as the previous leader recorded them.
-    async fn apply_recorded_versions(&self, named: &[NamedAge]) {
+    async fn apply_recorded_versions(&self, version_ages: &[NamedAge]) {
         let now = Instant::now();
-        for age in named {
+        for age in version_ages {
             let Some(named) = age.named(now) else {
                 continue;
             };
@@ -238,9 +238,9 @@
             active.cooldown.insert(result.target, until);
             return;
         };
-        let (target, life, model) = (result.target, result.life, result.model);
+        let (target, life, model) = (result.target, result.incarnation, result.model);
         self.loads.note_life(&target, life, Outcome::Loaded);
-        let news = LoadNews {
+        let update = LoadNews {
             target: target.clone(),
             life,
             model: model.clone(),
@@ -248,7 +248,7 @@
             done: true,
         };
         // Boxes that miss this update see the new version in the engine's entry.
-        let _ = self.news.try_send(news);
+        let _ = self.news.try_send(update);
         self.fleet
             .tell(FleetMsg::Serves {
                 target,
@@ -279,7 +279,7 @@
         if next.is_empty() && !is_due {
             return true;
         }
-        leadership.named = ages(&view.wanted, now);
+        leadership.version_ages = ages(&view.wanted, now);
         let ids: Vec<TargetId> = next.iter().map(|n| n.target.id.clone()).collect();
         if let Err(e) = self.election.record(leadership, &ids).await {
             event!(self.log, events::DUTY_LOST, "fence" => leadership.fence.0, "why" => e.to_string());
@@ -363,7 +363,7 @@
         } = outdated;
         self.loads
             .note_life(&target.id, target.life, Outcome::Loading);
-        let news = LoadNews {
+        let update = LoadNews {
             target: target.id.clone(),
             life: target.life,
             model: model.clone(),
@@ -371,7 +371,7 @@
             done: false,
         };
         // If a box misses this update, the engine refuses its requests and the box sends them elsewhere.
-        let _ = self.news.try_send(news);
+        let _ = self.news.try_send(update);
         let slot = LoadSlot::new(!active.unresponsive.contains(&target.id));
         active.targets.insert(target.id.clone(), slot.clone());
         let job = LoadJob {
@@ -380,7 +380,7 @@
             model,
             version,
             fleet: self.fleet.clone(),
-            holder: self.election.me.to_string(),
+            leader: self.election.me.to_string(),
             fence: leadership.fence,
             slot,
             until: until.clone(),
@@ -391,7 +391,7 @@
     }
 }
 
-/// An engine that serves older weights than operators want.
+/// An engine that serves older weights than the desired ones.
 struct Outdated {
     serves: WeightVersion,
     target: Arc<TargetEntry>,
@@ -399,13 +399,13 @@
     version: WeightVersion,
 }
 
-/// Returns the engines that serve older weights than operators want, oldest weights first.
+/// Returns the engines that serve older weights than the desired ones, oldest weights first.
 fn outdated(view: &View) -> Vec<Outdated> {
     let ready = view
         .targets
         .values()
         .filter(|t| t.presence == Presence::Ready);
-    let mut found = Vec::new();
+    let mut outdated = Vec::new();
     for target in ready {
         for (model, wanted) in view.wanted.iter() {
             let Some(serves) = served(target, model) else {
@@ -413,7 +413,7 @@
             };
             let newest = wanted.newest().version;
             if serves < newest {
-                found.push(Outdated {
+                outdated.push(Outdated {
                     serves,
                     target: target.clone(),
                     model: model.clone(),
@@ -423,6 +423,6 @@
         }
     }
     // Oldest weights first: each version has its own deadline to be replaced.
-    found.sort_by(|a, b| (a.serves, &a.target.id).cmp(&(b.serves, &b.target.id)));
-    found
+    outdated.sort_by(|a, b| (a.serves, &a.target.id).cmp(&(b.serves, &b.target.id)));
+    outdated
 }
--- a/crates/sillpin-gateway/tests/fatal.rs
+++ b/crates/sillpin-gateway/tests/fatal.rs
@@ -17,7 +17,7 @@
 const FATAL: RequestFingerprint = RequestFingerprint(1);
 const OTHER: RequestFingerprint = RequestFingerprint(2);
 
-fn life(number: usize) -> LifeHash {
+fn incarnation(number: usize) -> LifeHash {
     LifeHash::of(&TargetEntry {
         id: name(&format!("i-{number}")),
         ..engine("i", "za")
@@ -27,7 +27,7 @@
 /// Records that targets crashed under the fatal request alone.
 fn record_crashes(record: &mut CrashRecord, targets: impl IntoIterator<Item = usize>, now: Instant) {
     for number in targets {
-        record.record_crash(life(number), [FATAL], now, now);
+        record.record_crash(incarnation(number), [FATAL], now, now);
     }
 }
 
@@ -54,7 +54,7 @@
 async fn a_request_beside_a_fatal_one_is_not_refused() {
     let (mut record, now) = (CrashRecord::default(), Instant::now());
     for number in 0..3 {
-        record.record_crash(life(number), [FATAL, OTHER], now, now);
+        record.record_crash(incarnation(number), [FATAL, OTHER], now, now);
     }
     assert!(
         !is_refused(&record, OTHER, now) && !is_refused(&record, FATAL, now),
@@ -69,7 +69,7 @@
 async fn two_requests_that_always_run_together_are_refused_after_one_more_crash() {
     let (mut record, now) = (CrashRecord::default(), Instant::now());
     for number in 0..4 {
-        record.record_crash(life(number), [FATAL, OTHER], now, now);
+        record.record_crash(incarnation(number), [FATAL, OTHER], now, now);
     }
     assert!(is_refused(&record, OTHER, now) && is_refused(&record, FATAL, now));
 }
@@ -90,13 +90,13 @@
 async fn an_abandoned_attempt_counts_if_its_target_crashes_soon_after() {
     let (mut record, now) = (CrashRecord::default(), Instant::now());
     for number in 0..3 {
-        record.abandoned(FATAL, life(number), now);
-        record.abandoned(OTHER, life(number + 10), now);
-        record.record_crash(life(number), [RequestFingerprint(9 + number as u64)], now, now);
+        record.record_abandoned(FATAL, incarnation(number), now);
+        record.record_abandoned(OTHER, incarnation(number + 10), now);
+        record.record_crash(incarnation(number), [RequestFingerprint(9 + number as u64)], now, now);
     }
     let late = now + Duration::from_secs(3);
     for number in 10..13 {
-        record.record_crash(life(number), [RequestFingerprint(50)], late, late);
+        record.record_crash(incarnation(number), [RequestFingerprint(50)], late, late);
     }
     assert!(is_refused(&record, FATAL, now));
     assert!(!is_refused(&record, OTHER, late), "it was abandoned long before");
@@ -107,8 +107,8 @@
     let now = Instant::now();
     let (mut here, mut there) = (CrashRecord::default(), CrashRecord::default());
     for number in 0..3 {
-        here.abandoned(FATAL, life(number), now);
-        there.record_crash(life(number), [OTHER], now, now);
+        here.record_abandoned(FATAL, incarnation(number), now);
+        there.record_crash(incarnation(number), [OTHER], now, now);
     }
     here.apply_update(&there.updates_to_send(now), now);
     // Both requests have three crashes: the next one decides.
@@ -121,7 +121,7 @@
     let (mut record, now) = (CrashRecord::default(), Instant::now());
     record_crashes(&mut record, 0..3, now);
     for number in 0..3 * MAX_REQUESTS as u64 {
-        record.record_crash(life(100), [RequestFingerprint(10 + number)], now, now);
+        record.record_crash(incarnation(100), [RequestFingerprint(10 + number)], now, now);
     }
     assert!(record.len() <= MAX_REQUESTS, "{}", record.len());
     assert!(is_refused(&record, FATAL, now));
@@ -139,14 +139,14 @@
         for number in 0..3 {
             now += Duration::from_millis(100);
             record.record_crash(
-                life(fingerprint * 3 + number),
+                incarnation(fingerprint * 3 + number),
                 [RequestFingerprint(fingerprint as u64)],
                 now,
                 now,
             );
         }
     }
-    record.record_crash(life(999), (1_000..1_500).map(RequestFingerprint), now, now);
+    record.record_crash(incarnation(999), (1_000..1_500).map(RequestFingerprint), now, now);
     let later = now + Duration::from_secs(5);
     let mut new = CrashRecord::default();
     for _ in 0..8 {
@@ -172,7 +172,7 @@
             now += Duration::from_millis(5);
             match served {
                 true => boxes[at].served(RequestFingerprint(fingerprint), now),
-                false => drop(boxes[at].record_crash(life(target), [RequestFingerprint(fingerprint)], now, now)),
+                false => drop(boxes[at].record_crash(incarnation(target), [RequestFingerprint(fingerprint)], now, now)),
             }
         }
         let reports: Vec<Vec<CrashReport>> = boxes.iter_mut().map(|record| record.updates_to_send(now)).collect();
@@ -199,7 +199,7 @@
     record.served(FATAL, served);
     let detected = began + Duration::from_millis(500);
     for number in 2..5 {
-        record.record_crash(life(number), [FATAL], began, detected);
+        record.record_crash(incarnation(number), [FATAL], began, detected);
     }
     assert!(!is_refused(&record, FATAL, detected));
 }
@@ -230,9 +230,9 @@
         for number in 0..5 {
             let at = now + Duration::from_millis(10 * number as u64);
             let beside = RequestFingerprint((100 + 10 * wave + number) as u64);
-            record.record_crash(life(10 * wave + number), [beside], at, at);
+            record.record_crash(incarnation(10 * wave + number), [beside], at, at);
         }
-        record.record_crash(life(10 * wave), [OTHER], now, now);
+        record.record_crash(incarnation(10 * wave), [OTHER], now, now);
         now += Duration::from_millis(1_500);
     }
     assert!(!is_refused(&record, OTHER, now));
@@ -263,7 +263,7 @@
         let now = start + Duration::from_millis(at);
         if !is_refused(&record, fingerprint, now) {
             reached[fingerprint.0 as usize] += 1;
-            record.record_crash(life(number), [fingerprint], now, now);
+            record.record_crash(incarnation(number), [fingerprint], now, now);
         }
     }
     assert!(reached.iter().all(|reached| *reached <= 5), "{reached:?}");
--- a/crates/sillpin-gateway/tests/fatal_fleet.rs
+++ b/crates/sillpin-gateway/tests/fatal_fleet.rs
@@ -85,7 +85,7 @@
     }
 }
 
-fn life(number: usize) -> LifeHash {
+fn incarnation(number: usize) -> LifeHash {
     LifeHash::of(&TargetEntry {
         id: name(&format!("i-{number}")),
         ..engine("i", "za")
@@ -129,7 +129,7 @@
         let in_contact = !one.cut && step - one.began > steps(contact);
         let must_know = known.is_some_and(|known| step - known > steps(contact));
         late += usize::from(in_contact && must_know);
-        one.memory.record_crash(life(crashed), [FATAL], now, now);
+        one.memory.record_crash(incarnation(crashed), [FATAL], now, now);
         crashed += 1;
         if crashed == 3 {
             known = Some(step);
