--- a/crates/sillpin-gateway/src/cache_stores/directory.rs
+++ b/crates/sillpin-gateway/src/cache_stores/directory.rs
@@ -137,7 +137,10 @@
 
     /// Returns whether fetches sent to an earlier incarnation of a store may still run.
     fn restarted_recently(&self, addr: SocketAddr, now: Instant) -> bool {
-        let detected = self.incarnations.get(&addr).and_then(|incarnation| incarnation.detected);
+        let detected = self
+            .incarnations
+            .get(&addr)
+            .and_then(|incarnation| incarnation.detected);
         detected.is_some_and(|at| now - at < RESTART_HOLD_OFF)
     }
 
@@ -226,7 +229,9 @@
 
     /// Returns when the last call that confirmed the known content of a store was sent.
     pub fn last_confirmed(&self, addr: SocketAddr) -> Option<Instant> {
-        self.stores.get(&addr).and_then(|state| state.last_confirmed)
+        self.stores
+            .get(&addr)
+            .and_then(|state| state.last_confirmed)
     }
 
     /// Returns the stores whose content is known.
@@ -263,7 +268,10 @@
 
     /// Returns whether a store's content was confirmed recently enough to fetch and save.
     pub fn is_known(&self, addr: SocketAddr, now: Instant) -> bool {
-        let last_confirmed = self.stores.get(&addr).and_then(|state| state.last_confirmed);
+        let last_confirmed = self
+            .stores
+            .get(&addr)
+            .and_then(|state| state.last_confirmed);
         last_confirmed.is_some_and(|at| now - at < CONTENT_TTL)
     }
 
@@ -298,7 +306,8 @@
         if !may_save || self.holds(addr, key, tokens, now) {
             return false;
         }
-        self.recent_saves.retain(|_, at| now - *at < SAVE_RETRY_INTERVAL);
+        self.recent_saves
+            .retain(|_, at| now - *at < SAVE_RETRY_INTERVAL);
         match self.recent_saves.entry((addr, key.clone())) {
             Entry::Occupied(_) => false,
             Entry::Vacant(vacant) => {
--- a/crates/sillpin-gateway/src/cache_stores/fetch_shares.rs
+++ b/crates/sillpin-gateway/src/cache_stores/fetch_shares.rs
@@ -67,7 +67,10 @@
 
     /// Records that a prompt without a fetch took `excess` longer than its prefill explains.
     pub fn record_prefill(&mut self, prompt: Tokens, excess: Duration) {
-        let mean = self.prefill_excess_ms.entry(length_class(prompt)).or_insert(0.0);
+        let mean = self
+            .prefill_excess_ms
+            .entry(length_class(prompt))
+            .or_insert(0.0);
         *mean += SAMPLE_WEIGHT * (millis(excess) - *mean);
     }
 
--- a/crates/sillpin-gateway/src/cache_stores/mod.rs
+++ b/crates/sillpin-gateway/src/cache_stores/mod.rs
@@ -13,11 +13,11 @@
 //! - [`reclaimer`]: frees unused parts.
 
 pub mod directory;
-pub mod reclaimer;
-pub mod homes;
 pub mod fetch_shares;
+pub mod homes;
 pub mod reader;
+pub mod reclaimer;
 pub mod retire;
 pub mod salt;
 
-pub use directory::{Directory, CacheStores};
+pub use directory::{CacheStores, Directory};
--- a/crates/sillpin-gateway/src/cache_stores/reader.rs
+++ b/crates/sillpin-gateway/src/cache_stores/reader.rs
@@ -2,9 +2,9 @@
 
 use super::CacheStores;
 use crate::beliefs::{BoxEntry, FleetHandle, View};
+use crate::cache_stores::directory::Position;
 use crate::config::{FleetConfig, StoreSpec};
 use crate::control::{Control, ControlError, KeptList, KeptNews};
-use crate::cache_stores::directory::Position;
 use crate::peers::datagram::{KeptListing, KeptWord, MAX_CHANGES, News};
 use crate::peers::roles::{Role, SMALL_FLEET};
 use crate::place::Loads;
@@ -126,7 +126,8 @@
     loop {
         let listings = || tracked.values().map(|store| store.listing);
         let listing = listings().filter_map(Listing::at).min();
-        let is_starting = config.is_none() || listings().any(|listing| listing == Listing::Unscheduled);
+        let is_starting =
+            config.is_none() || listings().any(|listing| listing == Listing::Unscheduled);
         tokio::select! {
             _ = check.tick() => {}
             // After the start nothing can be fetched before the stores' content is known, so act on each new view.
@@ -205,7 +206,11 @@
             // one is lost.
             let last_confirmed = last_confirmed.or(large.then_some(store.since));
             let alive = |id: &BoxId| self.loads.may_live(id, now);
-            if !store.role.should_read(view, &self.me, alive, last_confirmed, now) && !is_due {
+            if !store
+                .role
+                .should_read(view, &self.me, alive, last_confirmed, now)
+                && !is_due
+            {
                 continue;
             }
             let reader = StoreReader {
@@ -305,7 +310,8 @@
         let last_confirmed = self.kept.lock().last_confirmed(self.addr);
         let loads = &self.loads;
         let alive = |id: &BoxId| loads.may_live(id, now);
-        self.role.should_read(&view, &self.me, alive, last_confirmed, now)
+        self.role
+            .should_read(&view, &self.me, alive, last_confirmed, now)
     }
 
     /// Sends a listing to the zone if it is short; other boxes request a copy of a long one.
@@ -357,11 +363,13 @@
             // Boxes that miss it detect the gap from a digest.
             let _ = self.news.try_send(News::Kept(update));
         }
-        if !self
-            .kept
-            .lock()
-            .apply_changes(self.addr, position.next, news, requested_at, Instant::now())
-        {
+        if !self.kept.lock().apply_changes(
+            self.addr,
+            position.next,
+            news,
+            requested_at,
+            Instant::now(),
+        ) {
             event!(self.log, events::KEPT_STORE_GAP, "store" => self.addr.to_string(),
                 "epoch_before" => position.epoch, "epoch" => epoch, "lost" => lost);
         }
--- a/crates/sillpin-gateway/src/cache_stores/reclaimer.rs
+++ b/crates/sillpin-gateway/src/cache_stores/reclaimer.rs
@@ -72,7 +72,9 @@
                 continue;
             };
             let now = Instant::now();
-            state.ordered.retain(|_, at| now - *at < ORDER_RETRY_INTERVAL);
+            state
+                .ordered
+                .retain(|_, at| now - *at < ORDER_RETRY_INTERVAL);
             for store in config.stores.iter().filter(|store| store.managed) {
                 self.free_retired(store, &view, &mut state).await;
                 self.free_partial(store, &mut state).await;
@@ -84,14 +86,24 @@
         let now = Instant::now();
         let unused = self.unused(store, view, now);
         let is_unordered = |key: &KeptKey| !state.ordered.contains_key(&(store.addr, key.clone()));
-        let keys: Vec<KeptKey> = unused.into_iter().filter(is_unordered).take(MAX_BATCH).collect();
+        let keys: Vec<KeptKey> = unused
+            .into_iter()
+            .filter(is_unordered)
+            .take(MAX_BATCH)
+            .collect();
         if keys.is_empty() {
             return;
         }
         let ordered_now = keys.iter().map(|key| ((store.addr, key.clone()), now));
         state.ordered.extend(ordered_now);
-        self.order(store, keys, now, ORDER_TIMEOUT, "made under replaced weights")
-            .await;
+        self.order(
+            store,
+            keys,
+            now,
+            ORDER_TIMEOUT,
+            "made under replaced weights",
+        )
+        .await;
     }
 
     /// Returns the parts of a store that no box fetches.
@@ -99,7 +111,7 @@
         if !self.kept.retirements().has_any() {
             return Vec::new();
         }
-        let parts = self.kept.lock().parts(store.addr);
+        let parts = self.kept.lock().complete_parts(store.addr);
         let retirements = self.kept.retirements();
         // Cached by salt: a store holds thousands of parts under a few salts.
         let mut shares: HashMap<Salt, f64> = HashMap::new();
--- a/crates/sillpin-gateway/src/cache_stores/retire.rs
+++ b/crates/sillpin-gateway/src/cache_stores/retire.rs
@@ -227,7 +227,11 @@
     /// long that a box without a recent report has either received it too or stopped fetching. A box's report counts even if
     /// this box has known a larger share for long: a box that restarted has not seen how full the stores were before.
     pub fn unused_share(&self, weights: &Weights, view: &View, now: Instant) -> f64 {
-        let long_in_force = self.share_in_force(weights, now, CONTACT_TIMEOUT + CONTACT_MARGIN + MAX_FETCH_TIME);
+        let long_in_force = self.share_in_force(
+            weights,
+            now,
+            CONTACT_TIMEOUT + CONTACT_MARGIN + MAX_FETCH_TIME,
+        );
         let reported_by = |id: &BoxId| {
             let report = self.others.get(id).filter(|report| report.is_current(now));
             report.map_or(long_in_force, |report| {
--- a/crates/sillpin-gateway/src/fatal/crash_detector.rs
+++ b/crates/sillpin-gateway/src/fatal/crash_detector.rs
@@ -78,7 +78,11 @@
     /// Checks whether an unreachable target crashed, if this box recently abandoned an attempt there.
     pub fn unreachable(&self, target: &Arc<TargetEntry>) {
         let incarnation = LifeHash::of(target);
-        if self.fatal.record().has_abandoned(incarnation, Instant::now()) {
+        if self
+            .fatal
+            .record()
+            .has_abandoned(incarnation, Instant::now())
+        {
             self.start_check(target, None);
         }
     }
--- a/crates/sillpin-gateway/src/fatal/mod.rs
+++ b/crates/sillpin-gateway/src/fatal/mod.rs
@@ -9,14 +9,14 @@
 //! - [`record`]: history of crashes by request,
 //! - [`persist`]: persists the history, so that it survives the loss of all boxes.
 
-pub mod persist;
+pub mod crash_detector;
 pub mod fingerprint;
+pub mod persist;
 pub mod record;
-pub mod crash_detector;
 
-pub use fingerprint::RequestFingerprint;
-pub use record::{CrashReport, CrashRecord};
 pub use crash_detector::CrashDetector;
+pub use fingerprint::RequestFingerprint;
+pub use record::{CrashRecord, CrashReport};
 
 use crate::place::work::LifeHash;
 use sillpin_telemetry::{event, events};
@@ -56,7 +56,9 @@
         under: impl IntoIterator<Item = RequestFingerprint>,
         at: Instant,
     ) {
-        let fatal = self.record().record_crash(incarnation, under, at, Instant::now());
+        let fatal = self
+            .record()
+            .record_crash(incarnation, under, at, Instant::now());
         self.observed.notify_waiters();
         self.log_fatal(&fatal, "this box");
     }
--- a/crates/sillpin-gateway/src/fatal/persist.rs
+++ b/crates/sillpin-gateway/src/fatal/persist.rs
@@ -5,7 +5,7 @@
 //! reads that key when it starts.
 
 use super::record::FATAL_CRASHES;
-use super::{FatalRequests, CrashReport, RequestFingerprint};
+use super::{CrashReport, FatalRequests, RequestFingerprint};
 use crate::beliefs::{FleetHandle, View};
 use crate::place::work::LifeHash;
 use serde::{Deserialize, Serialize};
@@ -113,7 +113,9 @@
         let lacks = |report: &CrashReport| {
             let count = report.crashes.len().min(FATAL_CRASHES);
             record.is_observed_here(report.fingerprint)
-                && written.get(&report.fingerprint).is_none_or(|known| *known < count)
+                && written
+                    .get(&report.fingerprint)
+                    .is_none_or(|known| *known < count)
         };
         reports.iter().any(lacks)
     }
@@ -154,7 +156,7 @@
         let persisted = |report: &CrashReport| KeptRequest {
             print: report.fingerprint,
             ended: report
-                .ended
+                .crashes
                 .iter()
                 .map(|(incarnation, age)| (*incarnation, now.saturating_sub(u64::from(*age))))
                 .collect(),
--- a/crates/sillpin-gateway/src/fatal/record.rs
+++ b/crates/sillpin-gateway/src/fatal/record.rs
@@ -139,7 +139,9 @@
             return false;
         }
         let cleared = self.crashes.iter().filter(|(_, at)| self.is_cleared(**at));
-        let oldest = cleared.min_by_key(|(_, at)| **at).map(|(incarnation, _)| *incarnation);
+        let oldest = cleared
+            .min_by_key(|(_, at)| **at)
+            .map(|(incarnation, _)| *incarnation);
         oldest.is_some_and(|incarnation| self.crashes.remove(&incarnation).is_some())
     }
 
@@ -199,16 +201,32 @@
 
     /// Removes the attempts that this box abandoned at a target, and returns the requests of those abandoned shortly before it
     /// crashed.
-    fn take_abandoned(&mut self, incarnation: LifeHash, crashed_at: Instant) -> Vec<RequestFingerprint> {
+    fn take_abandoned(
+        &mut self,
+        incarnation: LifeHash,
+        crashed_at: Instant,
+    ) -> Vec<RequestFingerprint> {
         let is_at_target = |attempt: &AbandonedAttempt| attempt.incarnation == incarnation;
-        let is_recent = |attempt: &&AbandonedAttempt| crashed_at.saturating_duration_since(attempt.at) < ABANDONED_TIME;
-        let recent = self.abandoned.iter().filter(|attempt| is_at_target(attempt)).filter(is_recent);
+        let is_recent = |attempt: &&AbandonedAttempt| {
+            crashed_at.saturating_duration_since(attempt.at) < ABANDONED_TIME
+        };
+        let recent = self
+            .abandoned
+            .iter()
+            .filter(|attempt| is_at_target(attempt))
+            .filter(is_recent);
         let fingerprints = recent.map(|attempt| attempt.fingerprint).collect();
         self.abandoned.retain(|attempt| !is_at_target(attempt));
         fingerprints
     }
 
-    fn add_crash(&mut self, fingerprint: RequestFingerprint, incarnation: LifeHash, at: Instant, now: Instant) -> bool {
+    fn add_crash(
+        &mut self,
+        fingerprint: RequestFingerprint,
+        incarnation: LifeHash,
+        at: Instant,
+        now: Instant,
+    ) -> bool {
         let suspect = self.suspects.entry(fingerprint);
         let suspect = suspect.or_insert_with(|| Suspect::new(now));
         let is_new = suspect.add(incarnation, at);
@@ -220,17 +238,27 @@
     }
 
     /// Records that this box abandoned an attempt before the response: its target may still run it.
-    pub fn record_abandoned(&mut self, fingerprint: RequestFingerprint, incarnation: LifeHash, now: Instant) {
+    pub fn record_abandoned(
+        &mut self,
+        fingerprint: RequestFingerprint,
+        incarnation: LifeHash,
+        now: Instant,
+    ) {
         if self.abandoned.len() >= MAX_ABANDONED {
             self.abandoned.pop_front();
         }
         let at = now;
-        self.abandoned.push_back(AbandonedAttempt { fingerprint, incarnation, at });
+        self.abandoned.push_back(AbandonedAttempt {
+            fingerprint,
+            incarnation,
+            at,
+        });
     }
 
     /// Returns whether this box recently abandoned an attempt at a target.
     pub fn has_abandoned(&self, incarnation: LifeHash, now: Instant) -> bool {
-        let is_recent = |attempt: &AbandonedAttempt| now.saturating_duration_since(attempt.at) < ABANDONED_TIME;
+        let is_recent =
+            |attempt: &AbandonedAttempt| now.saturating_duration_since(attempt.at) < ABANDONED_TIME;
         self.abandoned
             .iter()
             .any(|attempt| attempt.incarnation == incarnation && is_recent(attempt))
@@ -253,11 +281,16 @@
             return None;
         }
         let has_other_cause = |incarnation: &LifeHash| {
-            let others = self.suspects.iter().filter(|(other, _)| **other != fingerprint);
+            let others = self
+                .suspects
+                .iter()
+                .filter(|(other, _)| **other != fingerprint);
             let mut there = others.filter(|(_, other)| other.crashes.contains_key(incarnation));
             there.any(|(_, other)| explains(other.crash_count(), count))
         };
-        let is_unexplained = |incarnation: &&LifeHash| !has_other_cause(incarnation) && !self.is_mass_crash(suspect, incarnation);
+        let is_unexplained = |incarnation: &&LifeHash| {
+            !has_other_cause(incarnation) && !self.is_mass_crash(suspect, incarnation)
+        };
         let unexplained = suspect.counted_crashes().filter(is_unexplained).count();
         let until = suspect.last_crash()? + FATAL_RETENTION;
         (unexplained >= FATAL_CRASHES && now < until).then_some(until)
@@ -282,11 +315,17 @@
 
     /// Returns the number of crashes that count for a request.
     fn crash_count(&self, fingerprint: RequestFingerprint) -> usize {
-        self.suspects.get(&fingerprint).map_or(0, Suspect::crash_count)
+        self.suspects
+            .get(&fingerprint)
+            .map_or(0, Suspect::crash_count)
     }
 
     /// Applies reports from another box or from the platform store. Returns the requests that are refused from now on.
-    pub fn apply_update(&mut self, reports: &[CrashReport], now: Instant) -> Vec<RequestFingerprint> {
+    pub fn apply_update(
+        &mut self,
+        reports: &[CrashReport],
+        now: Instant,
+    ) -> Vec<RequestFingerprint> {
         let mut fatal = Vec::new();
         for (incarnation, age) in reports.iter().flat_map(|report| &report.crashes) {
             let crashed_at = now.checked_sub(Duration::from_millis(u64::from(*age)));
@@ -333,7 +372,10 @@
             let observed = suspect.observed;
             observed.is_some_and(|at| now.saturating_duration_since(at) < RECENT)
         };
-        let observed = self.suspects.iter().filter(|(_, suspect)| is_recent(suspect));
+        let observed = self
+            .suspects
+            .iter()
+            .filter(|(_, suspect)| is_recent(suspect));
         let observed = observed.take(MAX_RECENT);
         observed
             .map(|(fingerprint, suspect)| suspect.report(*fingerprint, now))
@@ -352,15 +394,21 @@
             .collect();
         fingerprints.sort_by_key(|fingerprint| std::cmp::Reverse(self.crash_count(*fingerprint)));
         fingerprints.truncate(MAX_RECENT);
-        let fatal = self.next_in_rotation(self.last_fatal_sent, MAX_FATAL, |count| count >= FATAL_CRASHES);
+        let fatal = self.next_in_rotation(self.last_fatal_sent, MAX_FATAL, |count| {
+            count >= FATAL_CRASHES
+        });
         self.last_fatal_sent = fatal.last().copied();
-        let others = self.next_in_rotation(self.last_other_sent, MAX_OTHERS, |count| count < FATAL_CRASHES);
+        let others = self.next_in_rotation(self.last_other_sent, MAX_OTHERS, |count| {
+            count < FATAL_CRASHES
+        });
         self.last_other_sent = others.last().copied();
         fingerprints.extend(fatal);
         fingerprints.extend(others);
         fingerprints.sort_unstable();
         fingerprints.dedup();
-        let report = |fingerprint: RequestFingerprint| Some(self.suspects.get(&fingerprint)?.report(fingerprint, now));
+        let report = |fingerprint: RequestFingerprint| {
+            Some(self.suspects.get(&fingerprint)?.report(fingerprint, now))
+        };
         fingerprints.into_iter().filter_map(report).collect()
     }
 
@@ -373,8 +421,9 @@
     ) -> Vec<RequestFingerprint> {
         let begin = after.map_or(Bound::Unbounded, Bound::Excluded);
         let following = self.suspects.range((begin, Bound::Unbounded));
-        let taken =
-            |(fingerprint, suspect): (&RequestFingerprint, &Suspect)| takes(suspect.crash_count()).then_some(*fingerprint);
+        let taken = |(fingerprint, suspect): (&RequestFingerprint, &Suspect)| {
+            takes(suspect.crash_count()).then_some(*fingerprint)
+        };
         following
             .chain(self.suspects.iter())
             .filter_map(taken)
@@ -384,11 +433,16 @@
 
     /// Returns at most `max` requests with at least `min_crashes` crashes, for persistence: most crashes first, then newest first.
     pub fn to_persist(&self, min_crashes: usize, max: usize, now: Instant) -> Vec<CrashReport> {
-        let enough = |(_, suspect): &(&RequestFingerprint, &Suspect)| suspect.crash_count() >= min_crashes;
+        let enough =
+            |(_, suspect): &(&RequestFingerprint, &Suspect)| suspect.crash_count() >= min_crashes;
         let mut selected: Vec<_> = self.suspects.iter().filter(enough).collect();
-        selected.sort_by_key(|(_, suspect)| std::cmp::Reverse((suspect.crash_count(), suspect.changed)));
+        selected.sort_by_key(|(_, suspect)| {
+            std::cmp::Reverse((suspect.crash_count(), suspect.changed))
+        });
         selected.truncate(max);
-        let report = |(fingerprint, suspect): (&RequestFingerprint, &Suspect)| suspect.report(*fingerprint, now);
+        let report = |(fingerprint, suspect): (&RequestFingerprint, &Suspect)| {
+            suspect.report(*fingerprint, now)
+        };
         selected.into_iter().map(report).collect()
     }
 
--- a/crates/sillpin-gateway/src/front/admit.rs
+++ b/crates/sillpin-gateway/src/front/admit.rs
@@ -105,7 +105,8 @@
             Some(org) => org.id.as_str(),
             None => demand.key.as_deref().unwrap_or_default(),
         };
-        let fingerprint = RequestFingerprint::of(caller, &demand.host, &parts.method, &path, &body.bytes);
+        let fingerprint =
+            RequestFingerprint::of(caller, &demand.host, &parts.method, &path, &body.bytes);
         Ok(Run {
             fingerprint,
             demand,
--- a/crates/sillpin-gateway/src/front/drive.rs
+++ b/crates/sillpin-gateway/src/front/drive.rs
@@ -226,7 +226,13 @@
         let mut fetch_shares = self.kept.fetch_shares();
         match placed.source {
             Some(store) => {
-                fetch_shares.record_fetch(store, placed.length, excess, run.route.aim, Instant::now());
+                fetch_shares.record_fetch(
+                    store,
+                    placed.length,
+                    excess,
+                    run.route.aim,
+                    Instant::now(),
+                );
             }
             None => fetch_shares.record_prefill(placed.length, excess),
         }
--- a/crates/sillpin-gateway/src/front/relay.rs
+++ b/crates/sillpin-gateway/src/front/relay.rs
@@ -80,7 +80,9 @@
                     return;
                 }
                 Pumped::CallerGone => {
-                    self.fatal.sent(run.fingerprint, LifeHash::of(&entry)).end(true);
+                    self.fatal
+                        .sent(run.fingerprint, LifeHash::of(&entry))
+                        .end(true);
                     self.metrics.request(&run.route.name, "caller-gone");
                     event!(self.log, events::CALLER_GONE, "request" => id,
                         "target" => target.as_str(),
@@ -88,7 +90,9 @@
                     return;
                 }
                 Pumped::TimeOver => {
-                    self.fatal.sent(run.fingerprint, LifeHash::of(&entry)).end(true);
+                    self.fatal
+                        .sent(run.fingerprint, LifeHash::of(&entry))
+                        .end(true);
                     "the request's time is over".to_owned()
                 }
                 Pumped::Broken(why) => {
--- a/crates/sillpin-gateway/src/front/shared.rs
+++ b/crates/sillpin-gateway/src/front/shared.rs
@@ -4,9 +4,9 @@
 use crate::awake::Awake;
 use crate::beliefs::FleetHandle;
 use crate::budget::RetryBudget;
-use crate::dialect::Dialect;
-use crate::fatal::{FatalRequests, CrashDetector};
 use crate::cache_stores::CacheStores;
+use crate::dialect::Dialect;
+use crate::fatal::{CrashDetector, FatalRequests};
 use crate::metrics::BoxMetrics;
 use crate::place::Loads;
 use crate::place::probe::Prober;
@@ -102,7 +102,8 @@
             log: log.clone(),
             probed: Arc::default(),
         };
-        let crash_detector = CrashDetector::new(pool.clone(), fleet.clone(), fatal.clone(), log.clone());
+        let crash_detector =
+            CrashDetector::new(pool.clone(), fleet.clone(), fatal.clone(), log.clone());
         Self {
             dialect,
             awake,
--- a/crates/sillpin-gateway/src/lib.rs
+++ b/crates/sillpin-gateway/src/lib.rs
@@ -21,12 +21,12 @@
 pub mod awake;
 pub mod beliefs;
 pub mod budget;
+pub mod cache_stores;
 pub mod config;
 pub mod control;
 pub mod dialect;
 pub mod fatal;
 pub mod front;
-pub mod cache_stores;
 pub mod metrics;
 pub mod ops;
 pub mod peers;
--- a/crates/sillpin-gateway/src/peers/datagram.rs
+++ b/crates/sillpin-gateway/src/peers/datagram.rs
@@ -3,12 +3,12 @@
 use super::packed::PackedWord;
 use crate::beliefs::wanted::NamedAge;
 use crate::beliefs::{BoxEntry, Topic};
-use crate::control::{KeptChange, KeptKey, Life};
-use crate::dialect::EngineTime;
-use crate::fatal::CrashReport;
 use crate::cache_stores::directory::Position;
 use crate::cache_stores::homes::hash_pair;
 use crate::cache_stores::retire::Retired;
+use crate::control::{KeptChange, KeptKey, Life};
+use crate::dialect::EngineTime;
+use crate::fatal::CrashReport;
 use crate::place::words::limit::LimitNews;
 use crate::place::work::{EngineWork, LifeHash};
 use serde::{Deserialize, Serialize};
--- a/crates/sillpin-gateway/src/peers/digest.rs
+++ b/crates/sillpin-gateway/src/peers/digest.rs
@@ -12,8 +12,8 @@
 use crate::beliefs::transfers::Transfers;
 use crate::beliefs::wanted::ages;
 use crate::beliefs::{BoxEntry, FleetHandle, Known, View};
-use crate::fatal::FatalRequests;
 use crate::cache_stores::CacheStores;
+use crate::fatal::FatalRequests;
 use crate::metrics::BoxMetrics;
 use crate::place::Loads;
 use crate::place::work::EngineWork;
@@ -214,7 +214,8 @@
             retirements.add_suspended_time(self.awake.slept());
             retirements.update(&view, fullness, Instant::now());
         }
-        self.loads.words(|words| words.add_suspended_time(self.awake.slept()));
+        self.loads
+            .words(|words| words.add_suspended_time(self.awake.slept()));
         if large {
             return;
         }
@@ -290,7 +291,9 @@
                 .collect(),
             clock: directory.engine_time(now, Duration::ZERO),
             work: self.loads.updates_to_send(),
-            replaced: self.loads.words(|words| words.replaced.updates_to_send(now)),
+            replaced: self
+                .loads
+                .words(|words| words.replaced.updates_to_send(now)),
             named: ages(&view.wanted, now),
             contact_ms: view.operators.in_touch(now).map(|at| millis(now - at)),
             retired: self.kept.retirements().updates_to_send(now),
--- a/crates/sillpin-gateway/src/peers/ear.rs
+++ b/crates/sillpin-gateway/src/peers/ear.rs
@@ -11,9 +11,9 @@
 use crate::beliefs::transfers::Transfers;
 use crate::beliefs::wanted::NamedAge;
 use crate::beliefs::{BoxEntry, FleetHandle, FleetMsg, Known, Named, Source, Topic};
-use crate::fatal::FatalRequests;
 use crate::cache_stores::CacheStores;
 use crate::cache_stores::directory::Directory;
+use crate::fatal::FatalRequests;
 use crate::metrics::BoxMetrics;
 use crate::place::Loads;
 use crate::place::words::limit::{LimitNews, log_limit};
@@ -170,7 +170,9 @@
         let silence = digest.targets.age_ms.map(Duration::from_millis);
         let silence = silence.unwrap_or(Duration::MAX);
         let retired = digest.retired;
-        self.kept.retirements().apply_update(from, retired, silence, now);
+        self.kept
+            .retirements()
+            .apply_update(from, retired, silence, now);
         self.kept.lock().set_clock(digest.clock, now);
         self.welcome(&digest.from);
         self.fleet.tell(FleetMsg::Heard(digest.from.clone())).await;
--- a/crates/sillpin-gateway/src/peers/ear/news.rs
+++ b/crates/sillpin-gateway/src/peers/ear/news.rs
@@ -2,8 +2,8 @@
 
 use super::{Ear, asked_at};
 use crate::beliefs::{FleetMsg, Topic};
-use crate::control::{KeptList, KeptNews};
 use crate::cache_stores::directory::Position;
+use crate::control::{KeptList, KeptNews};
 use crate::peers::datagram::{
     Bulletin, KeptListing, KeptWord, LoadNews, News, PublishedWord, Report, ZoneWord,
 };
--- a/crates/sillpin-gateway/src/peers/spread.rs
+++ b/crates/sillpin-gateway/src/peers/spread.rs
@@ -134,7 +134,9 @@
             let report = Report {
                 from: me,
                 work: work.clone(),
-                replaced: self.loads.words(|words| words.replaced.updates_to_send(now)),
+                replaced: self
+                    .loads
+                    .words(|words| words.replaced.updates_to_send(now)),
                 operators: extent(view.operators),
                 targets: extent(view.listed),
                 retired: self.kept.retirements().applied(),
--- a/crates/sillpin-gateway/src/place/index.rs
+++ b/crates/sillpin-gateway/src/place/index.rs
@@ -3,8 +3,8 @@
 use super::work::{LifeHash, TargetHash};
 use crate::beliefs::Evacuations;
 use crate::beliefs::fleet::served;
-use crate::control::{Presence, TargetEntry};
 use crate::cache_stores::homes::hash_pair;
+use crate::control::{Presence, TargetEntry};
 use sillpin_core::{ModelId, PoolId, TargetId, WeightVersion, ZoneId};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
--- a/crates/sillpin-gateway/src/place/parts.rs
+++ b/crates/sillpin-gateway/src/place/parts.rs
@@ -1,12 +1,12 @@
 //! Where the parts of a prompt come from and go to.
 
-use crate::config::{EngineSpec, FleetConfig, Organisation, StoreSpec};
-use crate::control::KeptKey;
-use crate::dialect::{EngineSending, Prompt, Salt};
 use crate::cache_stores::homes::{PartPosition, homes};
 use crate::cache_stores::retire::MAX_FETCH_TIME;
 use crate::cache_stores::salt::SaltParts;
-use crate::cache_stores::{Directory, CacheStores};
+use crate::cache_stores::{CacheStores, Directory};
+use crate::config::{EngineSpec, FleetConfig, Organisation, StoreSpec};
+use crate::control::KeptKey;
+use crate::dialect::{EngineSending, Prompt, Salt};
 use crate::place::residency::Residency;
 use derive_more::Display;
 use sillpin_core::{Tokens, WeightVersion, ZoneId};
--- a/crates/sillpin-gateway/src/place/shared_limit.rs
+++ b/crates/sillpin-gateway/src/place/shared_limit.rs
@@ -11,8 +11,8 @@
 //! Whatever is sent counts: first and second sendings, and streams that are resumed.
 
 use crate::beliefs::BoxEntry;
-use crate::control::TargetEntry;
 use crate::cache_stores::homes::hash_pair;
+use crate::control::TargetEntry;
 use rand::RngExt;
 use sillpin_core::{BoxId, TargetId, ZoneId};
 use std::collections::{HashMap, VecDeque};
--- a/crates/sillpin-gateway/src/place/words/backoff.rs
+++ b/crates/sillpin-gateway/src/place/words/backoff.rs
@@ -25,7 +25,12 @@
 
 impl Backoffs {
     /// A target turned a request away and said for how long it wants no other; that time, unless an earlier word of it reaches as far.
-    pub fn apply_update(&mut self, target: LifeHash, word: RetryAfter, now: Instant) -> Option<Duration> {
+    pub fn apply_update(
+        &mut self,
+        target: LifeHash,
+        word: RetryAfter,
+        now: Instant,
+    ) -> Option<Duration> {
         let wait = match word {
             RetryAfter::Wait(wait) => wait.min(MAX),
             RetryAfter::Unreadable => UNREADABLE,
--- a/crates/sillpin-gateway/src/place/work.rs
+++ b/crates/sillpin-gateway/src/place/work.rs
@@ -1,7 +1,7 @@
 //! Work at engines, this box's and what other boxes tell.
 
-use crate::control::TargetEntry;
 use crate::cache_stores::homes::hash_pair;
+use crate::control::TargetEntry;
 use crate::peers::datagram::BoxHash;
 use serde::{Deserialize, Serialize};
 use sillpin_core::{BoxId, TargetId, Tokens};
--- a/crates/sillpin-gateway/src/weights/election.rs
+++ b/crates/sillpin-gateway/src/weights/election.rs
@@ -120,7 +120,8 @@
     /// Returns whether an engine may be ordered now: no order of another leader to it can be recent.
     pub fn may_order_target(&self, target: &TargetId, now: Instant) -> bool {
         let is_over = |until: &Instant| now >= *until;
-        self.record_lost_until.as_ref().is_none_or(is_over) && self.others_until.get(target).is_none_or(is_over)
+        self.record_lost_until.as_ref().is_none_or(is_over)
+            && self.others_until.get(target).is_none_or(is_over)
     }
 
     /// Returns the era of the store whose orders are all recorded.
@@ -254,7 +255,11 @@
         targets: &[TargetId],
     ) -> Result<(), PlatformError> {
         for target in targets {
-            leadership.own_orders.entry(target.clone()).or_default().pending = true;
+            leadership
+                .own_orders
+                .entry(target.clone())
+                .or_default()
+                .pending = true;
         }
         let now = Instant::now();
         let ordered = self.recent_orders(leadership, now);
@@ -267,7 +272,9 @@
     fn recent_orders(&self, leadership: &mut Leadership, now: Instant) -> Ordered {
         let order_hold_off = self.order_hold_off();
         let recent = |age: Duration| age < order_hold_off;
-        leadership.own_orders.retain(|_, own_orders| own_orders.age(now).is_some_and(recent));
+        leadership
+            .own_orders
+            .retain(|_, own_orders| own_orders.age(now).is_some_and(recent));
         leadership.others_until.retain(|_, until| now < *until);
         let mut ordered = Ordered {
             named: leadership.version_ages.clone(),
@@ -296,9 +303,15 @@
     async fn wait_until_free(&self, since: KvRevision) -> Result<(), PlatformError> {
         let mut after = since;
         loop {
-            let reply = self.platform.watch(LEADER_KEY, after, self.long_poll).await?;
+            let reply = self
+                .platform
+                .watch(LEADER_KEY, after, self.long_poll)
+                .await?;
             let is_leader_key = |key: &str| key == LEADER_KEY;
-            let latest = reply.changed.iter().rfind(|entry| is_leader_key(&entry.key));
+            let latest = reply
+                .changed
+                .iter()
+                .rfind(|entry| is_leader_key(&entry.key));
             after = reply.revision;
             match latest {
                 Some(entry) if entry.value.is_none() => return Ok(()),
--- a/crates/sillpin-gateway/src/weights/load.rs
+++ b/crates/sillpin-gateway/src/weights/load.rs
@@ -176,7 +176,9 @@
 
     /// Records the engine's incarnation; an engine that restarted has lost the order.
     fn record_incarnation(&self, progress: &mut Progress, report: Option<&EngineReport>) {
-        let incarnation = report.and_then(|report| report.life).or(progress.incarnation);
+        let incarnation = report
+            .and_then(|report| report.life)
+            .or(progress.incarnation);
         progress.accepted &= incarnation == progress.incarnation;
         progress.incarnation = incarnation;
     }
--- a/crates/sillpin-gateway/src/weights/rollout.rs
+++ b/crates/sillpin-gateway/src/weights/rollout.rs
@@ -1,13 +1,13 @@
 //! Chooses the engines to order next, while this box is the leader.
 
-use super::election::{Election, RENEW_INTERVAL, Leadership};
+use super::election::{Election, Leadership, RENEW_INTERVAL};
 use super::load::{LoadJob, LoadResult, LoadSlot};
 use crate::beliefs::fleet::served;
 use crate::beliefs::wanted::{NamedAge, ages};
 use crate::beliefs::{BoxEntry, FleetHandle, FleetMsg, Source, View};
-use crate::control::{Control, Presence, TargetEntry};
 use crate::cache_stores::CacheStores;
 use crate::cache_stores::reclaimer::Reclaimer;
+use crate::control::{Control, Presence, TargetEntry};
 use crate::peers::datagram::LoadNews;
 use crate::peers::hub::LARGE_ZONE;
 use crate::peers::roles;
@@ -272,7 +272,9 @@
             return true;
         }
         let view = self.fleet.view();
-        active.unresponsive.retain(|id| view.targets.contains_key(id));
+        active
+            .unresponsive
+            .retain(|id| view.targets.contains_key(id));
         self.log_outdated(&view, leadership, active, now);
         let next = self.next_batch(&view, leadership, active, now);
         let is_due = leadership.is_record_due(now) && !outdated(&view).is_empty();
@@ -292,7 +294,13 @@
     }
 
     /// Logs periodically how many engines serve replaced weights, and what they wait for.
-    fn log_outdated(&self, view: &View, leadership: &Leadership, active: &mut ActiveLoads, now: Instant) {
+    fn log_outdated(
+        &self,
+        view: &View,
+        leadership: &Leadership,
+        active: &mut ActiveLoads,
+        now: Instant,
+    ) {
         if active.logged.is_some_and(|at| now - at < LOG_INTERVAL) {
             return;
         }
@@ -345,7 +353,11 @@
             .filter(may_order)
             .filter(|outdated| has_slot(outdated))
             .partition(|outdated| active.unresponsive.contains(&outdated.target.id));
-        others.into_iter().chain(unresponsive).take(max_new).collect()
+        others
+            .into_iter()
+            .chain(unresponsive)
+            .take(max_new)
+            .collect()
     }
 
     fn start(
--- a/crates/sillpin-gateway/tests/cache_stores/changes.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/changes.rs
@@ -2,8 +2,8 @@
 
 use crate::{STORE, key, list, news};
 use sillpin_core::Tokens;
-use sillpin_gateway::control::{KeptChange, KeptNews};
 use sillpin_gateway::cache_stores::directory::{Directory, Position};
+use sillpin_gateway::control::{KeptChange, KeptNews};
 use sillpin_gateway::peers::datagram::{KeptWord, MAX_CHANGES};
 use tokio::time::Instant;
 
@@ -75,10 +75,20 @@
         changes: changes.clone(),
     };
     let updates = update.split();
-    assert!(updates.iter().all(|update| update.changes.len() <= MAX_CHANGES));
-    let spans: Vec<(u64, u64)> = updates.iter().map(|update| (update.since, update.next)).collect();
+    assert!(
+        updates
+            .iter()
+            .all(|update| update.changes.len() <= MAX_CHANGES)
+    );
+    let spans: Vec<(u64, u64)> = updates
+        .iter()
+        .map(|update| (update.since, update.next))
+        .collect();
     assert_eq!(spans, [(10, 70), (70, 130), (130, 170)]);
-    let sent: Vec<KeptChange> = updates.into_iter().flat_map(|update| update.changes).collect();
+    let sent: Vec<KeptChange> = updates
+        .into_iter()
+        .flat_map(|update| update.changes)
+        .collect();
     assert_eq!(sent, changes);
 }
 
--- a/crates/sillpin-gateway/tests/cache_stores/directory.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/directory.rs
@@ -2,10 +2,10 @@
 
 use crate::{STORE, key, list, news};
 use sillpin_core::Tokens;
-use sillpin_gateway::control::KeptNews;
-use sillpin_gateway::dialect::EngineTime;
 use sillpin_gateway::cache_stores::directory::{CONTENT_TTL, Directory};
 use sillpin_gateway::cache_stores::retire::MAX_FETCH_TIME;
+use sillpin_gateway::control::KeptNews;
+use sillpin_gateway::dialect::EngineTime;
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/crates/sillpin-gateway/tests/cache_stores/fetch_shares.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/fetch_shares.rs
@@ -24,10 +24,7 @@
     }
     let slow = fetch_shares.share(STORE, Instant::now());
     assert!(slow < 0.3, "{slow}");
-    assert!(
-        slow > 0.0,
-        "some fetches continue, to detect its recovery"
-    );
+    assert!(slow > 0.0, "some fetches continue, to detect its recovery");
     for _ in 0..200 {
         tokio::time::advance(Duration::from_millis(50)).await;
         fetch_shares.record_fetch(STORE, LONG, Duration::from_millis(30), AIM, Instant::now());
--- a/crates/sillpin-gateway/tests/cache_stores/homes.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/homes.rs
@@ -4,9 +4,9 @@
 use proptest::prelude::*;
 use rstest::rstest;
 use sillpin_core::Tokens;
-use sillpin_gateway::dialect::PartId;
 use sillpin_gateway::cache_stores::homes::{PartPosition, homes};
 use sillpin_gateway::cache_stores::salt::SaltParts;
+use sillpin_gateway::dialect::PartId;
 
 #[test]
 fn small_parts_go_to_fast_stores_and_large_ones_to_stores_of_large_capacity() {
@@ -55,7 +55,10 @@
 #[case("m/x", None)]
 #[case("m/1/acme/more", None)]
 #[case("", None)]
-fn salts_are_parsed_and_formatted_alike(#[case] text: &str, #[case] expected: Option<(u64, Option<&str>)>) {
+fn salts_are_parsed_and_formatted_alike(
+    #[case] text: &str,
+    #[case] expected: Option<(u64, Option<&str>)>,
+) {
     let read = text.parse::<SaltParts>().ok();
     let seen = read.as_ref().map(|salt| {
         let wall = salt.wall.as_ref().map(|org| org.as_str());
--- a/crates/sillpin-gateway/tests/cache_stores/listing.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/listing.rs
@@ -9,12 +9,12 @@
 use sillpin_core::TargetId;
 use sillpin_gateway::beliefs::fleet::Fleet;
 use sillpin_gateway::beliefs::{self, BoxEntry, FleetHandle, FleetMsg, Reading, Source, Topic};
+use sillpin_gateway::cache_stores::CacheStores;
+use sillpin_gateway::cache_stores::reader::{self, Readers};
 use sillpin_gateway::control::{
     Control, ControlError, EngineReport, FreeOrder, KeptList, KeptNews, OrderOutcome, WeightsOrder,
 };
 use sillpin_gateway::dialect::EngineTime;
-use sillpin_gateway::cache_stores::CacheStores;
-use sillpin_gateway::cache_stores::reader::{self, Readers};
 use sillpin_gateway::place::Loads;
 use sillpin_platform::{KvRevision, Snapshot};
 use std::net::SocketAddr;
--- a/crates/sillpin-gateway/tests/cache_stores/main.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/main.rs
@@ -5,8 +5,8 @@
 #[path = "../common/mod.rs"]
 mod common;
 mod directory;
-mod homes;
 mod fetch_shares;
+mod homes;
 mod listing;
 mod retire;
 
--- a/crates/sillpin-gateway/tests/cache_stores/retire.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/retire.rs
@@ -4,9 +4,11 @@
 use crate::{STORE, key};
 use sillpin_core::WeightVersion;
 use sillpin_gateway::beliefs::{BoxEntry, Known, Named, View, Wanted};
-use sillpin_gateway::control::KeptKey;
-use sillpin_gateway::cache_stores::retire::{MAX_FETCH_TIME, Retired, Retirements, Weights, retirement_rank};
+use sillpin_gateway::cache_stores::retire::{
+    MAX_FETCH_TIME, Retired, Retirements, Weights, retirement_rank,
+};
 use sillpin_gateway::cache_stores::salt::SaltParts;
+use sillpin_gateway::control::KeptKey;
 use sillpin_platform::KvRevision;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -128,7 +130,11 @@
 async fn a_box_reports_retired_parts_only_when_its_fetches_of_them_are_over() {
     let mut retirements = Retirements::default();
     let start = Instant::now();
-    let settled = |r: &Retirements| r.updates_to_send(Instant::now()).first().map_or(0.0, |r| r.share);
+    let settled = |r: &Retirements| {
+        r.updates_to_send(Instant::now())
+            .first()
+            .map_or(0.0, |r| r.share)
+    };
     retirements.update(&view(2, start), FULL, start);
     assert_eq!(
         settled(&retirements),
@@ -186,7 +192,12 @@
         let view = view(2, now);
         restarted.update(&view, free_capacity, now);
         leader.update(&view, free_capacity, now);
-        leader.apply_update(name("box-2"), restarted.updates_to_send(now), Duration::ZERO, now);
+        leader.apply_update(
+            name("box-2"),
+            restarted.updates_to_send(now),
+            Duration::ZERO,
+            now,
+        );
         let unused = leader.unused_share(&old_weights(), &view, now);
         let used = |key: &&KeptKey| !restarted.is_retired(&salt, key);
         let freed = parts
@@ -216,12 +227,22 @@
     let view = view(2, now);
     let free_capacity = 0.5;
     restarted.update(&view, free_capacity, now);
-    restarted.apply_update(name("box-1"), leader.updates_to_send(now), Duration::ZERO, now);
+    restarted.apply_update(
+        name("box-1"),
+        leader.updates_to_send(now),
+        Duration::ZERO,
+        now,
+    );
     restarted.update(&view, free_capacity, now);
     tokio::time::advance(MAX_FETCH_TIME).await;
     let now = Instant::now();
     leader.update(&view, free_capacity, now);
-    leader.apply_update(name("box-2"), restarted.updates_to_send(now), Duration::ZERO, now);
+    leader.apply_update(
+        name("box-2"),
+        restarted.updates_to_send(now),
+        Duration::ZERO,
+        now,
+    );
     assert_eq!(leader.unused_share(&old_weights(), &view, now), 0.5);
 }
 
--- a/crates/sillpin-gateway/tests/common/engines.rs
+++ b/crates/sillpin-gateway/tests/common/engines.rs
@@ -4,10 +4,10 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use sillpin_core::{PoolId, TargetId, Tokens, WeightVersion, ZoneId};
+use sillpin_gateway::cache_stores::CacheStores;
 use sillpin_gateway::config::{EngineSpec, FleetConfig};
 use sillpin_gateway::control::TargetEntry;
 use sillpin_gateway::dialect::{Part, PartId, Prompt};
-use sillpin_gateway::cache_stores::CacheStores;
 use sillpin_gateway::peers::datagram::BoxHash;
 use sillpin_gateway::place::choose::PromptChoice;
 use sillpin_gateway::place::index::TargetIndex;
@@ -141,7 +141,9 @@
         if now >= self.tell {
             self.tell = now + self.lag.every;
             self.told.push_back((now + self.lag.late, self.total()));
-            self.boxes.iter().for_each(|of| of.report(of.updates_to_send()));
+            self.boxes
+                .iter()
+                .for_each(|of| of.report(of.updates_to_send()));
         }
         while self.told.front().is_some_and(|(at, _)| *at <= now) {
             let Some((_, work)) = self.told.pop_front() else {
--- a/crates/sillpin-gateway/tests/election.rs
+++ b/crates/sillpin-gateway/tests/election.rs
@@ -5,7 +5,7 @@
 use common::{MemoryStore, name, target};
 use sillpin_core::TargetId;
 use sillpin_gateway::awake::Awake;
-use sillpin_gateway::weights::election::{Election, ORDERED_KEY, Leadership};
+use sillpin_gateway::weights::election::{Election, Leadership, ORDERED_KEY};
 use sillpin_platform::{KvRevision, Platform};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -25,12 +25,19 @@
 }
 
 /// Records and orders an engine as a leader does, if it may. Returns the time of the order.
-async fn order(election: &Election<MemoryStore>, leadership: &mut Leadership, id: &TargetId) -> Option<Instant> {
+async fn order(
+    election: &Election<MemoryStore>,
+    leadership: &mut Leadership,
+    id: &TargetId,
+) -> Option<Instant> {
     let now = Instant::now();
     if !leadership.may_order(now) || !leadership.may_order_target(id, now) {
         return None;
     }
-    election.record(leadership, std::slice::from_ref(id)).await.ok()?;
+    election
+        .record(leadership, std::slice::from_ref(id))
+        .await
+        .ok()?;
     let now = Instant::now();
     leadership.may_order(now).then_some(now)
 }
@@ -49,7 +56,10 @@
     }
     let successor = waiting.await.unwrap().unwrap();
     let now = Instant::now();
-    assert!(!leadership.may_order(now), "the first leader stopped before");
+    assert!(
+        !leadership.may_order(now),
+        "the first leader stopped before"
+    );
     assert!(successor.fence > leadership.fence);
 }
 
@@ -76,7 +86,11 @@
     // The first leader freezes here.
     let second = election(&store, "box-2");
     let mut successor = second.acquire().await.unwrap();
-    assert!(order(&second, &mut successor, &target("e2")).await.is_some());
+    assert!(
+        order(&second, &mut successor, &target("e2"))
+            .await
+            .is_some()
+    );
     assert_eq!(order(&second, &mut successor, &target("e1")).await, None);
     let mut again = None;
     while again.is_none() {
@@ -144,7 +158,11 @@
 }
 
 /// Renews until the engine may be ordered. Returns the time that this took.
-async fn hold_off(election: &Election<MemoryStore>, leadership: &mut Leadership, id: &TargetId) -> Duration {
+async fn hold_off(
+    election: &Election<MemoryStore>,
+    leadership: &mut Leadership,
+    id: &TargetId,
+) -> Duration {
     let began = Instant::now();
     while order(election, leadership, id).await.is_none() {
         tokio::time::sleep(Duration::from_millis(100)).await;
--- a/crates/sillpin-gateway/tests/fatal.rs
+++ b/crates/sillpin-gateway/tests/fatal.rs
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use sillpin_gateway::control::TargetEntry;
 use sillpin_gateway::fatal::record::MAX_REQUESTS;
-use sillpin_gateway::fatal::{CrashReport, CrashRecord, RequestFingerprint};
+use sillpin_gateway::fatal::{CrashRecord, CrashReport, RequestFingerprint};
 use sillpin_gateway::place::work::LifeHash;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -25,7 +25,11 @@
 }
 
 /// Records that targets crashed under the fatal request alone.
-fn record_crashes(record: &mut CrashRecord, targets: impl IntoIterator<Item = usize>, now: Instant) {
+fn record_crashes(
+    record: &mut CrashRecord,
+    targets: impl IntoIterator<Item = usize>,
+    now: Instant,
+) {
     for number in targets {
         record.record_crash(incarnation(number), [FATAL], now, now);
     }
@@ -92,14 +96,22 @@
     for number in 0..3 {
         record.record_abandoned(FATAL, incarnation(number), now);
         record.record_abandoned(OTHER, incarnation(number + 10), now);
-        record.record_crash(incarnation(number), [RequestFingerprint(9 + number as u64)], now, now);
+        record.record_crash(
+            incarnation(number),
+            [RequestFingerprint(9 + number as u64)],
+            now,
+            now,
+        );
     }
     let late = now + Duration::from_secs(3);
     for number in 10..13 {
         record.record_crash(incarnation(number), [RequestFingerprint(50)], late, late);
     }
     assert!(is_refused(&record, FATAL, now));
-    assert!(!is_refused(&record, OTHER, late), "it was abandoned long before");
+    assert!(
+        !is_refused(&record, OTHER, late),
+        "it was abandoned long before"
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -121,7 +133,12 @@
     let (mut record, now) = (CrashRecord::default(), Instant::now());
     record_crashes(&mut record, 0..3, now);
     for number in 0..3 * MAX_REQUESTS as u64 {
-        record.record_crash(incarnation(100), [RequestFingerprint(10 + number)], now, now);
+        record.record_crash(
+            incarnation(100),
+            [RequestFingerprint(10 + number)],
+            now,
+            now,
+        );
     }
     assert!(record.len() <= MAX_REQUESTS, "{}", record.len());
     assert!(is_refused(&record, FATAL, now));
@@ -146,14 +163,22 @@
             );
         }
     }
-    record.record_crash(incarnation(999), (1_000..1_500).map(RequestFingerprint), now, now);
+    record.record_crash(
+        incarnation(999),
+        (1_000..1_500).map(RequestFingerprint),
+        now,
+        now,
+    );
     let later = now + Duration::from_secs(5);
     let mut new = CrashRecord::default();
     for _ in 0..8 {
         new.apply_update(&record.updates_to_send(later), later);
     }
     for fingerprint in 0..40 {
-        assert!(is_refused(&new, RequestFingerprint(fingerprint), later), "{fingerprint}");
+        assert!(
+            is_refused(&new, RequestFingerprint(fingerprint), later),
+            "{fingerprint}"
+        );
     }
 }
 
@@ -237,7 +262,10 @@
     }
     assert!(!is_refused(&record, OTHER, now));
     record_crashes(&mut record, [200, 201, 202], now);
-    assert!(is_refused(&record, FATAL, now), "all three crashed under it");
+    assert!(
+        is_refused(&record, FATAL, now),
+        "all three crashed under it"
+    );
 }
 
 /// Several requests that each crash a target a second, during the same time.
--- a/crates/sillpin-gateway/tests/fatal_fleet.rs
+++ b/crates/sillpin-gateway/tests/fatal_fleet.rs
@@ -10,7 +10,7 @@
 use rand::seq::IndexedRandom;
 use rstest::rstest;
 use sillpin_gateway::control::TargetEntry;
-use sillpin_gateway::fatal::{CrashReport, CrashRecord, RequestFingerprint};
+use sillpin_gateway::fatal::{CrashRecord, CrashReport, RequestFingerprint};
 use sillpin_gateway::peers::hub::Hub;
 use sillpin_gateway::place::work::LifeHash;
 use std::time::Duration;
@@ -129,7 +129,8 @@
         let in_contact = !one.cut && step - one.began > steps(contact);
         let must_know = known.is_some_and(|known| step - known > steps(contact));
         late += usize::from(in_contact && must_know);
-        one.memory.record_crash(incarnation(crashed), [FATAL], now, now);
+        one.memory
+            .record_crash(incarnation(crashed), [FATAL], now, now);
         crashed += 1;
         if crashed == 3 {
             known = Some(step);
@@ -142,8 +143,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_fatal_request_reaches_few_targets_in_fleets_of_any_size(
     #[values((7, 3, 3_000), (59, 3, 4_000), (295, 5, 5_000))] fleet: (usize, usize, u64),
-    #[values(Fault::None, Fault::Partition, Fault::Restart, Fault::HubsStop)]
-    fault: Fault,
+    #[values(Fault::None, Fault::Partition, Fault::Restart, Fault::HubsStop)] fault: Fault,
     #[values(1, 2, 3)] seed: u64,
 ) {
     let (count, zones, contact) = fleet;
--- a/crates/sillpin-gateway/tests/place.rs
+++ b/crates/sillpin-gateway/tests/place.rs
@@ -5,12 +5,12 @@
 use common::{anywhere, engine, name, store, target};
 use rstest::rstest;
 use sillpin_core::{ModelId, TargetId, Tokens, WeightVersion, ZoneId};
+use sillpin_gateway::cache_stores::CacheStores;
 use sillpin_gateway::config::Priority;
 use sillpin_gateway::config::{EngineSpec, FleetConfig};
 use sillpin_gateway::control::{KeptKey, KeptList};
 use sillpin_gateway::control::{Presence, TargetEntry};
 use sillpin_gateway::dialect::{LimitWord, Part, PartId, Prompt};
-use sillpin_gateway::cache_stores::CacheStores;
 use sillpin_gateway::place::choose::PromptChoice;
 use sillpin_gateway::place::index::TargetIndex;
 use sillpin_gateway::place::limits::Gate;
@@ -322,13 +322,17 @@
     let model = name("m");
     let chosen = || setting.choose(Some(long_prompt(&model)));
     let tokens_at_e1 = |tokens| vec![EngineWork(TargetHash::of(&target("e1")), 0, tokens, 1)];
-    setting.loads.apply_update(name("box-2"), tokens_at_e1(20_000));
+    setting
+        .loads
+        .apply_update(name("box-2"), tokens_at_e1(20_000));
     assert_eq!(
         chosen().as_deref(),
         Some("e1"),
         "there is room for one more"
     );
-    setting.loads.apply_update(name("box-2"), tokens_at_e1(37_000));
+    setting
+        .loads
+        .apply_update(name("box-2"), tokens_at_e1(37_000));
     assert_eq!(chosen().as_deref(), Some("e2"));
 }
 
--- a/crates/sillpin-gateway/tests/reclaimer.rs
+++ b/crates/sillpin-gateway/tests/reclaimer.rs
@@ -7,13 +7,13 @@
 use sillpin_gateway::awake::Awake;
 use sillpin_gateway::beliefs::fleet::Fleet;
 use sillpin_gateway::beliefs::{self, FleetMsg, Reading, Source, Topic};
+use sillpin_gateway::cache_stores::CacheStores;
+use sillpin_gateway::cache_stores::reclaimer::Reclaimer;
 use sillpin_gateway::control::{
     Control, ControlError, EngineReport, FreeOrder, KeptKey, KeptList, KeptNews, OrderOutcome,
     PartialPart, WeightsOrder,
 };
 use sillpin_gateway::dialect::{EngineTime, PartId, Salt};
-use sillpin_gateway::cache_stores::CacheStores;
-use sillpin_gateway::cache_stores::reclaimer::Reclaimer;
 use sillpin_platform::{KvRevision, Snapshot};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
--- a/crates/sillpin-gateway/tests/rollout.rs
+++ b/crates/sillpin-gateway/tests/rollout.rs
@@ -7,11 +7,11 @@
 use sillpin_gateway::awake::Awake;
 use sillpin_gateway::beliefs::fleet::Fleet;
 use sillpin_gateway::beliefs::{self, BoxEntry, FleetHandle, FleetMsg, Reading, Source, Topic};
+use sillpin_gateway::cache_stores::CacheStores;
 use sillpin_gateway::control::{
     Control, ControlError, EngineReport, FreeOrder, KeptList, KeptNews, OrderOutcome, Served,
     WeightsOrder,
 };
-use sillpin_gateway::cache_stores::CacheStores;
 use sillpin_gateway::place::Loads;
 use sillpin_gateway::weights::election::Election;
 use sillpin_gateway::weights::rollout::Rollout;
