--- a/crates/sillpin-gateway/src/fatal/crash_detector.rs
+++ b/crates/sillpin-gateway/src/fatal/crash_detector.rs
@@ -5,7 +5,7 @@
 //! by 61 targets that were alive. So a target counts as crashed if it refuses connections while another target of its zone accepts
 //! them, or if its entry shows another incarnation.
 
-use super::{FatalRequests, RequestFingerprint};
+use super::{FatalRequests, Fingerprint};
 use crate::beliefs::FleetHandle;
 use crate::control::TargetEntry;
 use crate::place::work::LifeHash;
@@ -41,7 +41,7 @@
     /// Its id.
     pub id: String,
     /// Its fingerprint.
-    pub fingerprint: RequestFingerprint,
+    pub fingerprint: Fingerprint,
 }
 
 /// Checks targets whose responses were cut off; clones share the pending checks.
--- a/crates/sillpin-gateway/src/fatal/fingerprint.rs
+++ b/crates/sillpin-gateway/src/fatal/fingerprint.rs
@@ -12,9 +12,9 @@
 )]
 #[display("{_0:016x}")]
 #[serde(transparent)]
-pub struct RequestFingerprint(pub u64);
+pub struct Fingerprint(pub u64);
 
-impl RequestFingerprint {
+impl Fingerprint {
     /// Returns the fingerprint of a request from `caller`.
     pub fn of(caller: &str, host: &str, method: &Method, path: &str, body: &[u8]) -> Self {
         let mut hash = Xxh3::new();
--- a/crates/sillpin-gateway/src/fatal/mod.rs
+++ b/crates/sillpin-gateway/src/fatal/mod.rs
@@ -15,7 +15,7 @@
 pub mod record;
 
 pub use crash_detector::CrashDetector;
-pub use fingerprint::RequestFingerprint;
+pub use fingerprint::Fingerprint;
 pub use record::{CrashRecord, CrashReport};
 
 use crate::place::work::LifeHash;
@@ -53,7 +53,7 @@
     pub fn record_crash(
         &self,
         incarnation: LifeHash,
-        under: impl IntoIterator<Item = RequestFingerprint>,
+        under: impl IntoIterator<Item = Fingerprint>,
         at: Instant,
     ) {
         let fatal = self
@@ -78,7 +78,7 @@
     }
 
     /// Tracks an attempt that is about to be sent to a target. It counts as abandoned there unless [`AttemptGuard::end`] is called.
-    pub fn sent(&self, fingerprint: RequestFingerprint, incarnation: LifeHash) -> AttemptGuard<'_> {
+    pub fn sent(&self, fingerprint: Fingerprint, incarnation: LifeHash) -> AttemptGuard<'_> {
         AttemptGuard {
             fatal: self,
             fingerprint,
@@ -87,7 +87,7 @@
         }
     }
 
-    fn log_fatal(&self, fatal: &[RequestFingerprint], source: &'static str) {
+    fn log_fatal(&self, fatal: &[Fingerprint], source: &'static str) {
         for fingerprint in fatal {
             event!(self.log, events::REQUEST_FATAL, "print" => fingerprint.to_string(), "source" => source);
         }
@@ -98,7 +98,7 @@
 /// target may still run it, and crash.
 pub struct AttemptGuard<'a> {
     fatal: &'a FatalRequests,
-    fingerprint: RequestFingerprint,
+    fingerprint: Fingerprint,
     incarnation: LifeHash,
     abandoned: bool,
 }
--- a/crates/sillpin-gateway/src/fatal/persist.rs
+++ b/crates/sillpin-gateway/src/fatal/persist.rs
@@ -5,7 +5,7 @@
 //! reads that key when it starts.
 
 use super::record::FATAL_CRASHES;
-use super::{CrashReport, FatalRequests, RequestFingerprint};
+use super::{CrashReport, FatalRequests, Fingerprint};
 use crate::beliefs::{FleetHandle, View};
 use crate::place::work::LifeHash;
 use serde::{Deserialize, Serialize};
@@ -41,7 +41,7 @@
 /// retention time longer or shorter by as much.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct KeptRequest {
-    print: RequestFingerprint,
+    print: Fingerprint,
     /// Targets that crashed under it, and when, in Unix milliseconds.
     ended: Vec<(LifeHash, u64)>,
 }
@@ -72,7 +72,7 @@
         };
         let persisting = async {
             // Number of crashes that the store is known to hold, by request.
-            let mut written: HashMap<RequestFingerprint, usize> = HashMap::new();
+            let mut written: HashMap<Fingerprint, usize> = HashMap::new();
             let mut views = self.fleet.subscribe();
             let mut era = StoreEra::default();
             loop {
@@ -107,7 +107,7 @@
     }
 
     /// Returns whether this box observed crashes that the store lacks. Crashes beyond [`FATAL_CRASHES`] need not be written.
-    fn has_unwritten(&self, written: &HashMap<RequestFingerprint, usize>) -> bool {
+    fn has_unwritten(&self, written: &HashMap<Fingerprint, usize>) -> bool {
         let reports = self.reports_to_persist();
         let record = self.fatal.record();
         let lacks = |report: &CrashReport| {
@@ -126,7 +126,7 @@
         record.to_persist(MIN_CRASHES, MAX_PERSISTED, Instant::now())
     }
 
-    async fn write(&self, written: &mut HashMap<RequestFingerprint, usize>) {
+    async fn write(&self, written: &mut HashMap<Fingerprint, usize>) {
         let mut backoff = MIN_BACKOFF;
         loop {
             match self.write_once().await {
--- a/crates/sillpin-gateway/src/fatal/record.rs
+++ b/crates/sillpin-gateway/src/fatal/record.rs
@@ -7,7 +7,7 @@
 //! Boxes exchange their histories. Merging two of them takes the union of the crashed targets and the later of the times at which
 //! the request was served, so the order, number and route of the reports do not matter.
 
-use super::RequestFingerprint;
+use super::Fingerprint;
 use crate::place::work::LifeHash;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -61,7 +61,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
     /// The request.
-    pub fingerprint: RequestFingerprint,
+    pub fingerprint: Fingerprint,
     /// Targets that crashed under it, with the age of each crash.
     pub crashes: Vec<(LifeHash, u32)>,
     /// Age of the last time that it was served.
@@ -145,7 +145,7 @@
         oldest.is_some_and(|incarnation| self.crashes.remove(&incarnation).is_some())
     }
 
-    fn report(&self, fingerprint: RequestFingerprint, now: Instant) -> CrashReport {
+    fn report(&self, fingerprint: Fingerprint, now: Instant) -> CrashReport {
         let age = |at: Instant| {
             let age = now.saturating_duration_since(at);
             u32::try_from(age.as_millis()).unwrap_or(u32::MAX)
@@ -165,7 +165,7 @@
 /// An attempt that this box abandoned before the response.
 #[derive(Debug)]
 struct AbandonedAttempt {
-    fingerprint: RequestFingerprint,
+    fingerprint: Fingerprint,
     incarnation: LifeHash,
     at: Instant,
 }
@@ -173,11 +173,11 @@
 /// Requests under which targets crashed.
 #[derive(Debug, Default)]
 pub struct CrashRecord {
-    suspects: BTreeMap<RequestFingerprint, Suspect>,
+    suspects: BTreeMap<Fingerprint, Suspect>,
     /// Attempts that this box abandoned before the response, oldest first.
     abandoned: VecDeque<AbandonedAttempt>,
-    last_fatal_sent: Option<RequestFingerprint>,
-    last_other_sent: Option<RequestFingerprint>,
+    last_fatal_sent: Option<Fingerprint>,
+    last_other_sent: Option<Fingerprint>,
 }
 
 impl CrashRecord {
@@ -185,10 +185,10 @@
     pub fn record_crash(
         &mut self,
         incarnation: LifeHash,
-        under: impl IntoIterator<Item = RequestFingerprint>,
+        under: impl IntoIterator<Item = Fingerprint>,
         at: Instant,
         now: Instant,
-    ) -> Vec<RequestFingerprint> {
+    ) -> Vec<Fingerprint> {
         let mut fingerprints = self.take_abandoned(incarnation, at);
         fingerprints.extend(under);
         fingerprints.sort_unstable();
@@ -205,7 +205,7 @@
         &mut self,
         incarnation: LifeHash,
         crashed_at: Instant,
-    ) -> Vec<RequestFingerprint> {
+    ) -> Vec<Fingerprint> {
         let is_at_target = |attempt: &AbandonedAttempt| attempt.incarnation == incarnation;
         let is_recent = |attempt: &&AbandonedAttempt| {
             crashed_at.saturating_duration_since(attempt.at) < ABANDONED_TIME
@@ -222,7 +222,7 @@
 
     fn add_crash(
         &mut self,
-        fingerprint: RequestFingerprint,
+        fingerprint: Fingerprint,
         incarnation: LifeHash,
         at: Instant,
         now: Instant,
@@ -240,7 +240,7 @@
     /// Records that this box abandoned an attempt before the response: its target may still run it.
     pub fn record_abandoned(
         &mut self,
-        fingerprint: RequestFingerprint,
+        fingerprint: Fingerprint,
         incarnation: LifeHash,
         now: Instant,
     ) {
@@ -265,7 +265,7 @@
     }
 
     /// Records that a request was served, which clears it of all earlier crashes.
-    pub fn served(&mut self, fingerprint: RequestFingerprint, now: Instant) {
+    pub fn served(&mut self, fingerprint: Fingerprint, now: Instant) {
         if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
             suspect.served = Some(now);
             suspect.changed = now;
@@ -274,7 +274,7 @@
     }
 
     /// Returns until when a request is refused, if it is known to be fatal.
-    pub fn refused_until(&self, fingerprint: RequestFingerprint, now: Instant) -> Option<Instant> {
+    pub fn refused_until(&self, fingerprint: Fingerprint, now: Instant) -> Option<Instant> {
         let suspect = self.suspects.get(&fingerprint)?;
         let count = suspect.crash_count();
         if count < FATAL_CRASHES {
@@ -314,7 +314,7 @@
     }
 
     /// Returns the number of crashes that count for a request.
-    fn crash_count(&self, fingerprint: RequestFingerprint) -> usize {
+    fn crash_count(&self, fingerprint: Fingerprint) -> usize {
         self.suspects
             .get(&fingerprint)
             .map_or(0, Suspect::crash_count)
@@ -325,7 +325,7 @@
         &mut self,
         reports: &[CrashReport],
         now: Instant,
-    ) -> Vec<RequestFingerprint> {
+    ) -> Vec<Fingerprint> {
         let mut fatal = Vec::new();
         for (incarnation, age) in reports.iter().flat_map(|report| &report.crashes) {
             let crashed_at = now.checked_sub(Duration::from_millis(u64::from(*age)));
@@ -386,7 +386,7 @@
     pub fn updates_to_send(&mut self, now: Instant) -> Vec<CrashReport> {
         self.remove_expired(now);
         let is_recent = |suspect: &Suspect| now.saturating_duration_since(suspect.changed) < RECENT;
-        let mut fingerprints: Vec<RequestFingerprint> = self
+        let mut fingerprints: Vec<Fingerprint> = self
             .suspects
             .iter()
             .filter(|(_, suspect)| is_recent(suspect))
@@ -406,7 +406,7 @@
         fingerprints.extend(others);
         fingerprints.sort_unstable();
         fingerprints.dedup();
-        let report = |fingerprint: RequestFingerprint| {
+        let report = |fingerprint: Fingerprint| {
             Some(self.suspects.get(&fingerprint)?.report(fingerprint, now))
         };
         fingerprints.into_iter().filter_map(report).collect()
@@ -415,13 +415,13 @@
     /// Returns the next requests after `after`, wrapping around at the end.
     fn next_in_rotation(
         &self,
-        after: Option<RequestFingerprint>,
+        after: Option<Fingerprint>,
         max: usize,
         takes: impl Fn(usize) -> bool,
-    ) -> Vec<RequestFingerprint> {
+    ) -> Vec<Fingerprint> {
         let begin = after.map_or(Bound::Unbounded, Bound::Excluded);
         let following = self.suspects.range((begin, Bound::Unbounded));
-        let taken = |(fingerprint, suspect): (&RequestFingerprint, &Suspect)| {
+        let taken = |(fingerprint, suspect): (&Fingerprint, &Suspect)| {
             takes(suspect.crash_count()).then_some(*fingerprint)
         };
         following
@@ -434,20 +434,20 @@
     /// Returns at most `max` requests with at least `min_crashes` crashes, for persistence: most crashes first, then newest first.
     pub fn to_persist(&self, min_crashes: usize, max: usize, now: Instant) -> Vec<CrashReport> {
         let enough =
-            |(_, suspect): &(&RequestFingerprint, &Suspect)| suspect.crash_count() >= min_crashes;
+            |(_, suspect): &(&Fingerprint, &Suspect)| suspect.crash_count() >= min_crashes;
         let mut selected: Vec<_> = self.suspects.iter().filter(enough).collect();
         selected.sort_by_key(|(_, suspect)| {
             std::cmp::Reverse((suspect.crash_count(), suspect.changed))
         });
         selected.truncate(max);
-        let report = |(fingerprint, suspect): (&RequestFingerprint, &Suspect)| {
+        let report = |(fingerprint, suspect): (&Fingerprint, &Suspect)| {
             suspect.report(*fingerprint, now)
         };
         selected.into_iter().map(report).collect()
     }
 
     /// Returns whether this box itself observed the last change of a request.
-    pub fn is_observed_here(&self, fingerprint: RequestFingerprint) -> bool {
+    pub fn is_observed_here(&self, fingerprint: Fingerprint) -> bool {
         let suspect = self.suspects.get(&fingerprint);
         suspect.is_some_and(|suspect| suspect.observed == Some(suspect.changed))
     }
--- a/crates/sillpin-gateway/src/front/admit.rs
+++ b/crates/sillpin-gateway/src/front/admit.rs
@@ -6,7 +6,7 @@
 use crate::beliefs::View;
 use crate::config::{FleetConfig, Organisation, Priority, Route};
 use crate::dialect::{Demand, Dialect};
-use crate::fatal::RequestFingerprint;
+use crate::fatal::Fingerprint;
 use hyper::body::Incoming;
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Method, StatusCode};
@@ -44,7 +44,7 @@
     /// Body.
     pub body: HeldBody,
     /// What makes it like a request that came before.
-    pub fingerprint: RequestFingerprint,
+    pub fingerprint: Fingerprint,
 }
 
 impl Run {
@@ -106,7 +106,7 @@
             None => demand.key.as_deref().unwrap_or_default(),
         };
         let fingerprint =
-            RequestFingerprint::of(caller, &demand.host, &parts.method, &path, &body.bytes);
+            Fingerprint::of(caller, &demand.host, &parts.method, &path, &body.bytes);
         Ok(Run {
             fingerprint,
             demand,
--- a/crates/sillpin-gateway/tests/fatal.rs
+++ b/crates/sillpin-gateway/tests/fatal.rs
@@ -9,13 +9,13 @@
 use rstest::rstest;
 use sillpin_gateway::control::TargetEntry;
 use sillpin_gateway::fatal::record::MAX_REQUESTS;
-use sillpin_gateway::fatal::{CrashRecord, CrashReport, RequestFingerprint};
+use sillpin_gateway::fatal::{CrashRecord, CrashReport, Fingerprint};
 use sillpin_gateway::place::work::LifeHash;
 use std::time::Duration;
 use tokio::time::Instant;
 
-const FATAL: RequestFingerprint = RequestFingerprint(1);
-const OTHER: RequestFingerprint = RequestFingerprint(2);
+const FATAL: Fingerprint = Fingerprint(1);
+const OTHER: Fingerprint = Fingerprint(2);
 
 fn incarnation(number: usize) -> LifeHash {
     LifeHash::of(&TargetEntry {
@@ -35,7 +35,7 @@
     }
 }
 
-fn is_refused(record: &CrashRecord, fingerprint: RequestFingerprint, now: Instant) -> bool {
+fn is_refused(record: &CrashRecord, fingerprint: Fingerprint, now: Instant) -> bool {
     record.refused_until(fingerprint, now).is_some()
 }
 
@@ -98,14 +98,14 @@
         record.record_abandoned(OTHER, incarnation(number + 10), now);
         record.record_crash(
             incarnation(number),
-            [RequestFingerprint(9 + number as u64)],
+            [Fingerprint(9 + number as u64)],
             now,
             now,
         );
     }
     let late = now + Duration::from_secs(3);
     for number in 10..13 {
-        record.record_crash(incarnation(number), [RequestFingerprint(50)], late, late);
+        record.record_crash(incarnation(number), [Fingerprint(50)], late, late);
     }
     assert!(is_refused(&record, FATAL, now));
     assert!(
@@ -135,7 +135,7 @@
     for number in 0..3 * MAX_REQUESTS as u64 {
         record.record_crash(
             incarnation(100),
-            [RequestFingerprint(10 + number)],
+            [Fingerprint(10 + number)],
             now,
             now,
         );
@@ -157,7 +157,7 @@
             now += Duration::from_millis(100);
             record.record_crash(
                 incarnation(fingerprint * 3 + number),
-                [RequestFingerprint(fingerprint as u64)],
+                [Fingerprint(fingerprint as u64)],
                 now,
                 now,
             );
@@ -165,7 +165,7 @@
     }
     record.record_crash(
         incarnation(999),
-        (1_000..1_500).map(RequestFingerprint),
+        (1_000..1_500).map(Fingerprint),
         now,
         now,
     );
@@ -176,7 +176,7 @@
     }
     for fingerprint in 0..40 {
         assert!(
-            is_refused(&new, RequestFingerprint(fingerprint), later),
+            is_refused(&new, Fingerprint(fingerprint), later),
             "{fingerprint}"
         );
     }
@@ -196,8 +196,8 @@
             // Longer than the rounding of the reported ages.
             now += Duration::from_millis(5);
             match served {
-                true => boxes[at].served(RequestFingerprint(fingerprint), now),
-                false => drop(boxes[at].record_crash(incarnation(target), [RequestFingerprint(fingerprint)], now, now)),
+                true => boxes[at].served(Fingerprint(fingerprint), now),
+                false => drop(boxes[at].record_crash(incarnation(target), [Fingerprint(fingerprint)], now, now)),
             }
         }
         let reports: Vec<Vec<CrashReport>> = boxes.iter_mut().map(|record| record.updates_to_send(now)).collect();
@@ -210,7 +210,7 @@
             other.apply_update(&reports[at], now);
         }
         for fingerprint in 1..4 {
-            let fingerprint = RequestFingerprint(fingerprint);
+            let fingerprint = Fingerprint(fingerprint);
             prop_assert_eq!(is_refused(&one, fingerprint, now), is_refused(&other, fingerprint, now));
         }
     }
@@ -254,7 +254,7 @@
     for wave in 0..5 {
         for number in 0..5 {
             let at = now + Duration::from_millis(10 * number as u64);
-            let beside = RequestFingerprint((100 + 10 * wave + number) as u64);
+            let beside = Fingerprint((100 + 10 * wave + number) as u64);
             record.record_crash(incarnation(10 * wave + number), [beside], at, at);
         }
         record.record_crash(incarnation(10 * wave), [OTHER], now, now);
@@ -276,12 +276,12 @@
 async fn fatal_requests_do_not_clear_each_other(#[case] count: u64) {
     let mut rng = StdRng::seed_from_u64(count);
     let mut record = CrashRecord::default();
-    let mut crashes: Vec<(u64, RequestFingerprint)> = Vec::new();
+    let mut crashes: Vec<(u64, Fingerprint)> = Vec::new();
     for fingerprint in 0..count {
         let mut at = 0;
         for _ in 0..6 {
             at += rng.random_range(600..1_400);
-            crashes.push((at, RequestFingerprint(fingerprint)));
+            crashes.push((at, Fingerprint(fingerprint)));
         }
     }
     crashes.sort_unstable();
--- a/crates/sillpin-gateway/tests/fatal_fleet.rs
+++ b/crates/sillpin-gateway/tests/fatal_fleet.rs
@@ -10,7 +10,7 @@
 use rand::seq::IndexedRandom;
 use rstest::rstest;
 use sillpin_gateway::control::TargetEntry;
-use sillpin_gateway::fatal::{CrashRecord, CrashReport, RequestFingerprint};
+use sillpin_gateway::fatal::{CrashRecord, CrashReport, Fingerprint};
 use sillpin_gateway::peers::hub::Hub;
 use sillpin_gateway::place::work::LifeHash;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 /// Maximum number of times that the request reaches a target once boxes must know it.
 const MAX_LATE: usize = 3;
 
-const FATAL: RequestFingerprint = RequestFingerprint(7);
+const FATAL: Fingerprint = Fingerprint(7);
 
 /// Fault of some boxes while the request arrives.
 #[derive(Debug, Clone, Copy, PartialEq)]
