--- a/crates/sillpin-gateway/src/fatal/record.rs
+++ b/crates/sillpin-gateway/src/fatal/record.rs
@@ -52,7 +52,7 @@
 
 /// Time after an attempt was abandoned, by its caller or at its timeout, in which a crash of the target counts for the request: the
 /// target may still run it.
-const ABANDONED_TIME: Duration = Duration::from_secs(2);
+const ABANDONED_FOR: Duration = Duration::from_secs(2);
 
 /// Maximum number of abandoned attempts that are recorded: more than a box abandons in that time.
 const MAX_ABANDONED: usize = 512;
@@ -164,7 +164,7 @@
 
 /// An attempt that this box abandoned before the response.
 #[derive(Debug)]
-struct AbandonedAttempt {
+struct Abandoned {
     fingerprint: Fingerprint,
     incarnation: LifeHash,
     at: Instant,
@@ -175,9 +175,10 @@
 pub struct CrashRecord {
     suspects: BTreeMap<Fingerprint, Suspect>,
     /// Attempts that this box abandoned before the response, oldest first.
-    abandoned: VecDeque<AbandonedAttempt>,
-    last_fatal_sent: Option<Fingerprint>,
-    last_other_sent: Option<Fingerprint>,
+    abandoned: VecDeque<Abandoned>,
+    /// The last fatal request, and the last other one, in the previous message.
+    last_fatal: Option<Fingerprint>,
+    last_other: Option<Fingerprint>,
 }
 
 impl CrashRecord {
@@ -201,15 +202,9 @@
 
     /// Removes the attempts that this box abandoned at a target, and returns the requests of those abandoned shortly before it
     /// crashed.
-    fn take_abandoned(
-        &mut self,
-        incarnation: LifeHash,
-        crashed_at: Instant,
-    ) -> Vec<Fingerprint> {
-        let is_at_target = |attempt: &AbandonedAttempt| attempt.incarnation == incarnation;
-        let is_recent = |attempt: &&AbandonedAttempt| {
-            crashed_at.saturating_duration_since(attempt.at) < ABANDONED_TIME
-        };
+    fn take_abandoned(&mut self, incarnation: LifeHash, crash: Instant) -> Vec<Fingerprint> {
+        let is_at_target = |attempt: &Abandoned| attempt.incarnation == incarnation;
+        let is_recent = |one: &&Abandoned| crash.saturating_duration_since(one.at) < ABANDONED_FOR;
         let recent = self
             .abandoned
             .iter()
@@ -248,7 +243,7 @@
             self.abandoned.pop_front();
         }
         let at = now;
-        self.abandoned.push_back(AbandonedAttempt {
+        self.abandoned.push_back(Abandoned {
             fingerprint,
             incarnation,
             at,
@@ -258,7 +253,7 @@
     /// Returns whether this box recently abandoned an attempt at a target.
     pub fn has_abandoned(&self, incarnation: LifeHash, now: Instant) -> bool {
         let is_recent =
-            |attempt: &AbandonedAttempt| now.saturating_duration_since(attempt.at) < ABANDONED_TIME;
+            |attempt: &Abandoned| now.saturating_duration_since(attempt.at) < ABANDONED_FOR;
         self.abandoned
             .iter()
             .any(|attempt| attempt.incarnation == incarnation && is_recent(attempt))
@@ -280,7 +275,7 @@
         if count < FATAL_CRASHES {
             return None;
         }
-        let has_other_cause = |incarnation: &LifeHash| {
+        let is_explained = |incarnation: &LifeHash| {
             let others = self
                 .suspects
                 .iter()
@@ -288,10 +283,8 @@
             let mut there = others.filter(|(_, other)| other.crashes.contains_key(incarnation));
             there.any(|(_, other)| explains(other.crash_count(), count))
         };
-        let is_unexplained = |incarnation: &&LifeHash| {
-            !has_other_cause(incarnation) && !self.is_mass_crash(suspect, incarnation)
-        };
-        let unexplained = suspect.counted_crashes().filter(is_unexplained).count();
+        let counts = |id: &&LifeHash| !is_explained(id) && !self.is_mass_crash(suspect, id);
+        let unexplained = suspect.counted_crashes().filter(counts).count();
         let until = suspect.last_crash()? + FATAL_RETENTION;
         (unexplained >= FATAL_CRASHES && now < until).then_some(until)
     }
@@ -321,11 +314,7 @@
     }
 
     /// Applies reports from another box or from the platform store. Returns the requests that are refused from now on.
-    pub fn apply_update(
-        &mut self,
-        reports: &[CrashReport],
-        now: Instant,
-    ) -> Vec<Fingerprint> {
+    pub fn apply_update(&mut self, reports: &[CrashReport], now: Instant) -> Vec<Fingerprint> {
         let mut fatal = Vec::new();
         for (incarnation, age) in reports.iter().flat_map(|report| &report.crashes) {
             let crashed_at = now.checked_sub(Duration::from_millis(u64::from(*age)));
@@ -394,26 +383,20 @@
             .collect();
         fingerprints.sort_by_key(|fingerprint| std::cmp::Reverse(self.crash_count(*fingerprint)));
         fingerprints.truncate(MAX_RECENT);
-        let fatal = self.next_in_rotation(self.last_fatal_sent, MAX_FATAL, |count| {
-            count >= FATAL_CRASHES
-        });
-        self.last_fatal_sent = fatal.last().copied();
-        let others = self.next_in_rotation(self.last_other_sent, MAX_OTHERS, |count| {
-            count < FATAL_CRASHES
-        });
-        self.last_other_sent = others.last().copied();
+        let fatal = self.next_after(self.last_fatal, MAX_FATAL, |count| count >= FATAL_CRASHES);
+        self.last_fatal = fatal.last().copied();
+        let others = self.next_after(self.last_other, MAX_OTHERS, |count| count < FATAL_CRASHES);
+        self.last_other = others.last().copied();
         fingerprints.extend(fatal);
         fingerprints.extend(others);
         fingerprints.sort_unstable();
         fingerprints.dedup();
-        let report = |fingerprint: Fingerprint| {
-            Some(self.suspects.get(&fingerprint)?.report(fingerprint, now))
-        };
+        let report = |of: Fingerprint| Some(self.suspects.get(&of)?.report(of, now));
         fingerprints.into_iter().filter_map(report).collect()
     }
 
     /// Returns the next requests after `after`, wrapping around at the end.
-    fn next_in_rotation(
+    fn next_after(
         &self,
         after: Option<Fingerprint>,
         max: usize,
@@ -421,9 +404,8 @@
     ) -> Vec<Fingerprint> {
         let begin = after.map_or(Bound::Unbounded, Bound::Excluded);
         let following = self.suspects.range((begin, Bound::Unbounded));
-        let taken = |(fingerprint, suspect): (&Fingerprint, &Suspect)| {
-            takes(suspect.crash_count()).then_some(*fingerprint)
-        };
+        let taken =
+            |(key, suspect): (&Fingerprint, &Suspect)| takes(suspect.crash_count()).then_some(*key);
         following
             .chain(self.suspects.iter())
             .filter_map(taken)
@@ -433,17 +415,12 @@
 
     /// Returns at most `max` requests with at least `min_crashes` crashes, for persistence: most crashes first, then newest first.
     pub fn to_persist(&self, min_crashes: usize, max: usize, now: Instant) -> Vec<CrashReport> {
-        let enough =
-            |(_, suspect): &(&Fingerprint, &Suspect)| suspect.crash_count() >= min_crashes;
-        let mut selected: Vec<_> = self.suspects.iter().filter(enough).collect();
-        selected.sort_by_key(|(_, suspect)| {
-            std::cmp::Reverse((suspect.crash_count(), suspect.changed))
-        });
-        selected.truncate(max);
-        let report = |(fingerprint, suspect): (&Fingerprint, &Suspect)| {
-            suspect.report(*fingerprint, now)
-        };
-        selected.into_iter().map(report).collect()
+        let enough = |(_, suspect): &(&Fingerprint, &Suspect)| suspect.crash_count() >= min_crashes;
+        let mut top: Vec<_> = self.suspects.iter().filter(enough).collect();
+        top.sort_by_key(|(_, suspect)| std::cmp::Reverse((suspect.crash_count(), suspect.changed)));
+        top.truncate(max);
+        let report = |(key, suspect): (&Fingerprint, &Suspect)| suspect.report(*key, now);
+        top.into_iter().map(report).collect()
     }
 
     /// Returns whether this box itself observed the last change of a request.
--- a/crates/sillpin-gateway/src/front/admit.rs
+++ b/crates/sillpin-gateway/src/front/admit.rs
@@ -105,8 +105,7 @@
             Some(org) => org.id.as_str(),
             None => demand.key.as_deref().unwrap_or_default(),
         };
-        let fingerprint =
-            Fingerprint::of(caller, &demand.host, &parts.method, &path, &body.bytes);
+        let fingerprint = Fingerprint::of(caller, &demand.host, &parts.method, &path, &body.bytes);
         Ok(Run {
             fingerprint,
             demand,
--- a/crates/sillpin-gateway/tests/fatal.rs
+++ b/crates/sillpin-gateway/tests/fatal.rs
@@ -133,12 +133,7 @@
     let (mut record, now) = (CrashRecord::default(), Instant::now());
     record_crashes(&mut record, 0..3, now);
     for number in 0..3 * MAX_REQUESTS as u64 {
-        record.record_crash(
-            incarnation(100),
-            [Fingerprint(10 + number)],
-            now,
-            now,
-        );
+        record.record_crash(incarnation(100), [Fingerprint(10 + number)], now, now);
     }
     assert!(record.len() <= MAX_REQUESTS, "{}", record.len());
     assert!(is_refused(&record, FATAL, now));
@@ -163,12 +158,7 @@
             );
         }
     }
-    record.record_crash(
-        incarnation(999),
-        (1_000..1_500).map(Fingerprint),
-        now,
-        now,
-    );
+    record.record_crash(incarnation(999), (1_000..1_500).map(Fingerprint), now, now);
     let later = now + Duration::from_secs(5);
     let mut new = CrashRecord::default();
     for _ in 0..8 {
