--- a/crates/sillpin-gateway/src/cache_stores/directory.rs
+++ b/crates/sillpin-gateway/src/cache_stores/directory.rs
@@ -117,12 +117,12 @@
 
 impl Directory {
     /// Starts to track a store. This box may have started, or received the configuration that names the store, just after a
-    /// restart of the store that other boxes have not detected yet, so the first incarnation that is found counts as a restart.
+    /// restart of the store that other boxes have not detected yet, so the first incarnation that it detects counts as a restart.
     pub fn track(&mut self, addr: SocketAddr, now: Instant) {
         self.incarnations.entry(addr).or_default().detected = Some(now);
     }
 
-    /// Records the incarnation in which a store received_at; a changed epoch counts as a restart.
+    /// Records the incarnation in which a store answered; a changed epoch counts as a restart.
     fn record_epoch(&mut self, addr: SocketAddr, epoch: u64, now: Instant) {
         let new = || Incarnation {
             epoch: Some(epoch),
@@ -144,8 +144,8 @@
         detected.is_some_and(|at| now - at < RESTART_HOLD_OFF)
     }
 
-    /// Replaces the content of a store with a listing that was requested at `requested_at`, unless newer data is known: an older copy
-    /// may be of an incarnation that has ended.
+    /// Replaces the content of a store with a listing, unless data requested later is known: an older listing may be of an
+    /// incarnation that has ended.
     pub fn apply_list(&mut self, addr: SocketAddr, list: KeptList, requested_at: Instant) {
         if self.last_confirmed(addr) > Some(requested_at) {
             return;
@@ -212,8 +212,7 @@
         known.is_some_and(|known| known.epoch == begin.epoch && begin.next <= known.next)
     }
 
-    /// Takes another box's confirmation, requested at `requested_at`, that a store is at a position. Returns `false` if this box lacks
-    /// changes up to there.
+    /// Applies another box's confirmation that a store is at a position. Returns `false` if this box lacks changes up to there.
     pub fn confirm(&mut self, addr: SocketAddr, position: Position, requested_at: Instant) -> bool {
         let Some(state) = self.stores.get_mut(&addr) else {
             return false;
@@ -345,7 +344,7 @@
     }
 }
 
-/// State of kept parts, shared by the store readers and request placement; clones share it.
+/// State of the cache stores, shared by their readers and request placement; clones share it.
 #[derive(Debug, Clone, Default)]
 pub struct CacheStores {
     directory: Arc<Mutex<Directory>>,
--- a/crates/sillpin-gateway/src/cache_stores/fetch_shares.rs
+++ b/crates/sillpin-gateway/src/cache_stores/fetch_shares.rs
@@ -74,7 +74,7 @@
         *mean += SAMPLE_WEIGHT * (millis(excess) - *mean);
     }
 
-    /// Records that a prompt with a fetch took `excess` longer than prefill and transfer explain. `latency_objective` is the latency objective for
+    /// Records that a prompt with a fetch took `excess` longer than prefill and transfer explain. `latency_objective` applies to
     /// its first event.
     pub fn record_fetch(
         &mut self,
--- a/crates/sillpin-gateway/src/cache_stores/mod.rs
+++ b/crates/sillpin-gateway/src/cache_stores/mod.rs
@@ -1,4 +1,4 @@
-//! KV cache kept in external stores: which parts of prompts each store holds.
+//! Cache stores: targets that keep KV cache of parts of prompts for the engines.
 //!
 //! A part may be fetched only while it is known to be complete. The known content of a store therefore
 //! expires soon after the last successful poll, and immediately when a poll fails: a store that
--- a/crates/sillpin-gateway/src/cache_stores/reader.rs
+++ b/crates/sillpin-gateway/src/cache_stores/reader.rs
@@ -1,4 +1,5 @@
-//! Tasks that poll the stores for changes, one for each store that this box polls.
+//! Tasks that poll the cache stores for changes, one for each store that this box polls. In a large fleet one box of each zone,
+//! the zone's reader, polls a store and sends the results to the others.
 
 use super::CacheStores;
 use crate::beliefs::{BoxEntry, FleetHandle, View};
@@ -31,7 +32,7 @@
 /// zone, and prompts return after seconds.
 const LARGE_POLL_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Interval at which a box checks whether to poll a store that it does not poll yet.
+/// Interval at which a box checks whether to start polling a store.
 const TURN_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A box that has just started lists each store itself, after a random delay of at most this much times the number of boxes in the
@@ -115,8 +116,8 @@
     }
 }
 
-/// Tracks the stores that the configuration names, and starts a reader for each one that this box is to poll. One task manages all
-/// of them: most boxes of a large zone poll one store of dozens.
+/// Tracks the stores that the configuration names, and starts a reader for each one that this box is to poll. One task manages
+/// them all, since most boxes of a large zone poll one store of dozens.
 pub async fn run<C: Control>(readers: Readers<C>) {
     let mut tracked: HashMap<SocketAddr, TrackedStore> = HashMap::new();
     let mut config: Option<Arc<FleetConfig>> = None;
@@ -158,7 +159,7 @@
 }
 
 impl<C: Control> Readers<C> {
-    /// Starts to track stores that the configuration names anew, and drops those that it no longer names.
+    /// Starts to track stores that are new in the configuration, and drops those that it no longer names.
     fn track(&self, tracked: &mut HashMap<SocketAddr, TrackedStore>, stores: &[StoreSpec]) {
         let configured: HashSet<SocketAddr> = stores.iter().map(|store| store.addr).collect();
         tracked.retain(|addr, store| {
@@ -287,13 +288,13 @@
         }
     }
 
-    /// Returns whether to send the result of a poll to the zone. In a large fleet also a result without changes is sent: while no
-    /// fault occurs, boxes have no other source about the stores.
+    /// Returns whether to send the result of a poll to the zone. In a large fleet a result without changes is sent too: while there
+    /// is no fault, the other boxes have no other way to confirm the stores' content.
     fn should_send(&self, news: &KeptNews) -> bool {
         !news.changes.is_empty() || self.is_large_fleet()
     }
 
-    /// Returns whether to poll again after `polls` polls. The first poll is always made, also if the reason for it has passed.
+    /// Returns whether to poll again after `polls` polls. The first poll is always made, even if the reason for it has passed.
     fn should_continue(&mut self, polls: u32) -> bool {
         polls == 0 || self.needs_clock(polls) || self.should_poll()
     }
--- a/crates/sillpin-gateway/src/cache_stores/retire.rs
+++ b/crates/sillpin-gateway/src/cache_stores/retire.rs
@@ -1,9 +1,9 @@
 //! Retirement of parts that were made under replaced weights.
 //!
-//! While engines change to new weights, the stores hold parts of both versions and may have capacity for one
-//! only. Parts of the old version are therefore retired as the stores fill up, but no faster than the engines change: when a
-//! share of the engines serves newer weights, up to the same share of the parts, by hash, is no longer fetched
-//! or saved, and the leader may free them. Parts of a version that no engine serves are all retired.
+//! While engines change to new weights, the cache stores hold parts of both versions and may have capacity for one only. Parts of
+//! the old version are therefore retired as the stores fill up, but no faster than the engines change: when a share of the engines
+//! serves newer weights, up to the same share of the parts, by hash, is no longer fetched or saved, and the leader may free them.
+//! Parts of a version that no engine serves are all retired.
 //!
 //! A part is never freed while it is being fetched. Each box reports in its digests which share it has retired, and never
 //! lowers it while it runs; a box that restarts takes the shares over from the others. A box from which no digest arrives
@@ -69,12 +69,14 @@
 /// Retired shares by version.
 type Shares = BTreeMap<Weights, f64>;
 
+/// Shares that were in force on this box at a time.
 #[derive(Debug)]
 struct Sample {
     at: Instant,
     shares: Shares,
 }
 
+/// Content of the last digest of another box.
 #[derive(Debug)]
 struct PeerReport {
     at: Instant,
--- a/crates/sillpin-gateway/src/fatal/record.rs
+++ b/crates/sillpin-gateway/src/fatal/record.rs
@@ -2,7 +2,7 @@
 //!
 //! A single crash does not show which request caused it: each of the dozens that ran on the target is equally likely. So all of them
 //! are recorded, and only a request under which [`FATAL_CRASHES`] targets crashed is refused. A request is cleared of a crash in three
-//! cases: it was served since, another known request explains the crash, or other targets crashed at the same time.
+//! cases: it was served since, another request with more crashes explains it, or other targets crashed at the same time.
 //!
 //! Boxes exchange their histories. Merging two of them takes the union of the crashed targets and the later of the times at which
 //! the request was served, so the order, number and route of the reports do not matter.
--- a/crates/sillpin-gateway/src/weights/election.rs
+++ b/crates/sillpin-gateway/src/weights/election.rs
@@ -52,7 +52,7 @@
     record_lost_until: Option<Instant>,
     /// Era of the store whose orders the record covers until `record_lost_until`.
     recorded_era: StoreEra,
-    /// When operators requested weights, for the record; initially as the previous leader wrote it.
+    /// Ages of the operators' requests for weights, for the record; initially as the previous leader wrote them.
     pub version_ages: Vec<NamedAge>,
     /// Revision of the record of orders.
     record: KvRevision,
@@ -112,7 +112,7 @@
 }
 
 impl Leadership {
-    /// Returns whether an order may be sent at `now`, a time of [`Awake::now`].
+    /// Returns whether an order may be sent at `now`, a time read from [`Awake::now`].
     pub fn may_order(&self, now: Instant) -> bool {
         now < self.orders_until
     }
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Records a renewal that was requested at `requested_at`, a time of [`Awake::now`].
+    /// Records a renewal that was requested at `requested_at`, a time read from [`Awake::now`].
     pub fn lease_renewed(&mut self, requested_at: Instant) {
         self.orders_until = requested_at + LEASE_TTL - ORDER_CUTOFF;
     }
--- a/crates/sillpin-gateway/src/weights/rollout.rs
+++ b/crates/sillpin-gateway/src/weights/rollout.rs
@@ -47,7 +47,7 @@
 const FAILURE_COOLDOWN: Duration = Duration::from_millis(800);
 
 /// Number of boxes of a zone that stand for election. Each watch is a call to the platform store, and all watches return together
-/// when leadership becomes free; a candidate that is no longer heard from is replaced within seconds.
+/// when leadership becomes free; a candidate whose reports stop is replaced within seconds.
 const CANDIDATES: usize = 3;
 
 /// Name of the leader's role in the hash that chooses the candidates.
@@ -56,7 +56,7 @@
 /// Interval at which a box checks whether it is a candidate.
 const CANDIDATE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time after its start during which a box assumes that all registered boxes are alive, since it has not heard from them yet.
+/// Time after its start during which a box assumes that all registered boxes are alive, since it has no reports from them yet.
 const START_UP_TIME: Duration = Duration::from_secs(3);
 
 /// Time that a box configured with peers waits, while it knows no other box, before it assumes that it is the only one: it reads the
@@ -80,7 +80,7 @@
     pub fleet: FleetHandle,
     /// Load of targets and liveness of boxes.
     pub loads: Loads,
-    /// State of kept parts.
+    /// State of the cache stores.
     pub kept: CacheStores,
     /// Updates for all boxes.
     pub news: mpsc::Sender<LoadNews>,
