--- a/crates/sillpin-gateway/src/lib.rs
+++ b/crates/sillpin-gateway/src/lib.rs
@@ -11,7 +11,7 @@
 //! - [`beliefs`]: what the box knows of the fleet, with revision, source and age,
 //! - [`fatal`]: requests that end the targets that run them,
 //! - [`place`]: which target takes a request,
-//! - [`kept`]: which parts of prompts the stores hold, and what to free,
+//! - [`cache_stores`]: which parts of prompts the stores hold, and what to free,
 //! - [`weights`]: the leased holder that brings engines to new weights,
 //! - [`peers`]: what boxes tell each other,
 //! - [`front`]: the listener, one request's life, streams,
