--- a/crates/sillpin-gateway/src/dialect.rs
+++ b/crates/sillpin-gateway/src/dialect.rs
@@ -100,7 +100,7 @@
 
 /// Head of a caller's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Demand {
+pub struct RequestHead {
     /// Request id, unchanged; the target echoes it.
     pub id: String,
     /// Requested host, without a port.
@@ -216,7 +216,7 @@
 /// Parses and builds HTTP heads in the platform's format. Makes no decisions.
 pub trait Dialect: Clone + Send + Sync + 'static {
     /// Parses the head of a caller's request.
-    fn read_request(&self, head: &request::Parts) -> Result<Demand, HeadFault>;
+    fn read_request(&self, head: &request::Parts) -> Result<RequestHead, HeadFault>;
 
     /// Builds the headers of a request to a target.
     fn write_request(&self, from: &HeaderMap, sending: &Sending) -> HeaderMap;
--- a/crates/sillpin-gateway/src/front/admit.rs
+++ b/crates/sillpin-gateway/src/front/admit.rs
@@ -5,7 +5,7 @@
 use super::shared::Shared;
 use crate::beliefs::View;
 use crate::config::{FleetConfig, Organisation, Priority, Route};
-use crate::dialect::{Demand, Dialect};
+use crate::dialect::{RequestHead, Dialect};
 use crate::fatal::RequestPrint;
 use hyper::body::Incoming;
 use hyper::http::request::Parts;
@@ -24,7 +24,7 @@
 /// A request that passed admission.
 pub struct Run {
     /// Its parsed head.
-    pub demand: Demand,
+    pub demand: RequestHead,
     /// Configuration that allowed it.
     pub config: Arc<FleetConfig>,
     /// Its route.
@@ -83,7 +83,7 @@
         &self,
         parts: Parts,
         body: Incoming,
-        demand: Demand,
+        demand: RequestHead,
     ) -> Result<Run, Refusal> {
         let arrival = Instant::now();
         let path = parts.uri.path_and_query();
@@ -122,7 +122,7 @@
         })
     }
 
-    async fn authorise(&self, demand: &Demand, path: &str) -> Result<Admitted, Refusal> {
+    async fn authorise(&self, demand: &RequestHead, path: &str) -> Result<Admitted, Refusal> {
         let view = self.fleet.view();
         let config = view.config.clone();
         let config = config.ok_or_else(|| Refusal::not_run("no configuration yet"))?;
@@ -159,7 +159,7 @@
     confirmed.is_some_and(|at| at.elapsed() < DENY_FRESH)
 }
 
-fn judge(config: &FleetConfig, demand: &Demand, path: &str) -> Verdict {
+fn judge(config: &FleetConfig, demand: &RequestHead, path: &str) -> Verdict {
     let Some(route) = config.route(&demand.host, path) else {
         return Verdict::Denied(StatusCode::NOT_FOUND, "no such route");
     };
