--- a/crates/sillpin-gateway/src/dialect.rs
+++ b/crates/sillpin-gateway/src/dialect.rs
@@ -163,7 +163,7 @@
 
 /// Head of a target's response.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// Id of the request that it responds to.
     pub request_id: Option<String>,
     /// Whether the target signed the response as its own.
@@ -222,13 +222,13 @@
     fn write_request(&self, from: &HeaderMap, sending: &Sending) -> HeaderMap;
 
     /// Parses the head of a target's response.
-    fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerHead;
+    fn read_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseHead;
 
     /// Builds the headers of a target's response for the caller.
-    fn write_answer(&self, from: &HeaderMap) -> HeaderMap;
+    fn write_response(&self, from: &HeaderMap) -> HeaderMap;
 
     /// Builds the headers of a response that the box creates itself; `retry_after` is when the caller may come back.
-    fn write_own(&self, request_id: Option<&str>, retry_after: Option<Duration>) -> HeaderMap;
+    fn write_own_response(&self, request_id: Option<&str>, retry_after: Option<Duration>) -> HeaderMap;
 
     /// Whether `path` is that of the readiness check.
     fn is_ready_check(&self, path: &str) -> bool;
--- a/crates/sillpin-gateway/src/front/answers.rs
+++ b/crates/sillpin-gateway/src/front/answers.rs
@@ -87,7 +87,7 @@
         let text = serde_json::to_vec(&problem).unwrap_or_default();
         let mut resp = Response::new(Body::full(text));
         *resp.status_mut() = self.status;
-        *resp.headers_mut() = dialect.write_own(request_id, self.retry_after);
+        *resp.headers_mut() = dialect.write_own_response(request_id, self.retry_after);
         let media_type = HeaderValue::from_static(JSON_MEDIA_TYPE);
         resp.headers_mut().insert(CONTENT_TYPE, media_type);
         resp
--- a/crates/sillpin-gateway/src/front/attempt.rs
+++ b/crates/sillpin-gateway/src/front/attempt.rs
@@ -7,7 +7,7 @@
 use super::admit::Run;
 use super::shared::Shared;
 use crate::control::TargetEntry;
-use crate::dialect::{AnswerHead, Dialect, Sending};
+use crate::dialect::{ResponseHead, Dialect, Sending};
 use crate::place::Ticket;
 use crate::place::words::{Change, Said, log_change};
 use crate::place::work::LifeHash;
@@ -61,7 +61,7 @@
     /// Headers of the response.
     pub headers: HeaderMap,
     /// The parsed head.
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     /// The stream's events.
     pub body: Incoming,
     /// The connection; it is returned to the pool when the stream is complete.
@@ -260,7 +260,7 @@
         sent: Instant,
     ) -> Ended {
         let (parts, body) = resp.into_parts();
-        let head = self.dialect.read_answer(parts.status, &parts.headers);
+        let head = self.dialect.read_response(parts.status, &parts.headers);
         if head.request_id.as_deref() != Some(attempt.run.demand.id.as_str()) {
             return Ended::Unknown("the answer is another request's".to_owned());
         }
@@ -314,7 +314,7 @@
         &self,
         target: &TargetEntry,
         status: StatusCode,
-        head: &AnswerHead,
+        head: &ResponseHead,
         sent: Instant,
     ) {
         let is_other = head.target.as_ref().is_some_and(|id| *id != target.id);
@@ -345,7 +345,7 @@
         target: sillpin_core::TargetId,
         conn: Conn,
         body: Incoming,
-        head: &AnswerHead,
+        head: &ResponseHead,
     ) {
         let (pool, keep_idle, closes) = (self.pool.clone(), head.keep_idle, head.closes);
         tokio::spawn(async move {
@@ -357,7 +357,7 @@
     }
 
     /// Returns a connection whose response was read completely to the pool, in the background.
-    pub fn keep(&self, target: sillpin_core::TargetId, conn: Conn, head: &AnswerHead) {
+    pub fn keep(&self, target: sillpin_core::TargetId, conn: Conn, head: &ResponseHead) {
         if head.closes {
             return;
         }
--- a/crates/sillpin-gateway/src/front/drive.rs
+++ b/crates/sillpin-gateway/src/front/drive.rs
@@ -405,7 +405,7 @@
     fn pass_on(&self, answer: WholeAnswer) -> Response<Body> {
         let mut resp = Response::new(Body::full(answer.body));
         *resp.status_mut() = answer.status;
-        *resp.headers_mut() = self.dialect.write_answer(&answer.headers);
+        *resp.headers_mut() = self.dialect.write_response(&answer.headers);
         resp
     }
 
--- a/crates/sillpin-gateway/src/front/relay.rs
+++ b/crates/sillpin-gateway/src/front/relay.rs
@@ -47,7 +47,7 @@
         let (tx, body) = Body::channel();
         let mut resp = Response::new(body);
         *resp.status_mut() = stream.status;
-        *resp.headers_mut() = self.dialect.write_answer(&stream.headers);
+        *resp.headers_mut() = self.dialect.write_response(&stream.headers);
         // The length of a resumed stream differs from that of its first part.
         resp.headers_mut().remove(CONTENT_LENGTH);
         self.metrics.head(run.arrival.elapsed());
