--- a/crates/sillpin-gateway/src/dialect.rs
+++ b/crates/sillpin-gateway/src/dialect.rs
@@ -131,7 +131,7 @@
 
 /// What the head of a request to a target contains in addition to the caller's headers.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Sending {
+pub struct AttemptHead {
     /// The only target that may run it.
     pub target: TargetId,
     /// Time that the target may take.
@@ -141,14 +141,14 @@
     /// Priority, for engines.
     pub priority: Option<Priority>,
     /// Directives for an engine.
-    pub engine: Option<EngineSending>,
+    pub engine: Option<EngineDirectives>,
     /// Resume the stream after the event with this id.
     pub resume_after: Option<String>,
 }
 
 /// Directives that only an engine gets.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EngineSending {
+pub struct EngineDirectives {
     /// The only version of the weights that may run the request.
     pub weights: WeightVersion,
     /// Salt under which the parts are fetched and saved.
@@ -219,7 +219,7 @@
     fn read_request(&self, head: &request::Parts) -> Result<RequestHead, HeadFault>;
 
     /// Builds the headers of a request to a target.
-    fn write_request(&self, from: &HeaderMap, sending: &Sending) -> HeaderMap;
+    fn write_request(&self, from: &HeaderMap, sending: &AttemptHead) -> HeaderMap;
 
     /// Parses the head of a target's response.
     fn read_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseHead;
--- a/crates/sillpin-gateway/src/front/attempt.rs
+++ b/crates/sillpin-gateway/src/front/attempt.rs
@@ -7,7 +7,7 @@
 use super::admit::Run;
 use super::shared::Shared;
 use crate::control::TargetEntry;
-use crate::dialect::{ResponseHead, Dialect, Sending};
+use crate::dialect::{ResponseHead, Dialect, AttemptHead};
 use crate::place::Ticket;
 use crate::place::words::{Change, Said, log_change};
 use crate::place::work::LifeHash;
@@ -154,7 +154,7 @@
     /// The target that gets it.
     pub target: std::sync::Arc<TargetEntry>,
     /// What the head of the request to the target contains.
-    pub sending: Sending,
+    pub sending: AttemptHead,
     /// Counts the request as in flight at the target.
     pub ticket: Ticket,
 }
@@ -240,7 +240,7 @@
     fn request(
         &self,
         run: &Run,
-        sending: &Sending,
+        sending: &AttemptHead,
     ) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
         let uri: Uri = run.path.parse()?;
         let mut req = Request::builder()
--- a/crates/sillpin-gateway/src/front/drive.rs
+++ b/crates/sillpin-gateway/src/front/drive.rs
@@ -14,7 +14,7 @@
 use crate::beliefs::{FleetMsg, View};
 use crate::config::Repeat;
 use crate::control::TargetEntry;
-use crate::dialect::{Dialect, Sending};
+use crate::dialect::{Dialect, AttemptHead};
 use crate::fatal::witness::Broken;
 use crate::place::load::Outcome as Health;
 use crate::place::work::LifeHash;
@@ -438,9 +438,9 @@
 }
 
 /// Builds the head of the request to the target.
-fn sending(run: &Run, progress: &Progress, placed: &mut Placed) -> Sending {
+fn sending(run: &Run, progress: &Progress, placed: &mut Placed) -> AttemptHead {
     let for_engine = run.demand.prompt.is_some();
-    Sending {
+    AttemptHead {
         target: placed.chosen.target.id.clone(),
         time_left: run.time_left().saturating_sub(WAY_BACK),
         organisation: run.organisation.as_ref().map(|org| org.id.clone()),
--- a/crates/sillpin-gateway/src/front/placing.rs
+++ b/crates/sillpin-gateway/src/front/placing.rs
@@ -6,7 +6,7 @@
 use super::shared::Shared;
 use crate::beliefs::View;
 use crate::config::{EngineSpec, Pool, Priority};
-use crate::dialect::{Dialect, EngineSending, Prompt};
+use crate::dialect::{Dialect, EngineDirectives, Prompt};
 use crate::peers::roles::SMALL_FLEET;
 use crate::place::allowed::{AllowedWeights, WeightsUse};
 use crate::place::choose::PromptChoice;
@@ -56,7 +56,7 @@
     /// The target and the reasons for selecting it.
     pub chosen: Chosen,
     /// Directives for an engine.
-    pub engine: Option<EngineSending>,
+    pub engine: Option<EngineDirectives>,
     /// Expected prompt work, in milliseconds of engine time.
     pub prompt_ms: f64,
     /// Length of the prompt.
--- a/crates/sillpin-gateway/src/place/parts.rs
+++ b/crates/sillpin-gateway/src/place/parts.rs
@@ -2,7 +2,7 @@
 
 use crate::config::{EngineSpec, FleetConfig, Organisation, StoreSpec};
 use crate::control::KeptKey;
-use crate::dialect::{EngineSending, Prompt, Salt};
+use crate::dialect::{EngineDirectives, Prompt, Salt};
 use crate::kept::homes::{Place, homes};
 use crate::kept::retire::MAX_FETCH_TIME;
 use crate::kept::salt::SaltParts;
@@ -265,7 +265,7 @@
     }
 
     /// The shared parts and what an engine is to do with each, for logs.
-    pub fn describe(&self, sending: &EngineSending) -> String {
+    pub fn describe(&self, sending: &EngineDirectives) -> String {
         let what = |index: usize| match (&sending.fetch[index], &sending.save[index]) {
             (Some(_), _) => "fetch".to_owned(),
             (None, Some(_)) => "save".to_owned(),
@@ -304,7 +304,7 @@
         directory: &mut Directory,
         fetch_time: Duration,
         now: Instant,
-    ) -> EngineSending {
+    ) -> EngineDirectives {
         let until = directory.engine_time(now, fetch_time.min(MAX_FETCH_TIME));
         let none = || vec![None::<SocketAddr>; self.part_count];
         let (mut fetch, mut save) = (none(), none());
@@ -321,7 +321,7 @@
                 save[index] = Some(store.addr);
             }
         }
-        EngineSending {
+        EngineDirectives {
             weights: version,
             salt: self.salt.clone(),
             fetch,
--- a/crates/sillpin-gateway/tests/parts.rs
+++ b/crates/sillpin-gateway/tests/parts.rs
@@ -7,7 +7,7 @@
 use sillpin_core::{Tokens, WeightVersion, ZoneId};
 use sillpin_gateway::config::{EngineSpec, FleetConfig, StoreSpec};
 use sillpin_gateway::control::{KeptKey, KeptList};
-use sillpin_gateway::dialect::{EngineSending, EngineTime, Part, PartId, Prompt};
+use sillpin_gateway::dialect::{EngineDirectives, EngineTime, Part, PartId, Prompt};
 use sillpin_gateway::kept::Kept;
 use sillpin_gateway::place::parts::{Plan, PlanInputs, plan, salt};
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
 }
 
 /// A plan made while the stores hold `session` as said, and what an engine in `zone` is told.
-fn sending(in_a: bool, in_b: bool, zone: &str) -> (Plan, EngineSending) {
+fn sending(in_a: bool, in_b: bool, zone: &str) -> (Plan, EngineDirectives) {
     let (prompt, stores, kept) = (prompt(), stores(), Kept::default());
     let now = Instant::now();
     let salt = salt(&prompt, VERSION, None);
