--- a/crates/sillpin-gateway/src/dialect.rs
+++ b/crates/sillpin-gateway/src/dialect.rs
@@ -117,7 +117,7 @@
 
 /// Error in the head of a caller's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
-pub enum HeadFault {
+pub enum HeadError {
     /// There is no request id.
     #[display("request id missing")]
     NoId,
@@ -216,7 +216,7 @@
 /// Parses and builds HTTP heads in the platform's format. Makes no decisions.
 pub trait Dialect: Clone + Send + Sync + 'static {
     /// Parses the head of a caller's request.
-    fn read_request(&self, head: &request::Parts) -> Result<RequestHead, HeadFault>;
+    fn read_request(&self, head: &request::Parts) -> Result<RequestHead, HeadError>;
 
     /// Builds the headers of a request to a target.
     fn write_request(&self, from: &HeaderMap, sending: &AttemptHead) -> HeaderMap;
