--- a/crates/sillpin-gateway/src/control.rs
+++ b/crates/sillpin-gateway/src/control.rs
@@ -153,7 +153,7 @@
 
 /// Identifies a part in a cache store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct KeptKey {
+pub struct PartKey {
     /// Salt under which it is stored.
     pub salt: Salt,
     /// Name of the part.
@@ -162,11 +162,11 @@
 
 /// One change of what a cache store holds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptChange {
+pub struct PartChange {
     /// Sequence number in the store's epoch.
     pub number: u64,
     /// The part.
-    pub key: KeptKey,
+    pub key: PartKey,
     /// Number of tokens that are completely stored; `None` if the part is gone.
     pub tokens: Option<Tokens>,
 }
@@ -181,7 +181,7 @@
     /// Whether changes were lost, so that the store has to be listed.
     pub lost: bool,
     /// Changes in order.
-    pub changes: Vec<KeptChange>,
+    pub changes: Vec<PartChange>,
     /// Current time on the engines' clock.
     pub clock: Option<EngineTime>,
 }
@@ -194,7 +194,7 @@
     /// Position at which reading of changes starts.
     pub next: u64,
     /// Complete parts.
-    pub whole: Vec<(KeptKey, Tokens)>,
+    pub whole: Vec<(PartKey, Tokens)>,
     /// Parts that are being written, or whose writing was aborted.
     pub partial: Vec<PartialPart>,
 }
@@ -203,7 +203,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PartialPart {
     /// The part.
-    pub key: KeptKey,
+    pub key: PartKey,
     /// Tokens that have arrived.
     pub arrived: Tokens,
     /// Tokens of capacity that it occupies.
@@ -214,7 +214,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FreeOrder {
     /// The parts.
-    pub keys: Vec<KeptKey>,
+    pub keys: Vec<PartKey>,
     /// The order is only valid in this epoch of the store.
     pub epoch: u64,
     /// The order is not valid after this time.
--- a/crates/sillpin-gateway/src/kept/directory.rs
+++ b/crates/sillpin-gateway/src/kept/directory.rs
@@ -3,7 +3,7 @@
 use super::links::Links;
 use super::retire::{MAX_FETCH_TIME, Retirements};
 use crate::config::StoreSpec;
-use crate::control::{KeptChange, KeptKey, KeptList, KeptNews};
+use crate::control::{PartChange, PartKey, KeptList, KeptNews};
 use crate::dialect::EngineTime;
 use serde::{Deserialize, Serialize};
 use sillpin_core::Tokens;
@@ -34,7 +34,7 @@
 struct StoreState {
     epoch: u64,
     next: u64,
-    whole: HashMap<KeptKey, Tokens>,
+    whole: HashMap<PartKey, Tokens>,
     used: Tokens,
     heard: Option<Instant>,
     recent: Recent,
@@ -45,11 +45,11 @@
 struct Recent {
     /// The position that they begin at.
     since: u64,
-    changes: VecDeque<KeptChange>,
+    changes: VecDeque<PartChange>,
 }
 
 impl Recent {
-    fn push(&mut self, change: KeptChange) {
+    fn push(&mut self, change: PartChange) {
         if self.changes.len() == RECENT_CHANGES {
             let oldest = self.changes.pop_front();
             self.since = oldest.map_or(self.since, |oldest| oldest.number);
@@ -58,15 +58,15 @@
     }
 
     /// All changes after a position, if none is missing.
-    fn after(&self, position: u64) -> Option<Vec<KeptChange>> {
-        let newer = |change: &&KeptChange| change.number > position;
+    fn after(&self, position: u64) -> Option<Vec<PartChange>> {
+        let newer = |change: &&PartChange| change.number > position;
         let covers = self.since <= position;
         covers.then(|| self.changes.iter().filter(newer).cloned().collect())
     }
 }
 
 impl StoreState {
-    fn set(&mut self, key: KeptKey, tokens: Option<Tokens>) {
+    fn set(&mut self, key: PartKey, tokens: Option<Tokens>) {
         let before = match tokens {
             Some(tokens) => {
                 self.used += tokens;
@@ -100,7 +100,7 @@
 #[derive(Debug, Default)]
 pub struct Directory {
     stores: HashMap<SocketAddr, StoreState>,
-    asked: HashMap<(SocketAddr, KeptKey), Instant>,
+    asked: HashMap<(SocketAddr, PartKey), Instant>,
     lives: HashMap<SocketAddr, Life>,
     clock: Option<ClockReading>,
 }
@@ -195,7 +195,7 @@
     }
 
     /// Changes after a position of this life of a store, if all of them are still known.
-    pub fn changes_after(&self, addr: SocketAddr, position: Position) -> Option<Vec<KeptChange>> {
+    pub fn changes_after(&self, addr: SocketAddr, position: Position) -> Option<Vec<PartChange>> {
         let state = self.stores.get(&addr)?;
         let same_life = state.epoch == position.epoch;
         same_life.then(|| state.recent.after(position.next))?
@@ -265,7 +265,7 @@
     }
 
     /// Whether a store holds a whole part of that length.
-    pub fn holds(&self, addr: SocketAddr, key: &KeptKey, tokens: Tokens, now: Instant) -> bool {
+    pub fn holds(&self, addr: SocketAddr, key: &PartKey, tokens: Tokens, now: Instant) -> bool {
         if !self.is_known(addr, now) {
             return false;
         }
@@ -287,7 +287,7 @@
     pub fn should_save(
         &mut self,
         addr: SocketAddr,
-        key: &KeptKey,
+        key: &PartKey,
         tokens: Tokens,
         now: Instant,
     ) -> bool {
@@ -323,10 +323,10 @@
     }
 
     /// All whole parts of a store.
-    pub fn whole(&self, addr: SocketAddr) -> Vec<(KeptKey, Tokens)> {
+    pub fn whole(&self, addr: SocketAddr) -> Vec<(PartKey, Tokens)> {
         let state = self.stores.get(&addr);
         let parts = state.map(|state| state.whole.iter());
-        let copy = |(key, tokens): (&KeptKey, &Tokens)| (key.clone(), *tokens);
+        let copy = |(key, tokens): (&PartKey, &Tokens)| (key.clone(), *tokens);
         parts
             .map(|parts| parts.map(copy).collect())
             .unwrap_or_default()
--- a/crates/sillpin-gateway/src/kept/freer.rs
+++ b/crates/sillpin-gateway/src/kept/freer.rs
@@ -6,7 +6,7 @@
 use crate::awake::Awake;
 use crate::beliefs::{FleetHandle, View};
 use crate::config::StoreSpec;
-use crate::control::{Control, FreeOrder, KeptKey, PartialPart};
+use crate::control::{Control, FreeOrder, PartKey, PartialPart};
 use crate::dialect::Salt;
 use sillpin_telemetry::{event, events};
 use slog::Logger;
@@ -54,7 +54,7 @@
 
 #[derive(Default)]
 struct Memory {
-    ordered: HashMap<(SocketAddr, KeptKey), Instant>,
+    ordered: HashMap<(SocketAddr, PartKey), Instant>,
     /// Parts that were not whole at the last listing of a store.
     partial: HashMap<SocketAddr, Vec<PartialPart>>,
     listed: HashMap<SocketAddr, Instant>,
@@ -83,8 +83,8 @@
     async fn free_retired(&self, store: &StoreSpec, view: &View, memory: &mut Memory) {
         let now = Instant::now();
         let unused = self.unused(store, view, now);
-        let fresh = |key: &KeptKey| !memory.ordered.contains_key(&(store.addr, key.clone()));
-        let keys: Vec<KeptKey> = unused.into_iter().filter(fresh).take(BATCH).collect();
+        let fresh = |key: &PartKey| !memory.ordered.contains_key(&(store.addr, key.clone()));
+        let keys: Vec<PartKey> = unused.into_iter().filter(fresh).take(BATCH).collect();
         if keys.is_empty() {
             return;
         }
@@ -95,7 +95,7 @@
     }
 
     /// Parts of a store that no box fetches.
-    fn unused(&self, store: &StoreSpec, view: &View, now: Instant) -> Vec<KeptKey> {
+    fn unused(&self, store: &StoreSpec, view: &View, now: Instant) -> Vec<PartKey> {
         if !self.kept.retirements().has_any() {
             return Vec::new();
         }
@@ -146,7 +146,7 @@
             .partial
             .into_iter()
             .filter(|part| before.contains(part));
-        let keys: Vec<KeptKey> = stuck.map(|part| part.key).take(BATCH).collect();
+        let keys: Vec<PartKey> = stuck.map(|part| part.key).take(BATCH).collect();
         if !keys.is_empty() {
             self.order(store, keys, now, PARTIAL_ORDER_TIME, "broke off")
                 .await;
@@ -157,7 +157,7 @@
     async fn order(
         &self,
         store: &StoreSpec,
-        keys: Vec<KeptKey>,
+        keys: Vec<PartKey>,
         from: Instant,
         time: Duration,
         why: &'static str,
--- a/crates/sillpin-gateway/src/kept/retire.rs
+++ b/crates/sillpin-gateway/src/kept/retire.rs
@@ -15,7 +15,7 @@
 use super::salt::SaltParts;
 use crate::beliefs::View;
 use crate::beliefs::fleet::served;
-use crate::control::KeptKey;
+use crate::control::PartKey;
 use serde::{Deserialize, Serialize};
 use sillpin_core::{BoxId, ModelId, WeightVersion};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -216,7 +216,7 @@
     }
 
     /// Whether this box neither fetches nor saves a part any more.
-    pub fn is_retired(&self, salt: &SaltParts, key: &KeptKey) -> bool {
+    pub fn is_retired(&self, salt: &SaltParts, key: &PartKey) -> bool {
         let weights = weights_of(salt);
         let share = self.applied.get(&weights).copied().unwrap_or(0.0);
         place_of(key) < share
@@ -248,7 +248,7 @@
 }
 
 /// Where a part stands in the order in which its version is retired.
-pub fn place_of(key: &KeptKey) -> f64 {
+pub fn place_of(key: &PartKey) -> f64 {
     unit(hash_pair("retire", &key.part.0))
 }
 
--- a/crates/sillpin-gateway/src/peers/datagram.rs
+++ b/crates/sillpin-gateway/src/peers/datagram.rs
@@ -3,7 +3,7 @@
 use super::packed::PackedWord;
 use crate::beliefs::wanted::NamedAge;
 use crate::beliefs::{BoxEntry, Topic};
-use crate::control::{KeptChange, KeptKey, Life};
+use crate::control::{PartChange, PartKey, Life};
 use crate::dialect::EngineTime;
 use crate::fatal::FatalWord;
 use crate::kept::directory::Position;
@@ -142,7 +142,7 @@
     /// Since the store was asked, in milliseconds.
     pub age_ms: u64,
     /// Whole parts.
-    pub whole: Vec<(KeptKey, Tokens)>,
+    pub whole: Vec<(PartKey, Tokens)>,
 }
 
 /// Changes of a store's content.
@@ -160,7 +160,7 @@
     /// Since the store was asked, in milliseconds.
     pub age_ms: u64,
     /// The changes in order.
-    pub changes: Vec<KeptChange>,
+    pub changes: Vec<PartChange>,
 }
 
 impl KeptWord {
--- a/crates/sillpin-gateway/src/peers/link.rs
+++ b/crates/sillpin-gateway/src/peers/link.rs
@@ -4,7 +4,7 @@
 use super::millis;
 use super::wire::FleetKey;
 use crate::beliefs::{Copied, FleetHandle, Topic};
-use crate::control::{KeptChange, KeptKey};
+use crate::control::{PartChange, PartKey};
 use crate::kept::Kept;
 use crate::kept::directory::Position;
 use serde::{Deserialize, Serialize};
@@ -46,9 +46,9 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum KeptContent {
     /// All whole parts.
-    Whole(Vec<(KeptKey, Tokens)>),
+    Whole(Vec<(PartKey, Tokens)>),
     /// The changes after the position that it has reached.
-    Changes(Vec<KeptChange>),
+    Changes(Vec<PartChange>),
 }
 
 /// The service that boxes offer to each other.
--- a/crates/sillpin-gateway/src/peers/packed.rs
+++ b/crates/sillpin-gateway/src/peers/packed.rs
@@ -5,7 +5,7 @@
 //! instead of 30.
 
 use super::datagram::KeptWord;
-use crate::control::{KeptChange, KeptKey};
+use crate::control::{PartChange, PartKey};
 use crate::dialect::{PartId, Salt};
 use serde::{Deserialize, Serialize};
 use sillpin_core::Tokens;
@@ -68,8 +68,8 @@
     fn from(word: KeptWord) -> Self {
         let mut salts: Vec<Salt> = Vec::new();
         let mut before = word.since;
-        let mut pack = |change: KeptChange| {
-            let KeptKey { salt, part } = change.key;
+        let mut pack = |change: PartChange| {
+            let PartKey { salt, part } = change.key;
             let known = salts.iter().position(|known| *known == salt);
             let place = known.unwrap_or_else(|| {
                 salts.push(salt);
@@ -101,9 +101,9 @@
             // A place that the word does not have comes from a broken sender; a salt that nobody uses finds nothing.
             let salt = word.salts.get(place as usize).cloned();
             let salt = salt.unwrap_or(Salt(String::new()));
-            KeptChange {
+            PartChange {
                 number: before,
-                key: KeptKey {
+                key: PartKey {
                     salt,
                     part: part.into(),
                 },
--- a/crates/sillpin-gateway/src/place/parts.rs
+++ b/crates/sillpin-gateway/src/place/parts.rs
@@ -1,7 +1,7 @@
 //! Where the parts of a prompt come from and go to.
 
 use crate::config::{EngineSpec, FleetConfig, Organisation, StoreSpec};
-use crate::control::KeptKey;
+use crate::control::PartKey;
 use crate::dialect::{EngineDirectives, Prompt, Salt};
 use crate::kept::homes::{Place, homes};
 use crate::kept::retire::MAX_FETCH_TIME;
@@ -59,7 +59,7 @@
 #[derive(Debug, Clone)]
 pub struct SharedPart {
     /// Its name under the salt.
-    pub key: KeptKey,
+    pub key: PartKey,
     /// Its length.
     pub tokens: Tokens,
     /// The stores that hold it whole.
@@ -124,7 +124,7 @@
                 true => Place::Inner,
                 false => Place::Last,
             };
-            let key = KeptKey {
+            let key = PartKey {
                 salt: text.clone(),
                 part: part.id.clone(),
             };
@@ -144,7 +144,7 @@
 
 /// Where a part is, or is to be kept.
 fn look_up(
-    key: KeptKey,
+    key: PartKey,
     tokens: Tokens,
     place: Place,
     salt: &SaltParts,
@@ -206,7 +206,7 @@
 
 impl Plan {
     /// The last shared part: requests that have it have all before it.
-    pub fn affinity(&self) -> Option<&KeptKey> {
+    pub fn affinity(&self) -> Option<&PartKey> {
         self.shared.last().map(|part| &part.key)
     }
 
--- a/crates/sillpin-gateway/tests/freer.rs
+++ b/crates/sillpin-gateway/tests/freer.rs
@@ -8,7 +8,7 @@
 use sillpin_gateway::beliefs::fleet::Fleet;
 use sillpin_gateway::beliefs::{self, FleetMsg, Reading, Source, Topic};
 use sillpin_gateway::control::{
-    Control, ControlError, EngineReport, FreeOrder, KeptKey, KeptList, KeptNews, OrderOutcome,
+    Control, ControlError, EngineReport, FreeOrder, PartKey, KeptList, KeptNews, OrderOutcome,
     PartialPart, WeightsOrder,
 };
 use sillpin_gateway::dialect::{EngineTime, PartId, Salt};
@@ -63,8 +63,8 @@
     }
 }
 
-fn key(part: &str) -> KeptKey {
-    KeptKey {
+fn key(part: &str) -> PartKey {
+    PartKey {
         salt: Salt("m/1".to_owned()),
         part: PartId(part.to_owned()),
     }
--- a/crates/sillpin-gateway/tests/hub.rs
+++ b/crates/sillpin-gateway/tests/hub.rs
@@ -10,7 +10,7 @@
 use rstest::rstest;
 use sillpin_core::{BoxId, Tokens};
 use sillpin_gateway::beliefs::BoxEntry;
-use sillpin_gateway::control::{KeptChange, KeptKey};
+use sillpin_gateway::control::{PartChange, PartKey};
 use sillpin_gateway::dialect::{PartId, Salt};
 use sillpin_gateway::peers::datagram::{
     BoxHash, Bulletin, Datagram, Extent, KeptWord, LoadNews, News, Report, Sums, ZoneWord,
@@ -350,10 +350,10 @@
     assert_eq!(BoxHash::of(&one).placeless(), BoxHash::anywhere(&one.id));
 }
 
-fn change(number: u64, salt: &str, part: &str, tokens: Option<u64>) -> KeptChange {
-    KeptChange {
+fn change(number: u64, salt: &str, part: &str, tokens: Option<u64>) -> PartChange {
+    PartChange {
         number,
-        key: KeptKey {
+        key: PartKey {
             salt: Salt(salt.to_owned()),
             part: PartId(part.to_owned()),
         },
@@ -361,7 +361,7 @@
     }
 }
 
-fn word(changes: Vec<KeptChange>) -> KeptWord {
+fn word(changes: Vec<PartChange>) -> KeptWord {
     KeptWord {
         addr: ([10, 1, 2, 3], 80).into(),
         since: 100,
--- a/crates/sillpin-gateway/tests/kept/changes.rs
+++ b/crates/sillpin-gateway/tests/kept/changes.rs
@@ -2,13 +2,13 @@
 
 use crate::{STORE, key, list, news};
 use sillpin_core::Tokens;
-use sillpin_gateway::control::{KeptChange, KeptNews};
+use sillpin_gateway::control::{PartChange, KeptNews};
 use sillpin_gateway::kept::directory::{Directory, Position};
 use sillpin_gateway::peers::datagram::{KeptWord, MAX_CHANGES};
 use tokio::time::Instant;
 
-fn numbered(number: u64, part: &str) -> KeptChange {
-    KeptChange {
+fn numbered(number: u64, part: &str) -> PartChange {
+    PartChange {
         number,
         key: key(part),
         tokens: Some(Tokens(10)),
@@ -65,7 +65,7 @@
 
 #[test]
 fn a_long_word_is_told_in_several_that_go_on_from_each_other() {
-    let changes: Vec<KeptChange> = (11..=160).map(|number| numbered(number, "b")).collect();
+    let changes: Vec<PartChange> = (11..=160).map(|number| numbered(number, "b")).collect();
     let word = KeptWord {
         addr: STORE,
         since: 10,
@@ -78,7 +78,7 @@
     assert!(words.iter().all(|word| word.changes.len() <= MAX_CHANGES));
     let spans: Vec<(u64, u64)> = words.iter().map(|word| (word.since, word.next)).collect();
     assert_eq!(spans, [(10, 70), (70, 130), (130, 170)]);
-    let told: Vec<KeptChange> = words.into_iter().flat_map(|word| word.changes).collect();
+    let told: Vec<PartChange> = words.into_iter().flat_map(|word| word.changes).collect();
     assert_eq!(told, changes);
 }
 
@@ -87,7 +87,7 @@
     let mut directory = Directory::default();
     let now = Instant::now();
     directory.take_list(STORE, list(1, &["a"]), now);
-    let change = |part: &str, tokens| KeptChange {
+    let change = |part: &str, tokens| PartChange {
         number: 11,
         key: key(part),
         tokens,
--- a/crates/sillpin-gateway/tests/kept/main.rs
+++ b/crates/sillpin-gateway/tests/kept/main.rs
@@ -11,7 +11,7 @@
 mod retire;
 
 use sillpin_core::Tokens;
-use sillpin_gateway::control::{KeptChange, KeptKey, KeptList, KeptNews};
+use sillpin_gateway::control::{PartChange, PartKey, KeptList, KeptNews};
 use sillpin_gateway::dialect::{EngineTime, PartId, Salt};
 use std::net::SocketAddr;
 
@@ -20,8 +20,8 @@
     7,
 ));
 
-fn key(part: &str) -> KeptKey {
-    KeptKey {
+fn key(part: &str) -> PartKey {
+    PartKey {
         salt: Salt("m/1".to_owned()),
         part: PartId(part.to_owned()),
     }
@@ -36,7 +36,7 @@
     }
 }
 
-fn news(epoch: u64, changes: Vec<KeptChange>) -> KeptNews {
+fn news(epoch: u64, changes: Vec<PartChange>) -> KeptNews {
     KeptNews {
         epoch,
         next: 11,
--- a/crates/sillpin-gateway/tests/kept/retire.rs
+++ b/crates/sillpin-gateway/tests/kept/retire.rs
@@ -4,7 +4,7 @@
 use crate::{STORE, key};
 use sillpin_core::WeightVersion;
 use sillpin_gateway::beliefs::{BoxEntry, Known, Named, View, Wanted};
-use sillpin_gateway::control::KeptKey;
+use sillpin_gateway::control::PartKey;
 use sillpin_gateway::kept::retire::{MAX_FETCH_TIME, Retired, Retirements, Weights, place_of};
 use sillpin_gateway::kept::salt::SaltParts;
 use sillpin_platform::KvRevision;
@@ -68,7 +68,7 @@
 async fn parts_are_retired_in_step_with_the_engines_and_never_come_back() {
     let mut retirements = Retirements::default();
     let salt: SaltParts = "m/1".parse().unwrap();
-    let parts: Vec<KeptKey> = (0..400).map(|i| key(&format!("p{i}"))).collect();
+    let parts: Vec<PartKey> = (0..400).map(|i| key(&format!("p{i}"))).collect();
     let retired = |r: &Retirements| parts.iter().filter(|key| r.is_retired(&salt, key)).count();
     let now = Instant::now();
     retirements.update(&view(0, now), FULL, now);
@@ -92,7 +92,7 @@
 async fn replaced_parts_stay_in_use_while_there_is_room_and_an_engine_for_them() {
     let mut retirements = Retirements::default();
     let salt: SaltParts = "m/1".parse().unwrap();
-    let parts: Vec<KeptKey> = (0..400).map(|i| key(&format!("p{i}"))).collect();
+    let parts: Vec<PartKey> = (0..400).map(|i| key(&format!("p{i}"))).collect();
     let retired = |r: &Retirements| parts.iter().filter(|key| r.is_retired(&salt, key)).count();
     let now = Instant::now();
     retirements.update(&view(3, now), 0.5, now);
@@ -174,7 +174,7 @@
 #[tokio::test(start_paused = true)]
 async fn what_a_box_that_started_anew_still_uses_is_not_freed() {
     let salt: SaltParts = "m/1".parse().unwrap();
-    let parts: Vec<KeptKey> = (0..400).map(|i| key(&format!("p{i}"))).collect();
+    let parts: Vec<PartKey> = (0..400).map(|i| key(&format!("p{i}"))).collect();
     let mut holder = Retirements::default();
     let mut started = Retirements::default();
     let step = Duration::from_millis(400);
@@ -188,7 +188,7 @@
         holder.update(&view, roomy, now);
         holder.hear(name("box-2"), started.told(now), Duration::ZERO, now);
         let unused = holder.unused_share(&old_weights(), &view, now);
-        let used = |key: &&KeptKey| !started.is_retired(&salt, key);
+        let used = |key: &&PartKey| !started.is_retired(&salt, key);
         let freed = parts
             .iter()
             .filter(used)
--- a/crates/sillpin-gateway/tests/parts.rs
+++ b/crates/sillpin-gateway/tests/parts.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use sillpin_core::{Tokens, WeightVersion, ZoneId};
 use sillpin_gateway::config::{EngineSpec, FleetConfig, StoreSpec};
-use sillpin_gateway::control::{KeptKey, KeptList};
+use sillpin_gateway::control::{PartKey, KeptList};
 use sillpin_gateway::dialect::{EngineDirectives, EngineTime, Part, PartId, Prompt};
 use sillpin_gateway::kept::Kept;
 use sillpin_gateway::place::parts::{Plan, PlanInputs, plan, salt};
@@ -44,7 +44,7 @@
     let now = Instant::now();
     let salt = salt(&prompt, VERSION, None);
     for (store, holds) in stores.iter().zip([in_a, in_b]) {
-        let key = KeptKey {
+        let key = PartKey {
             salt: salt.salt(),
             part: PartId("session".to_owned()),
         };
--- a/crates/sillpin-gateway/tests/place.rs
+++ b/crates/sillpin-gateway/tests/place.rs
@@ -7,7 +7,7 @@
 use sillpin_core::{ModelId, TargetId, Tokens, WeightVersion, ZoneId};
 use sillpin_gateway::config::Priority;
 use sillpin_gateway::config::{EngineSpec, FleetConfig};
-use sillpin_gateway::control::{KeptKey, KeptList};
+use sillpin_gateway::control::{PartKey, KeptList};
 use sillpin_gateway::control::{Presence, TargetEntry};
 use sillpin_gateway::dialect::{LimitWord, Part, PartId, Prompt};
 use sillpin_gateway::kept::Kept;
@@ -500,7 +500,7 @@
     let store = store("s", 7, zone, 1_722_605, 6);
     let (kept, now) = (Kept::default(), Instant::now());
     let salt = salt(&prompt, WeightVersion(1), None);
-    let key = KeptKey {
+    let key = PartKey {
         salt: salt.salt(),
         part: PartId("session".to_owned()),
     };
--- a/crates/sillpin-gateway/tests/residency.rs
+++ b/crates/sillpin-gateway/tests/residency.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use sillpin_core::{RegionId, TargetId, Tokens, WeightVersion, ZoneId};
 use sillpin_gateway::config::{EngineSpec, FleetConfig};
-use sillpin_gateway::control::{KeptKey, KeptList, TargetEntry};
+use sillpin_gateway::control::{PartKey, KeptList, TargetEntry};
 use sillpin_gateway::dialect::{Part, PartId, Prompt};
 use sillpin_gateway::kept::Kept;
 use sillpin_gateway::place::index::TargetIndex;
@@ -125,7 +125,7 @@
         max_output: Tokens(10),
     };
     let salt = salt(&prompt, WeightVersion(1), None);
-    let key = KeptKey {
+    let key = PartKey {
         salt: salt.salt(),
         part: PartId("kept".to_owned()),
     };
