--- a/crates/sillpin-gateway/src/control.rs
+++ b/crates/sillpin-gateway/src/control.rs
@@ -173,7 +173,7 @@
 
 /// Changes of a cache store since a position.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct KeptNews {
+pub struct StoreChanges {
     /// The store's epoch, which changes when it restarts.
     pub epoch: u64,
     /// Position at which the next read starts.
@@ -188,7 +188,7 @@
 
 /// Everything that a cache store holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct KeptList {
+pub struct StoreListing {
     /// The store's epoch.
     pub epoch: u64,
     /// Position at which reading of changes starts.
@@ -250,18 +250,18 @@
     ) -> impl Future<Output = Result<OrderOutcome, ControlError>> + Send;
 
     /// Waits up to `wait` for changes of what a cache store holds.
-    fn kept_news(
+    fn store_changes(
         &self,
         addr: SocketAddr,
         since: u64,
         wait: Duration,
-    ) -> impl Future<Output = Result<KeptNews, ControlError>> + Send;
+    ) -> impl Future<Output = Result<StoreChanges, ControlError>> + Send;
 
     /// Lists everything that a cache store holds.
-    fn kept_list(
+    fn list_store(
         &self,
         addr: SocketAddr,
-    ) -> impl Future<Output = Result<KeptList, ControlError>> + Send;
+    ) -> impl Future<Output = Result<StoreListing, ControlError>> + Send;
 
     /// Frees parts in a cache store.
     fn free(
--- a/crates/sillpin-gateway/src/kept/directory.rs
+++ b/crates/sillpin-gateway/src/kept/directory.rs
@@ -3,7 +3,7 @@
 use super::links::Links;
 use super::retire::{MAX_FETCH_TIME, Retirements};
 use crate::config::StoreSpec;
-use crate::control::{PartChange, PartKey, KeptList, KeptNews};
+use crate::control::{PartChange, PartKey, StoreListing, StoreChanges};
 use crate::dialect::EngineTime;
 use serde::{Deserialize, Serialize};
 use sillpin_core::Tokens;
@@ -142,7 +142,7 @@
 
     /// Takes everything that a store holds, unless the store was asked since: an older copy may tell of a
     /// life of the store that is over.
-    pub fn take_list(&mut self, addr: SocketAddr, list: KeptList, asked: Instant) {
+    pub fn take_list(&mut self, addr: SocketAddr, list: StoreListing, asked: Instant) {
         if self.heard(addr) > Some(asked) {
             return;
         }
@@ -169,7 +169,7 @@
         &mut self,
         addr: SocketAddr,
         since: u64,
-        news: KeptNews,
+        news: StoreChanges,
         asked: Instant,
         answered: Instant,
     ) -> bool {
--- a/crates/sillpin-gateway/src/kept/freer.rs
+++ b/crates/sillpin-gateway/src/kept/freer.rs
@@ -132,7 +132,7 @@
             return;
         }
         memory.listed.insert(store.addr, now);
-        let list = match self.control.kept_list(store.addr).await {
+        let list = match self.control.list_store(store.addr).await {
             Ok(list) => list,
             Err(e) => {
                 event!(self.log, events::KEPT_STORE_LOST,
--- a/crates/sillpin-gateway/src/kept/reader.rs
+++ b/crates/sillpin-gateway/src/kept/reader.rs
@@ -3,7 +3,7 @@
 use super::Kept;
 use crate::beliefs::{BoxEntry, FleetHandle, View};
 use crate::config::{FleetConfig, StoreSpec};
-use crate::control::{Control, ControlError, KeptList, KeptNews};
+use crate::control::{Control, ControlError, StoreListing, StoreChanges};
 use crate::kept::directory::Position;
 use crate::peers::datagram::{KeptListing, KeptWord, MAX_CHANGES, News};
 use crate::peers::roles::{Role, SMALL_FLEET};
@@ -281,7 +281,7 @@
 
     /// Whether the zone is told of a reading. In a large fleet also of one that found nothing: boxes hear of the stores in no
     /// other way while all goes well.
-    fn has_news(&self, news: &KeptNews) -> bool {
+    fn has_news(&self, news: &StoreChanges) -> bool {
         !news.changes.is_empty() || self.is_large_fleet()
     }
 
@@ -305,7 +305,7 @@
     }
 
     /// Tells the zone what a store holds, if it is little: others ask for a copy else.
-    fn tell_listing(&self, list: &KeptList, asked: Instant) {
+    fn tell_listing(&self, list: &StoreListing, asked: Instant) {
         if !self.is_large_fleet() || list.whole.len() > MAX_CHANGES {
             return;
         }
@@ -325,7 +325,7 @@
     async fn read(&self, asked: Instant) -> Result<(), ControlError> {
         let position = self.kept.lock().position(self.addr);
         let Some(position) = position else {
-            let list = self.control.kept_list(self.addr).await?;
+            let list = self.control.list_store(self.addr).await?;
             event!(self.log, events::KEPT_STORE_LISTED, "store" => self.addr.to_string(),
                 "epoch" => list.epoch, "whole" => list.whole.len(), "partial" => list.partial.len());
             self.tell_listing(&list, asked);
@@ -338,7 +338,7 @@
         };
         let news = self
             .control
-            .kept_news(self.addr, position.next, wait)
+            .store_changes(self.addr, position.next, wait)
             .await?;
         let (epoch, lost) = (news.epoch, news.lost);
         if !lost && self.has_news(&news) {
--- a/crates/sillpin-gateway/src/peers/asker.rs
+++ b/crates/sillpin-gateway/src/peers/asker.rs
@@ -5,7 +5,7 @@
 use super::wire::FleetKey;
 use crate::beliefs::transfers::Transfers;
 use crate::beliefs::{BoxEntry, FleetHandle, FleetMsg, Reading, Source, Topic};
-use crate::control::{KeptList, KeptNews};
+use crate::control::{StoreListing, StoreChanges};
 use crate::kept::Kept;
 use crate::kept::directory::Position;
 use crate::metrics::BoxMetrics;
@@ -270,7 +270,7 @@
     match content {
         KeptContent::Whole(whole) => {
             let partial = Vec::new();
-            let list = KeptList {
+            let list = StoreListing {
                 epoch,
                 next,
                 whole,
@@ -284,7 +284,7 @@
             if !directory.follows(store, Position { epoch, next: since }) {
                 return;
             }
-            let news = KeptNews {
+            let news = StoreChanges {
                 epoch,
                 next,
                 lost: false,
--- a/crates/sillpin-gateway/src/peers/ear/news.rs
+++ b/crates/sillpin-gateway/src/peers/ear/news.rs
@@ -2,7 +2,7 @@
 
 use super::{Ear, asked_at};
 use crate::beliefs::{FleetMsg, Topic};
-use crate::control::{KeptList, KeptNews};
+use crate::control::{StoreListing, StoreChanges};
 use crate::kept::directory::Position;
 use crate::peers::datagram::{
     Bulletin, KeptListing, KeptWord, LoadNews, News, PublishedWord, Report, ZoneWord,
@@ -115,7 +115,7 @@
             return;
         }
         let partial = Vec::new();
-        let list = KeptList {
+        let list = StoreListing {
             epoch,
             next,
             whole,
@@ -177,7 +177,7 @@
         if !directory.follows(word.addr, begin) {
             return;
         }
-        let news = KeptNews {
+        let news = StoreChanges {
             epoch: word.epoch,
             next: word.next,
             lost: false,
--- a/crates/sillpin-gateway/tests/freer.rs
+++ b/crates/sillpin-gateway/tests/freer.rs
@@ -8,7 +8,7 @@
 use sillpin_gateway::beliefs::fleet::Fleet;
 use sillpin_gateway::beliefs::{self, FleetMsg, Reading, Source, Topic};
 use sillpin_gateway::control::{
-    Control, ControlError, EngineReport, FreeOrder, PartKey, KeptList, KeptNews, OrderOutcome,
+    Control, ControlError, EngineReport, FreeOrder, PartKey, StoreListing, StoreChanges, OrderOutcome,
     PartialPart, WeightsOrder,
 };
 use sillpin_gateway::dialect::{EngineTime, PartId, Salt};
@@ -24,7 +24,7 @@
 /// A store that answers with one list after the other, and takes note of what is freed.
 #[derive(Clone)]
 struct ListedStore {
-    lists: Arc<Mutex<Vec<KeptList>>>,
+    lists: Arc<Mutex<Vec<StoreListing>>>,
     listed: mpsc::UnboundedSender<Instant>,
     freed: mpsc::UnboundedSender<FreeOrder>,
 }
@@ -38,16 +38,16 @@
         unreachable!("no engine is ordered")
     }
 
-    async fn kept_news(
+    async fn store_changes(
         &self,
         _: SocketAddr,
         _: u64,
         _: Duration,
-    ) -> Result<KeptNews, ControlError> {
+    ) -> Result<StoreChanges, ControlError> {
         unreachable!("the freer reads no news")
     }
 
-    async fn kept_list(&self, _: SocketAddr) -> Result<KeptList, ControlError> {
+    async fn list_store(&self, _: SocketAddr) -> Result<StoreListing, ControlError> {
         let mut lists = self.lists.lock().unwrap();
         let list = match lists.len() {
             1 => lists[0].clone(),
@@ -70,13 +70,13 @@
     }
 }
 
-fn list(partial: &[(&str, u64)]) -> KeptList {
+fn list(partial: &[(&str, u64)]) -> StoreListing {
     let partial = partial.iter().map(|(part, arrived)| PartialPart {
         key: key(part),
         arrived: Tokens(*arrived),
         room: Tokens(100),
     });
-    KeptList {
+    StoreListing {
         epoch: 1,
         next: 10,
         whole: Vec::new(),
--- a/crates/sillpin-gateway/tests/kept/changes.rs
+++ b/crates/sillpin-gateway/tests/kept/changes.rs
@@ -2,7 +2,7 @@
 
 use crate::{STORE, key, list, news};
 use sillpin_core::Tokens;
-use sillpin_gateway::control::{PartChange, KeptNews};
+use sillpin_gateway::control::{PartChange, StoreChanges};
 use sillpin_gateway::kept::directory::{Directory, Position};
 use sillpin_gateway::peers::datagram::{KeptWord, MAX_CHANGES};
 use tokio::time::Instant;
@@ -25,7 +25,7 @@
     let now = Instant::now();
     directory.take_list(STORE, list(1, &["a"]), now);
     let changes = (11..=15).map(|number| numbered(number, "b")).collect();
-    let news = KeptNews {
+    let news = StoreChanges {
         next: 15,
         ..news(1, changes)
     };
@@ -47,7 +47,7 @@
     let now = Instant::now();
     directory.take_list(STORE, list(1, &["a"]), now);
     for number in 11..=2_000 {
-        let news = KeptNews {
+        let news = StoreChanges {
             next: number,
             ..news(1, vec![numbered(number, "b")])
         };
--- a/crates/sillpin-gateway/tests/kept/directory.rs
+++ b/crates/sillpin-gateway/tests/kept/directory.rs
@@ -2,7 +2,7 @@
 
 use crate::{STORE, key, list, news};
 use sillpin_core::Tokens;
-use sillpin_gateway::control::KeptNews;
+use sillpin_gateway::control::StoreChanges;
 use sillpin_gateway::dialect::EngineTime;
 use sillpin_gateway::kept::directory::{BELIEF, Directory};
 use sillpin_gateway::kept::retire::MAX_FETCH_TIME;
@@ -49,7 +49,7 @@
     let mut directory = Directory::default();
     let now = Instant::now();
     directory.take_list(STORE, list(1, &["a"]), now);
-    let gap = KeptNews {
+    let gap = StoreChanges {
         lost: true,
         ..news(1, Vec::new())
     };
--- a/crates/sillpin-gateway/tests/kept/listing.rs
+++ b/crates/sillpin-gateway/tests/kept/listing.rs
@@ -10,7 +10,7 @@
 use sillpin_gateway::beliefs::fleet::Fleet;
 use sillpin_gateway::beliefs::{self, BoxEntry, FleetHandle, FleetMsg, Reading, Source, Topic};
 use sillpin_gateway::control::{
-    Control, ControlError, EngineReport, FreeOrder, KeptList, KeptNews, OrderOutcome, WeightsOrder,
+    Control, ControlError, EngineReport, FreeOrder, StoreListing, StoreChanges, OrderOutcome, WeightsOrder,
 };
 use sillpin_gateway::dialect::EngineTime;
 use sillpin_gateway::kept::Kept;
@@ -59,14 +59,14 @@
         Err(refused(addr))
     }
 
-    async fn kept_news(
+    async fn store_changes(
         &self,
         _: SocketAddr,
         since: u64,
         wait: Duration,
-    ) -> Result<KeptNews, ControlError> {
+    ) -> Result<StoreChanges, ControlError> {
         tokio::time::sleep(wait).await;
-        Ok(KeptNews {
+        Ok(StoreChanges {
             epoch: 1,
             next: since,
             lost: false,
@@ -75,7 +75,7 @@
         })
     }
 
-    async fn kept_list(&self, addr: SocketAddr) -> Result<KeptList, ControlError> {
+    async fn list_store(&self, addr: SocketAddr) -> Result<StoreListing, ControlError> {
         let under_way = self.under_way.fetch_add(1, Ordering::Relaxed);
         tokio::time::sleep(CALL).await;
         self.under_way.fetch_sub(1, Ordering::Relaxed);
@@ -83,7 +83,7 @@
             self.refused.fetch_add(1, Ordering::Relaxed);
             return Err(refused(addr));
         }
-        Ok(KeptList {
+        Ok(StoreListing {
             epoch: 1,
             next: 1,
             whole: Vec::new(),
--- a/crates/sillpin-gateway/tests/kept/main.rs
+++ b/crates/sillpin-gateway/tests/kept/main.rs
@@ -11,7 +11,7 @@
 mod retire;
 
 use sillpin_core::Tokens;
-use sillpin_gateway::control::{PartChange, PartKey, KeptList, KeptNews};
+use sillpin_gateway::control::{PartChange, PartKey, StoreListing, StoreChanges};
 use sillpin_gateway::dialect::{EngineTime, PartId, Salt};
 use std::net::SocketAddr;
 
@@ -27,8 +27,8 @@
     }
 }
 
-fn list(epoch: u64, parts: &[&str]) -> KeptList {
-    KeptList {
+fn list(epoch: u64, parts: &[&str]) -> StoreListing {
+    StoreListing {
         epoch,
         next: 10,
         whole: parts.iter().map(|part| (key(part), Tokens(100))).collect(),
@@ -36,8 +36,8 @@
     }
 }
 
-fn news(epoch: u64, changes: Vec<PartChange>) -> KeptNews {
-    KeptNews {
+fn news(epoch: u64, changes: Vec<PartChange>) -> StoreChanges {
+    StoreChanges {
         epoch,
         next: 11,
         lost: false,
--- a/crates/sillpin-gateway/tests/parts.rs
+++ b/crates/sillpin-gateway/tests/parts.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use sillpin_core::{Tokens, WeightVersion, ZoneId};
 use sillpin_gateway::config::{EngineSpec, FleetConfig, StoreSpec};
-use sillpin_gateway::control::{PartKey, KeptList};
+use sillpin_gateway::control::{PartKey, StoreListing};
 use sillpin_gateway::dialect::{EngineDirectives, EngineTime, Part, PartId, Prompt};
 use sillpin_gateway::kept::Kept;
 use sillpin_gateway::place::parts::{Plan, PlanInputs, plan, salt};
@@ -48,7 +48,7 @@
             salt: salt.salt(),
             part: PartId("session".to_owned()),
         };
-        let list = KeptList {
+        let list = StoreListing {
             epoch: 1,
             next: 1,
             whole: holds.then_some((key, Tokens(500))).into_iter().collect(),
--- a/crates/sillpin-gateway/tests/place.rs
+++ b/crates/sillpin-gateway/tests/place.rs
@@ -7,7 +7,7 @@
 use sillpin_core::{ModelId, TargetId, Tokens, WeightVersion, ZoneId};
 use sillpin_gateway::config::Priority;
 use sillpin_gateway::config::{EngineSpec, FleetConfig};
-use sillpin_gateway::control::{PartKey, KeptList};
+use sillpin_gateway::control::{PartKey, StoreListing};
 use sillpin_gateway::control::{Presence, TargetEntry};
 use sillpin_gateway::dialect::{LimitWord, Part, PartId, Prompt};
 use sillpin_gateway::kept::Kept;
@@ -504,7 +504,7 @@
         salt: salt.salt(),
         part: PartId("session".to_owned()),
     };
-    let list = KeptList {
+    let list = StoreListing {
         epoch: 1,
         next: 1,
         whole: vec![(key, Tokens(5_000))],
--- a/crates/sillpin-gateway/tests/residency.rs
+++ b/crates/sillpin-gateway/tests/residency.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use sillpin_core::{RegionId, TargetId, Tokens, WeightVersion, ZoneId};
 use sillpin_gateway::config::{EngineSpec, FleetConfig};
-use sillpin_gateway::control::{PartKey, KeptList, TargetEntry};
+use sillpin_gateway::control::{PartKey, StoreListing, TargetEntry};
 use sillpin_gateway::dialect::{Part, PartId, Prompt};
 use sillpin_gateway::kept::Kept;
 use sillpin_gateway::place::index::TargetIndex;
@@ -131,7 +131,7 @@
     };
     let kept = Kept::default();
     for (addr, whole) in [(near.addr, vec![]), (far.addr, vec![(key, Tokens(500))])] {
-        let list = KeptList {
+        let list = StoreListing {
             epoch: 1,
             next: 1,
             whole,
--- a/crates/sillpin-gateway/tests/rollout.rs
+++ b/crates/sillpin-gateway/tests/rollout.rs
@@ -8,7 +8,7 @@
 use sillpin_gateway::beliefs::fleet::Fleet;
 use sillpin_gateway::beliefs::{self, BoxEntry, FleetHandle, FleetMsg, Reading, Source, Topic};
 use sillpin_gateway::control::{
-    Control, ControlError, EngineReport, FreeOrder, KeptList, KeptNews, OrderOutcome, Served,
+    Control, ControlError, EngineReport, FreeOrder, StoreListing, StoreChanges, OrderOutcome, Served,
     WeightsOrder,
 };
 use sillpin_gateway::kept::Kept;
@@ -172,16 +172,16 @@
         Ok(self.with(order.target.as_str(), |e| e.take(order, Instant::now())))
     }
 
-    async fn kept_news(
+    async fn store_changes(
         &self,
         _: SocketAddr,
         _: u64,
         _: Duration,
-    ) -> Result<KeptNews, ControlError> {
+    ) -> Result<StoreChanges, ControlError> {
         std::future::pending().await
     }
 
-    async fn kept_list(&self, _: SocketAddr) -> Result<KeptList, ControlError> {
+    async fn list_store(&self, _: SocketAddr) -> Result<StoreListing, ControlError> {
         std::future::pending().await
     }
 
