--- a/crates/sillpin-gateway/src/beliefs/fleet.rs
+++ b/crates/sillpin-gateway/src/beliefs/fleet.rs
@@ -13,7 +13,7 @@
 use super::{Evacuations, FleetMsg, FleetPort, Known, Named, Reading, Source, Topic, View, Wanted};
 use crate::awake::Awake;
 use crate::config::FleetConfig;
-use crate::control::{DecodeError, Life, Published, TargetEntry};
+use crate::control::{DecodeError, Life, PublishedFormat, TargetEntry};
 use sillpin_core::{BoxId, ModelId, TargetId, WeightVersion};
 use sillpin_platform::{KvEntry, KvRevision, StoreEra};
 use sillpin_telemetry::{event, events};
@@ -83,7 +83,7 @@
     view: View,
 }
 
-impl<K: Published> Fleet<K> {
+impl<K: PublishedFormat> Fleet<K> {
     /// Knows nothing yet.
     pub fn new(me: BoxId, keys: K, log: Logger) -> Self {
         Self {
--- a/crates/sillpin-gateway/src/beliefs/fleet/boxes.rs
+++ b/crates/sillpin-gateway/src/beliefs/fleet/boxes.rs
@@ -2,7 +2,7 @@
 
 use super::Fleet;
 use crate::beliefs::BoxEntry;
-use crate::control::Published;
+use crate::control::PublishedFormat;
 use sillpin_core::BoxId;
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,7 +19,7 @@
     pub(super) heard: Option<Instant>,
 }
 
-impl<K: Published> Fleet<K> {
+impl<K: PublishedFormat> Fleet<K> {
     /// Boxes stand in the registry.
     pub(super) fn register(&mut self, entries: Vec<BoxEntry>) {
         for entry in entries.into_iter().filter(|entry| entry.id != self.me) {
--- a/crates/sillpin-gateway/src/beliefs/fleet/evacuated.rs
+++ b/crates/sillpin-gateway/src/beliefs/fleet/evacuated.rs
@@ -3,7 +3,7 @@
 use super::super::mirror::Change;
 use super::Fleet;
 use crate::beliefs::Source;
-use crate::control::{Published, TargetEntry};
+use crate::control::{PublishedFormat, TargetEntry};
 use sillpin_core::ZoneId;
 use sillpin_telemetry::{event, events};
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 /// empty for too long costs capacity only.
 const WRITTEN_AGAIN: Duration = Duration::from_secs(10);
 
-impl<K: Published> Fleet<K> {
+impl<K: PublishedFormat> Fleet<K> {
     /// The evacuation of a zone was asked for, or taken back.
     pub(super) fn evacuation_changed(
         &mut self,
--- a/crates/sillpin-gateway/src/beliefs/fleet/sleep.rs
+++ b/crates/sillpin-gateway/src/beliefs/fleet/sleep.rs
@@ -1,12 +1,12 @@
 //! What the box knew before it was suspended.
 
 use super::Fleet;
-use crate::control::Published;
+use crate::control::PublishedFormat;
 use sillpin_telemetry::{event, events};
 use std::sync::Arc;
 use tokio::time::Instant;
 
-impl<K: Published> Fleet<K> {
+impl<K: PublishedFormat> Fleet<K> {
     /// Makes what is known older by the time that the box was suspended; whether it was.
     pub(super) fn wake(&mut self, now: Instant) -> bool {
         let slept = self.awake.slept();
--- a/crates/sillpin-gateway/src/beliefs/fleet/targets.rs
+++ b/crates/sillpin-gateway/src/beliefs/fleet/targets.rs
@@ -3,7 +3,7 @@
 use super::super::mirror::Change;
 use super::{Fleet, LAPSE_GRACE, MASS_LAPSE, Seen};
 use crate::beliefs::Source;
-use crate::control::{Presence, Published, Served, TargetEntry};
+use crate::control::{Presence, PublishedFormat, Served, TargetEntry};
 use crate::place::index::TargetIndex;
 use sillpin_core::{ModelId, TargetId, WeightVersion};
 use sillpin_platform::KvEntry;
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-impl<K: Published> Fleet<K> {
+impl<K: PublishedFormat> Fleet<K> {
     /// Hash of what the targets' entries say, without their heartbeats.
     pub(super) fn targets_content(&self) -> u64 {
         let listed = self
--- a/crates/sillpin-gateway/src/control.rs
+++ b/crates/sillpin-gateway/src/control.rs
@@ -67,7 +67,7 @@
 }
 
 /// Keys of published values in the platform store, and their decoding.
-pub trait Published: Clone + Send + Sync + 'static {
+pub trait PublishedFormat: Clone + Send + Sync + 'static {
     /// Prefix of targets' entries.
     fn target_prefix(&self) -> &'static str;
 
--- a/crates/sillpin-gateway/src/ops.rs
+++ b/crates/sillpin-gateway/src/ops.rs
@@ -6,7 +6,7 @@
 use crate::beliefs::transfers::Transfers;
 use crate::beliefs::{self, BoxEntry, FleetHandle, Topic};
 use crate::config::CallerLimits;
-use crate::control::{Control, Published};
+use crate::control::{Control, PublishedFormat};
 use crate::dialect::Dialect;
 use crate::fatal::Fatal;
 use crate::fatal::keep::Keep;
@@ -139,7 +139,7 @@
 ) -> Result<(), BindError>
 where
     D: Dialect,
-    K: Published,
+    K: PublishedFormat,
     P: Platform,
     C: Control,
 {
@@ -261,7 +261,7 @@
 /// Starts a reader for each prefix of the platform store; `of` creates one.
 fn start_readers<K, P>(keys: &K, of: impl Fn(Topic, &'static str) -> Reader<P>)
 where
-    K: Published,
+    K: PublishedFormat,
     P: Platform,
 {
     let topics = [
--- a/crates/sillpin-gateway/tests/common/mod.rs
+++ b/crates/sillpin-gateway/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use sillpin_core::{ModelId, TargetId, WeightVersion, ZoneId};
 use sillpin_gateway::config::{ConfigVersion, FleetConfig, StoreSpec};
 use sillpin_gateway::control::{
-    DecodeError, Life, Presence, Published, Served, TargetEntry, WantedWeights,
+    DecodeError, Life, Presence, PublishedFormat, Served, TargetEntry, WantedWeights,
 };
 use sillpin_gateway::place::residency::{Residency, ZoneRegions};
 use sillpin_platform::{
@@ -77,7 +77,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct TestKeys;
 
-impl Published for TestKeys {
+impl PublishedFormat for TestKeys {
     fn target_prefix(&self) -> &'static str {
         "target/"
     }
