--- a/crates/sillpin-gateway/benches/decision.rs
+++ b/crates/sillpin-gateway/benches/decision.rs
@@ -111,7 +111,7 @@
                     prompt: Some(PromptChoice {
                         model: &prompt.model,
                         tokens: prompt.tokens,
-                        aim: Duration::from_millis(500),
+                        latency_objective: Duration::from_millis(500),
                         room: spec.room,
                         wanted: Some(version),
                         oldest: version,
--- a/crates/sillpin-gateway/src/config.rs
+++ b/crates/sillpin-gateway/src/config.rs
@@ -63,7 +63,7 @@
     /// Maximum time that a request may take.
     pub timeout: Duration,
     /// Latency goal: time within which the response, or its first event, should arrive.
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// Callers of a stream give up after this time without an event, also before the first one.
     pub patience: Duration,
     /// Priority of its requests, unless the organisation has its own.
--- a/crates/sillpin-gateway/src/front/drive.rs
+++ b/crates/sillpin-gateway/src/front/drive.rs
@@ -230,7 +230,7 @@
         let mut links = self.kept.links();
         match placed.source {
             Some(store) => {
-                links.note_fetch(store, placed.length, excess, run.route.aim, Instant::now());
+                links.note_fetch(store, placed.length, excess, run.route.latency_objective, Instant::now());
             }
             None => links.note_read(placed.length, excess),
         }
@@ -372,7 +372,7 @@
         event!(self.log, events::OVERLOADED, "request" => &run.demand.id, "route" => &run.route.name,
             "target" => placed.chosen.target.id.as_str(),
             "organisation" => run.organisation.as_ref().map_or("", |org| org.id.as_str()),
-            "waited_ms" => expected.waited.as_millis(), "aim_ms" => expected.aim.as_millis(),
+            "waited_ms" => expected.waited.as_millis(), "aim_ms" => expected.latency_objective.as_millis(),
             "queue_ms" => expected.queue.as_millis(), "own_ms" => expected.own.as_millis(),
             "standing_ms" => expected.standing.as_millis(),
             "retry_after_ms" => wait.as_millis());
--- a/crates/sillpin-gateway/src/front/placing.rs
+++ b/crates/sillpin-gateway/src/front/placing.rs
@@ -138,7 +138,7 @@
         let millis = |ms: f64| Duration::from_secs_f64(ms.max(0.0) / 1000.0);
         Expected {
             waited: run.waited(),
-            aim: run.route.aim,
+            latency_objective: run.route.latency_objective,
             queue: millis(queue.met_ms),
             standing: millis(standing_ms),
             own: millis(self.prompt_ms),
@@ -159,7 +159,7 @@
 /// its own in milliseconds.
 fn is_in_time(run: &Run, work_ms: f64) -> bool {
     let work = Duration::from_secs_f64(work_ms * READING_FACTOR / 1000.0);
-    run.arrival.elapsed() + work < run.route.aim
+    run.arrival.elapsed() + work < run.route.latency_objective
 }
 
 impl<D: Dialect> Shared<D> {
@@ -320,7 +320,7 @@
         let prompt_choice = PromptChoice {
             model: &prompt.model,
             tokens: prompt.tokens,
-            aim: run.route.aim,
+            latency_objective: run.route.latency_objective,
             room: engine.room,
             wanted: wanted.map(|wanted| wanted.newest().version),
             oldest: weights.oldest,
@@ -379,7 +379,7 @@
             return Placed::plain(chosen);
         };
         let zone = &chosen.target.zone;
-        let fetch_time = run.route.aim.mul_f64(FETCH_AIMS);
+        let fetch_time = run.route.latency_objective.mul_f64(FETCH_AIMS);
         let mut directory = self.kept.lock();
         let sending = plan.sending(version, zone, &mut directory, fetch_time, Instant::now());
         drop(directory);
--- a/crates/sillpin-gateway/src/front/silence.rs
+++ b/crates/sillpin-gateway/src/front/silence.rs
@@ -36,7 +36,7 @@
         }
         let borne = match run.route.streaming {
             true => run.route.patience.mul_f64(PATIENCE_PART),
-            false => run.route.aim.mul_f64(PLAIN_AIMS),
+            false => run.route.latency_objective.mul_f64(PLAIN_AIMS),
         };
         run.deadline.min(Instant::now() + borne.max(LEAST_SILENCE))
     }
--- a/crates/sillpin-gateway/src/kept/links.rs
+++ b/crates/sillpin-gateway/src/kept/links.rs
@@ -71,14 +71,14 @@
         *average += WEIGHT * (millis(excess) - *average);
     }
 
-    /// A prompt with a fetch, whose first event is wanted within `aim`, took this much longer than reading and transfer
+    /// A prompt with a fetch, whose first event is wanted within `latency_objective`, took this much longer than reading and transfer
     /// explain.
     pub fn note_fetch(
         &mut self,
         store: SocketAddr,
         prompt: Tokens,
         excess: Duration,
-        aim: Duration,
+        latency_objective: Duration,
         now: Instant,
     ) {
         let alike = self.read_excess_ms.get(&class(prompt));
@@ -90,7 +90,7 @@
         });
         link.share = link.share_at(now);
         link.at = now;
-        let beyond_aims = beyond_ms / millis(aim).max(1.0);
+        let beyond_aims = beyond_ms / millis(latency_objective).max(1.0);
         link.beyond_aims += WEIGHT * (beyond_aims - link.beyond_aims);
         if link.beyond_aims > LATE_AIM_PART {
             link.share = (link.share * DECREASE).max(LEAST);
--- a/crates/sillpin-gateway/src/place/choose.rs
+++ b/crates/sillpin-gateway/src/place/choose.rs
@@ -97,7 +97,7 @@
     /// Length of the prompt.
     pub tokens: Tokens,
     /// Time within which its first event is wanted.
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// Memory of one engine.
     pub room: Tokens,
     /// Weights that are wanted.
@@ -279,8 +279,8 @@
 
     /// Whether a prompt need not look further than at an engine that was found.
     fn is_soon(&self, found: &Chosen) -> bool {
-        let aim = self.choice.prompt.as_ref().map_or(0.0, |p| millis(p.aim));
-        !found.rests && found.queue_ms <= aim * FURTHER_AIMS
+        let latency_objective = self.choice.prompt.as_ref().map_or(0.0, |p| millis(p.latency_objective));
+        !found.rests && found.queue_ms <= latency_objective * FURTHER_AIMS
     }
 
     /// The best of the first targets that can take the request, of which `most` are not passed over.
@@ -382,7 +382,7 @@
     let Some(prompt) = &choice.prompt else {
         return true;
     };
-    memory_ms(choice, load) <= millis(prompt.aim) * ROOM_WAIT_AIM_PART
+    memory_ms(choice, load) <= millis(prompt.latency_objective) * ROOM_WAIT_AIM_PART
 }
 
 /// How long a prompt waits for room in an engine's memory, in milliseconds.
--- a/crates/sillpin-gateway/tests/common/engines.rs
+++ b/crates/sillpin-gateway/tests/common/engines.rs
@@ -171,7 +171,7 @@
             prompt: Some(PromptChoice {
                 model: &model,
                 tokens: PROMPT,
-                aim: AIM,
+                latency_objective: AIM,
                 room: ROOM,
                 wanted: None,
                 oldest: WeightVersion(0),
--- a/crates/sillpin-gateway/tests/overload.rs
+++ b/crates/sillpin-gateway/tests/overload.rs
@@ -69,7 +69,7 @@
             let (queue_ms, standing_ms) = zone.meets(&placed);
             let expected = Expected {
                 waited: now - first,
-                aim: AIM,
+                latency_objective: AIM,
                 queue: millis(queue_ms),
                 standing: millis(standing_ms),
                 own: millis(PROMPT_MS),
--- a/crates/sillpin-gateway/tests/place.rs
+++ b/crates/sillpin-gateway/tests/place.rs
@@ -264,7 +264,7 @@
     let prompt = |oldest| PromptChoice {
         model: &model,
         tokens: Tokens(9_000),
-        aim: Duration::from_millis(500),
+        latency_objective: Duration::from_millis(500),
         room: Tokens(41_000),
         wanted: Some(WeightVersion(2)),
         oldest: WeightVersion(oldest),
@@ -290,7 +290,7 @@
     let prompt = || PromptChoice {
         model: &model,
         tokens: Tokens(9_000),
-        aim: Duration::from_millis(500),
+        latency_objective: Duration::from_millis(500),
         room: Tokens(41_000),
         wanted: None,
         oldest: WeightVersion(0),
@@ -308,7 +308,7 @@
     PromptChoice {
         model,
         tokens: Tokens(9_000),
-        aim: Duration::from_millis(500),
+        latency_objective: Duration::from_millis(500),
         room: Tokens(41_000),
         wanted: None,
         oldest: WeightVersion(0),
--- a/crates/sillpin-policy/src/overload.rs
+++ b/crates/sillpin-policy/src/overload.rs
@@ -36,7 +36,7 @@
     /// How long its caller has waited.
     pub waited: Duration,
     /// The time within which it is wanted to begin.
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// Work that is known to be ahead of it at the target.
     pub queue: Duration,
     /// What was ahead of requests at the targets that were chosen of late, on average.
@@ -57,7 +57,7 @@
         };
         let begins = besides + self.queue + self.own.mul_f64(READING_FACTOR);
         let bound = self
-            .aim
+            .latency_objective
             .mul_f64(LEAST_AIMS + (MOST_AIMS - LEAST_AIMS) * draw);
         begins.checked_sub(bound).filter(|late| !late.is_zero())
     }
--- a/crates/sillpin-policy/tests/overload.rs
+++ b/crates/sillpin-policy/tests/overload.rs
@@ -7,7 +7,7 @@
 fn expected(waited: u64, queue: u64, standing: u64, own: u64) -> Expected {
     Expected {
         waited: Duration::from_millis(waited),
-        aim: Duration::from_millis(500),
+        latency_objective: Duration::from_millis(500),
         queue: Duration::from_millis(queue),
         standing: Duration::from_millis(standing),
         own: Duration::from_millis(own),
