--- a/crates/sillpin-gateway/src/config.rs
+++ b/crates/sillpin-gateway/src/config.rs
@@ -65,7 +65,7 @@
     /// Latency goal: time within which the response, or its first event, should arrive.
     pub latency_objective: Duration,
     /// Callers of a stream give up after this time without an event, also before the first one.
-    pub patience: Duration,
+    pub event_timeout: Duration,
     /// Priority of its requests, unless the organisation has its own.
     pub priority: Priority,
     /// Pools that serve it.
--- a/crates/sillpin-gateway/src/front/silence.rs
+++ b/crates/sillpin-gateway/src/front/silence.rs
@@ -35,7 +35,7 @@
             return run.deadline;
         }
         let borne = match run.route.streaming {
-            true => run.route.patience.mul_f64(PATIENCE_PART),
+            true => run.route.event_timeout.mul_f64(PATIENCE_PART),
             false => run.route.latency_objective.mul_f64(PLAIN_AIMS),
         };
         run.deadline.min(Instant::now() + borne.max(LEAST_SILENCE))
@@ -63,7 +63,7 @@
             return false;
         };
         let left = match run.route.streaming {
-            true => run.route.patience.mul_f64(1.0 - PATIENCE_PART),
+            true => run.route.event_timeout.mul_f64(1.0 - PATIENCE_PART),
             false => run.time_left(),
         };
         let expected = Duration::from_secs_f64(found.expected_ms() / 1000.0);
