--- a/crates/sillpin-gateway/src/config.rs
+++ b/crates/sillpin-gateway/src/config.rs
@@ -14,9 +14,9 @@
 
 /// How often a request of a route may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// Any number of times.
-    Freely,
+    Idempotent,
     /// At most once.
     AtMostOnce,
 }
@@ -57,7 +57,7 @@
     /// Whether its responses are event streams.
     pub streaming: bool,
     /// How often its requests may run. A stream that may be resumed may also be run again.
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
     /// Whether a broken stream may be resumed at another target.
     pub resumable: bool,
     /// Maximum time that a request may take.
--- a/crates/sillpin-gateway/src/front/attempt.rs
+++ b/crates/sillpin-gateway/src/front/attempt.rs
@@ -168,9 +168,9 @@
     {
         let run = attempt.run;
         let target = attempt.target.clone();
-        let max_idle = match run.route.repeat {
-            crate::config::Repeat::AtMostOnce => MAX_IDLE_ONCE,
-            crate::config::Repeat::Freely => MAX_IDLE,
+        let max_idle = match run.route.idempotency {
+            crate::config::Idempotency::AtMostOnce => MAX_IDLE_ONCE,
+            crate::config::Idempotency::Idempotent => MAX_IDLE,
         };
         let mut conn = match self.pool.get(&target, max_idle).await {
             Ok(conn) => conn,
--- a/crates/sillpin-gateway/src/front/drive.rs
+++ b/crates/sillpin-gateway/src/front/drive.rs
@@ -12,7 +12,7 @@
 use super::placing::Placed;
 use super::shared::Shared;
 use crate::beliefs::{FleetMsg, View};
-use crate::config::Repeat;
+use crate::config::Idempotency;
 use crate::control::TargetEntry;
 use crate::dialect::{Dialect, AttemptHead};
 use crate::fatal::witness::Broken;
@@ -434,7 +434,7 @@
 
 /// Whether a request that ran, or may have run, may be sent to another target.
 pub fn may_repeat(run: &Run, progress: &Progress) -> bool {
-    run.route.repeat == Repeat::Freely && progress.runs < run.route.max_runs
+    run.route.idempotency == Idempotency::Idempotent && progress.runs < run.route.max_runs
 }
 
 /// Builds the head of the request to the target.
--- a/crates/sillpin-gateway/src/front/silence.rs
+++ b/crates/sillpin-gateway/src/front/silence.rs
@@ -11,7 +11,7 @@
 use super::admit::Run;
 use super::drive::{Progress, may_repeat};
 use super::shared::Shared;
-use crate::config::Repeat;
+use crate::config::Idempotency;
 use crate::dialect::Dialect;
 use sillpin_core::PoolId;
 use std::time::Duration;
@@ -31,7 +31,7 @@
 impl<D: Dialect> Shared<D> {
     /// Time at which a target that sends nothing from now on counts as silent.
     pub fn silence_until(&self, run: &Run) -> Instant {
-        if run.route.repeat == Repeat::AtMostOnce {
+        if run.route.idempotency == Idempotency::AtMostOnce {
             return run.deadline;
         }
         let borne = match run.route.streaming {
@@ -45,7 +45,7 @@
     /// `progress` does not count the run at the silent target yet.
     pub fn should_leave(&self, run: &Run, pool: &PoolId, progress: &Progress) -> bool {
         let another = progress.runs + 1 < run.route.max_runs;
-        another && run.route.repeat == Repeat::Freely && self.has_sooner(run, pool, progress)
+        another && run.route.idempotency == Idempotency::Idempotent && self.has_sooner(run, pool, progress)
     }
 
     /// Whether to resume a stream that fell silent at another target, since that is expected to be faster.
