--- a/crates/sillpin-gateway/benches/decision.rs
+++ b/crates/sillpin-gateway/benches/decision.rs
@@ -75,7 +75,7 @@
         };
         let spec = EngineSpec {
             slots: 24,
-            room: Tokens(40_097),
+            capacity: Tokens(40_097),
             token_bytes: 18_432,
             models: vec![name("m")],
         };
@@ -112,7 +112,7 @@
                         model: &prompt.model,
                         tokens: prompt.tokens,
                         latency_objective: Duration::from_millis(500),
-                        room: spec.room,
+                        capacity: spec.capacity,
                         wanted: Some(version),
                         oldest: version,
                         plans: &plans,
--- a/crates/sillpin-gateway/src/config.rs
+++ b/crates/sillpin-gateway/src/config.rs
@@ -84,7 +84,7 @@
     /// Number of requests that run at once.
     pub slots: u32,
     /// Tokens that fit into its memory, cached or of running requests.
-    pub room: Tokens,
+    pub capacity: Tokens,
     /// Size of a token's KV cache in bytes.
     pub token_bytes: u64,
     /// Models that it serves.
@@ -123,7 +123,7 @@
     /// Its availability zone.
     pub zone: ZoneId,
     /// Number of tokens that fit.
-    pub room: Tokens,
+    pub capacity: Tokens,
     /// Rate of its link in bytes per millisecond.
     pub link_bytes_per_ms: f64,
     /// Fixed latency of each transfer.
--- a/crates/sillpin-gateway/src/front/placing.rs
+++ b/crates/sillpin-gateway/src/front/placing.rs
@@ -321,7 +321,7 @@
             model: &prompt.model,
             tokens: prompt.tokens,
             latency_objective: run.route.latency_objective,
-            room: engine.room,
+            capacity: engine.capacity,
             wanted: wanted.map(|wanted| wanted.newest().version),
             oldest: weights.oldest,
             plans: &plans,
--- a/crates/sillpin-gateway/src/kept/directory.rs
+++ b/crates/sillpin-gateway/src/kept/directory.rs
@@ -318,7 +318,7 @@
     /// Used share of the fullest managed store.
     pub fn fullness(&self, stores: &[StoreSpec]) -> f64 {
         let managed = stores.iter().filter(|store| store.managed);
-        let used = managed.map(|s| self.used(s.addr).0 as f64 / s.room.0.max(1) as f64);
+        let used = managed.map(|s| self.used(s.addr).0 as f64 / s.capacity.0.max(1) as f64);
         used.fold(0.0, f64::max)
     }
 
--- a/crates/sillpin-gateway/src/kept/homes.rs
+++ b/crates/sillpin-gateway/src/kept/homes.rs
@@ -42,8 +42,8 @@
     let managed = stores.iter().filter(|store| store.managed);
     let mut ranked: Vec<Ranked<'_>> = managed
         .map(|store| Ranked {
-            suits: store.room.0 / max_share >= tokens.0,
-            rank: weighted_rank(&store.id, part, store.room),
+            suits: store.capacity.0 / max_share >= tokens.0,
+            rank: weighted_rank(&store.id, part, store.capacity),
             store,
         })
         .collect();
@@ -64,16 +64,16 @@
         let class = match a.suits && b.suits {
             true => a.store.first.cmp(&b.store.first),
             // Where no store suits, the roomiest is best.
-            false => b.store.room.cmp(&a.store.room),
+            false => b.store.capacity.cmp(&a.store.capacity),
         };
         suited.then(class).then(b.rank.total_cmp(&a.rank))
     }
 }
 
 /// Weighted rendezvous hashing: the largest rank wins, and each store wins in proportion to its room.
-fn weighted_rank(store: &PoolId, part: &PartId, room: Tokens) -> f64 {
+fn weighted_rank(store: &PoolId, part: &PartId, capacity: Tokens) -> f64 {
     let hash = hash_pair(store.as_str(), &part.0);
-    room.0.max(1) as f64 / -unit(hash).ln()
+    capacity.0.max(1) as f64 / -unit(hash).ln()
 }
 
 /// A number in (0, 1) from a hash.
--- a/crates/sillpin-gateway/src/place/choose.rs
+++ b/crates/sillpin-gateway/src/place/choose.rs
@@ -99,7 +99,7 @@
     /// Time within which its first event is wanted.
     pub latency_objective: Duration,
     /// Memory of one engine.
-    pub room: Tokens,
+    pub capacity: Tokens,
     /// Weights that are wanted.
     pub wanted: Option<WeightVersion>,
     /// Engines with older weights than these are no candidates.
@@ -390,8 +390,8 @@
     let Some(prompt) = &choice.prompt else {
         return 0.0;
     };
-    let room = prompt.room.0.max(1) as f64;
-    let lacking = load.work.tokens + prompt.tokens.0 as f64 - room * MEMORY_SHARE;
+    let capacity = prompt.capacity.0.max(1) as f64;
+    let lacking = load.work.tokens + prompt.tokens.0 as f64 - capacity * MEMORY_SHARE;
     if lacking <= 0.0 {
         return 0.0;
     }
--- a/crates/sillpin-gateway/src/place/parts.rs
+++ b/crates/sillpin-gateway/src/place/parts.rs
@@ -178,9 +178,9 @@
     let is_known = |store: &&&StoreSpec| directory.is_known(store.addr, inputs.now);
     let known: Vec<&StoreSpec> = homes.iter().filter(is_known).copied().collect();
     let has_room =
-        |store: &&&StoreSpec| (used(store) + tokens).0 as f64 <= store.room.0 as f64 * FILLED;
+        |store: &&&StoreSpec| (used(store) + tokens).0 as f64 <= store.capacity.0 as f64 * FILLED;
     let roomy: Vec<&StoreSpec> = known.iter().filter(has_room).copied().collect();
-    let alike = |store: &&&StoreSpec| store.first == roomy[0].first && store.room == roomy[0].room;
+    let alike = |store: &&&StoreSpec| store.first == roomy[0].first && store.capacity == roomy[0].capacity;
     let not_kept = match (known.is_empty(), roomy.is_empty()) {
         (true, _) => NotKept::StoresUnknown,
         (_, true) => NotKept::NoRoom,
--- a/crates/sillpin-gateway/tests/common/engines.rs
+++ b/crates/sillpin-gateway/tests/common/engines.rs
@@ -78,11 +78,11 @@
     fn step(&mut self, now: Instant) -> Vec<Duration> {
         self.generating.retain(|(until, _)| now < *until);
         self.queue.retain(|running| now < running.until);
-        let room = (ROOM.0 / PROMPT.0) as usize;
+        let capacity = (ROOM.0 / PROMPT.0) as usize;
         let mut ms = STEP.as_secs_f64() * 1000.0;
         let mut began = Vec::new();
         while let Some(running) = self.queue.front_mut() {
-            if ms <= 0.0 || self.generating.len() >= room {
+            if ms <= 0.0 || self.generating.len() >= capacity {
                 break;
             }
             let read = running.left_ms.min(ms);
@@ -172,7 +172,7 @@
                 model: &model,
                 tokens: PROMPT,
                 latency_objective: AIM,
-                room: ROOM,
+                capacity: ROOM,
                 wanted: None,
                 oldest: WeightVersion(0),
                 plans: &plans,
@@ -245,7 +245,7 @@
     };
     let engine = EngineSpec {
         slots: 24,
-        room: ROOM,
+        capacity: ROOM,
         token_bytes: 18_432,
         models: vec![name("m")],
     };
--- a/crates/sillpin-gateway/tests/common/mod.rs
+++ b/crates/sillpin-gateway/tests/common/mod.rs
@@ -59,12 +59,12 @@
 }
 
 /// A managed store.
-pub fn store(id: &str, port: u16, zone: &str, room: u64, first_ms: u64) -> StoreSpec {
+pub fn store(id: &str, port: u16, zone: &str, capacity: u64, first_ms: u64) -> StoreSpec {
     StoreSpec {
         id: name(id),
         addr: ([127, 0, 0, 1], port).into(),
         zone: name::<ZoneId>(zone),
-        room: sillpin_core::Tokens(room),
+        capacity: sillpin_core::Tokens(capacity),
         link_bytes_per_ms: 3_600_000.0,
         first: Duration::from_millis(first_ms),
         max_readers: 12,
--- a/crates/sillpin-gateway/tests/parts.rs
+++ b/crates/sillpin-gateway/tests/parts.rs
@@ -63,7 +63,7 @@
     };
     let engine = EngineSpec {
         slots: 64,
-        room: Tokens(40_000),
+        capacity: Tokens(40_000),
         token_bytes: 18_432,
         models: vec![name("m")],
     };
--- a/crates/sillpin-gateway/tests/place.rs
+++ b/crates/sillpin-gateway/tests/place.rs
@@ -265,7 +265,7 @@
         model: &model,
         tokens: Tokens(9_000),
         latency_objective: Duration::from_millis(500),
-        room: Tokens(41_000),
+        capacity: Tokens(41_000),
         wanted: Some(WeightVersion(2)),
         oldest: WeightVersion(oldest),
         plans: &[],
@@ -291,7 +291,7 @@
         model: &model,
         tokens: Tokens(9_000),
         latency_objective: Duration::from_millis(500),
-        room: Tokens(41_000),
+        capacity: Tokens(41_000),
         wanted: None,
         oldest: WeightVersion(0),
         plans: &[],
@@ -309,7 +309,7 @@
         model,
         tokens: Tokens(9_000),
         latency_objective: Duration::from_millis(500),
-        room: Tokens(41_000),
+        capacity: Tokens(41_000),
         wanted: None,
         oldest: WeightVersion(0),
         plans: &[],
@@ -517,7 +517,7 @@
     };
     let engine = EngineSpec {
         slots: 24,
-        room: Tokens(41_000),
+        capacity: Tokens(41_000),
         token_bytes: 18_432,
         models: vec![name("m")],
     };
--- a/crates/sillpin-gateway/tests/residency.rs
+++ b/crates/sillpin-gateway/tests/residency.rs
@@ -141,7 +141,7 @@
     }
     let engine = EngineSpec {
         slots: 8,
-        room: Tokens(10_000),
+        capacity: Tokens(10_000),
         token_bytes: 1,
         models: vec![name("m")],
     };
