--- a/crates/sillpin-gateway/src/config.rs
+++ b/crates/sillpin-gateway/src/config.rs
@@ -31,7 +31,7 @@
 impl Priority {
     /// The priority of such a request that will miss its latency goal in any case: behind all that can meet theirs,
     /// with the order among late requests preserved.
-    pub fn behind(self) -> Self {
+    pub fn demoted(self) -> Self {
         Self(self.0.saturating_add(URGENCIES / 2).min(URGENCIES - 1))
     }
 }
--- a/crates/sillpin-gateway/src/front/placing.rs
+++ b/crates/sillpin-gateway/src/front/placing.rs
@@ -150,7 +150,7 @@
     pub fn priority(&self, run: &Run) -> Priority {
         match self.in_time {
             true => run.priority(),
-            false => run.priority().behind(),
+            false => run.priority().demoted(),
         }
     }
 }
--- a/crates/sillpin-gateway/tests/place.rs
+++ b/crates/sillpin-gateway/tests/place.rs
@@ -352,7 +352,7 @@
 #[case(4, 9)]
 #[case(5, 9)]
 fn late_requests_go_behind_all_in_time_and_keep_their_order(#[case] own: u8, #[case] late: u8) {
-    assert_eq!(Priority(own).behind(), Priority(late));
+    assert_eq!(Priority(own).demoted(), Priority(late));
 }
 
 #[tokio::test(start_paused = true)]
