--- a/crates/sillpin-gateway/src/fatal/witness.rs
+++ b/crates/sillpin-gateway/src/fatal/witness.rs
@@ -8,7 +8,7 @@
 use crate::beliefs::FleetHandle;
 use crate::control::TargetEntry;
 use crate::place::work::LifeHash;
-use crate::pool::{Conn, Pool, SendError};
+use crate::pool::{Conn, ConnectionPool, SendError};
 use rand::seq::IndexedRandom;
 use sillpin_telemetry::{event, events};
 use slog::Logger;
@@ -45,7 +45,7 @@
 #[derive(Clone)]
 pub struct Witness {
     /// Connections to targets.
-    pub pool: Pool,
+    pub pool: ConnectionPool,
     /// What is known of the fleet.
     pub fleet: FleetHandle,
     /// Who is told.
@@ -57,7 +57,7 @@
 
 impl Witness {
     /// Looks at nothing yet.
-    pub fn new(pool: Pool, fleet: FleetHandle, fatal: Fatal, log: Logger) -> Self {
+    pub fn new(pool: ConnectionPool, fleet: FleetHandle, fatal: Fatal, log: Logger) -> Self {
         Self {
             pool,
             fleet,
--- a/crates/sillpin-gateway/src/front/shared.rs
+++ b/crates/sillpin-gateway/src/front/shared.rs
@@ -10,7 +10,7 @@
 use crate::metrics::BoxMetrics;
 use crate::place::Loads;
 use crate::place::probe::Prober;
-use crate::pool::Pool;
+use crate::pool::ConnectionPool;
 use crate::reload::Settings;
 use crate::settings::BoxConfig;
 use sillpin_core::PoolId;
@@ -37,7 +37,7 @@
     /// Loads of targets.
     pub loads: Loads,
     /// Connections to targets.
-    pub pool: Pool,
+    pub pool: ConnectionPool,
     /// Probes targets that are unreachable.
     pub prober: Prober,
     /// Counts time in which the box was suspended.
@@ -94,7 +94,7 @@
             fatal,
             awake,
         } = learned;
-        let pool = Pool::new(awake.clone());
+        let pool = ConnectionPool::new(awake.clone());
         let prober = Prober {
             loads: loads.clone(),
             pool: pool.clone(),
--- a/crates/sillpin-gateway/src/place/probe.rs
+++ b/crates/sillpin-gateway/src/place/probe.rs
@@ -5,7 +5,7 @@
 
 use super::load::{Loads, Outcome};
 use crate::beliefs::FleetHandle;
-use crate::pool::{Conn, Pool};
+use crate::pool::{Conn, ConnectionPool};
 use sillpin_core::TargetId;
 use sillpin_telemetry::{event, events};
 use slog::Logger;
@@ -22,7 +22,7 @@
     /// Loads of targets.
     pub loads: Loads,
     /// Connections to targets.
-    pub pool: Pool,
+    pub pool: ConnectionPool,
     /// What is known of the fleet.
     pub fleet: FleetHandle,
     /// Log.
--- a/crates/sillpin-gateway/src/pool.rs
+++ b/crates/sillpin-gateway/src/pool.rs
@@ -170,13 +170,13 @@
 
 /// Idle connections by target; clones share them.
 #[derive(Clone, Default)]
-pub struct Pool {
+pub struct ConnectionPool {
     /// Targets close idle connections by their own clocks, which also run while this box is suspended.
     awake: Awake,
     idle: Arc<Mutex<HashMap<TargetId, Vec<Conn>>>>,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// Creates an empty pool that counts time in which the box was suspended by `awake`.
     pub fn new(awake: Awake) -> Self {
         let idle = Arc::default();
--- a/crates/sillpin-gateway/tests/awake.rs
+++ b/crates/sillpin-gateway/tests/awake.rs
@@ -11,7 +11,7 @@
 use sillpin_gateway::beliefs::{BoxEntry, FleetMsg, Reading, Source, Topic};
 use sillpin_gateway::control::TargetEntry;
 use sillpin_gateway::kept::retire::Retirements;
-use sillpin_gateway::pool::Pool;
+use sillpin_gateway::pool::ConnectionPool;
 use sillpin_gateway::weights::duty::Duty;
 use sillpin_platform::{KvRevision, Snapshot};
 use std::time::Duration;
@@ -130,7 +130,7 @@
         addr: listener.local_addr().unwrap(),
         ..engine("i-1", "za")
     };
-    let pool = Pool::new(awake.clone());
+    let pool = ConnectionPool::new(awake.clone());
     let long = Duration::from_secs(30);
     let conn = pool.get(&target, long).await.unwrap();
     let _first = listener.accept().await.unwrap();
--- a/crates/sillpin-gateway/tests/lives.rs
+++ b/crates/sillpin-gateway/tests/lives.rs
@@ -16,7 +16,7 @@
 use sillpin_gateway::place::Loads;
 use sillpin_gateway::place::load::Outcome;
 use sillpin_gateway::place::work::{LifeHash, Work};
-use sillpin_gateway::pool::{Conn, Pool};
+use sillpin_gateway::pool::{Conn, ConnectionPool};
 use sillpin_platform::{KvEntry, KvRevision, Snapshot, WatchReply};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -207,7 +207,7 @@
         ..engine("e1", "za")
     };
     let (old, new) = (of(100), of(200));
-    let pool = Pool::default();
+    let pool = ConnectionPool::default();
     let conn = Conn::open(&old).await.unwrap();
     let (_first, _) = listener.accept().await.unwrap();
     pool.put(old.id.clone(), conn, None).await;
