--- a/crates/sillpin-gateway/src/ops.rs
+++ b/crates/sillpin-gateway/src/ops.rs
@@ -81,7 +81,7 @@
 
 /// Addresses on which a box listens.
 #[derive(Debug, Clone, Copy)]
-pub struct Listening {
+pub struct ListenAddrs {
     /// For callers.
     pub callers: SocketAddr,
     /// For the balancer's checks.
@@ -98,7 +98,7 @@
     peers: TcpListener,
     gossip: UdpSocket,
     metrics: Option<TcpListener>,
-    at: Listening,
+    at: ListenAddrs,
 }
 
 async fn listen_all(cfg: &BoxConfig) -> Result<Listeners, BindError> {
@@ -119,7 +119,7 @@
         peers,
         gossip,
         metrics,
-        at: Listening {
+        at: ListenAddrs {
             callers: callers_at,
             ready: ready_at,
             peers: peers_at,
@@ -135,7 +135,7 @@
     telemetry: Telemetry,
     adapter: Adapter<D, K, P, C>,
     stopping: CancellationToken,
-    started: impl FnOnce(Listening),
+    started: impl FnOnce(ListenAddrs),
 ) -> Result<(), BindError>
 where
     D: Dialect,
