--- a/crates/sillpin-gateway/src/beliefs/fleet.rs
+++ b/crates/sillpin-gateway/src/beliefs/fleet.rs
@@ -11,7 +11,7 @@
 pub use self::targets::served;
 use super::mirror::{Change, Mirror};
 use super::{Evacuations, FleetMsg, FleetPort, Known, Named, Reading, Source, Topic, View, Wanted};
-use crate::awake::Awake;
+use crate::suspend_clock::SuspendClock;
 use crate::config::FleetConfig;
 use crate::control::{DecodeError, Life, PublishedFormat, TargetEntry};
 use sillpin_core::{BoxId, ModelId, TargetId, WeightVersion};
@@ -69,7 +69,7 @@
     /// Until when targets are cold.
     cold: HashMap<TargetId, Instant>,
     boxes: HashMap<BoxId, BoxSeen>,
-    awake: Awake,
+    suspend_clock: SuspendClock,
     /// When the box last woke, and how long it had been suspended.
     woke: Option<(Instant, Duration)>,
     away: Option<Instant>,
@@ -101,7 +101,7 @@
             departures: Departures::default(),
             cold: HashMap::new(),
             boxes: HashMap::new(),
-            awake: Awake::default(),
+            suspend_clock: SuspendClock::default(),
             woke: None,
             away: None,
             era: None,
@@ -112,9 +112,9 @@
         }
     }
 
-    /// Tells time asleep by `awake`.
-    pub fn with_awake(self, awake: Awake) -> Self {
-        Self { awake, ..self }
+    /// Tells time asleep by `suspend_clock`.
+    pub fn with_suspend_clock(self, suspend_clock: SuspendClock) -> Self {
+        Self { suspend_clock, ..self }
     }
 
     /// Answers messages until all handles are gone.
--- a/crates/sillpin-gateway/src/beliefs/fleet/sleep.rs
+++ b/crates/sillpin-gateway/src/beliefs/fleet/sleep.rs
@@ -9,7 +9,7 @@
 impl<K: PublishedFormat> Fleet<K> {
     /// Makes what is known older by the time that the box was suspended; whether it was.
     pub(super) fn wake(&mut self, now: Instant) -> bool {
-        let slept = self.awake.slept();
+        let slept = self.suspend_clock.slept();
         let time = slept.saturating_sub(self.view.slept);
         if time.is_zero() {
             return false;
--- a/crates/sillpin-gateway/src/front/shared.rs
+++ b/crates/sillpin-gateway/src/front/shared.rs
@@ -1,7 +1,7 @@
 //! State shared by all requests of a box.
 
 use super::body_room::BodyRoom;
-use crate::awake::Awake;
+use crate::suspend_clock::SuspendClock;
 use crate::beliefs::FleetHandle;
 use crate::budget::RetryBudget;
 use crate::dialect::Dialect;
@@ -41,7 +41,7 @@
     /// Probes targets that are unreachable.
     pub prober: Prober,
     /// Counts time in which the box was suspended.
-    pub awake: Awake,
+    pub suspend_clock: SuspendClock,
     /// Record of requests that crash targets.
     pub fatal: Fatal,
     /// Determines whether targets crashed while running requests.
@@ -71,7 +71,7 @@
     /// Record of requests that crash targets.
     pub fatal: Fatal,
     /// Counts time in which the box was suspended.
-    pub awake: Awake,
+    pub suspend_clock: SuspendClock,
 }
 
 impl<D: Dialect> Shared<D> {
@@ -92,9 +92,9 @@
             loads,
             kept,
             fatal,
-            awake,
+            suspend_clock,
         } = learned;
-        let pool = ConnectionPool::new(awake.clone());
+        let pool = ConnectionPool::new(suspend_clock.clone());
         let prober = Prober {
             loads: loads.clone(),
             pool: pool.clone(),
@@ -105,7 +105,7 @@
         let witness = Witness::new(pool.clone(), fleet.clone(), fatal.clone(), log.clone());
         Self {
             dialect,
-            awake,
+            suspend_clock,
             fatal,
             witness,
             fleet,
--- a/crates/sillpin-gateway/src/kept/freer.rs
+++ b/crates/sillpin-gateway/src/kept/freer.rs
@@ -3,7 +3,7 @@
 use super::Kept;
 use super::retire::{place_of, weights_of};
 use super::salt::SaltParts;
-use crate::awake::Awake;
+use crate::suspend_clock::SuspendClock;
 use crate::beliefs::{FleetHandle, View};
 use crate::config::StoreSpec;
 use crate::control::{Control, FreeOrder, PartKey, PartialPart};
@@ -44,10 +44,10 @@
     pub kept: Kept,
     /// What is known of the fleet.
     pub fleet: FleetHandle,
-    /// Nothing is ordered after this moment of [`Awake::now`].
+    /// Nothing is ordered after this moment of [`SuspendClock::now`].
     pub until: watch::Receiver<Instant>,
     /// Time asleep.
-    pub awake: Awake,
+    pub suspend_clock: SuspendClock,
     /// Log.
     pub log: Logger,
 }
@@ -162,7 +162,7 @@
         time: Duration,
         why: &'static str,
     ) {
-        if self.awake.now() >= *self.until.borrow() {
+        if self.suspend_clock.now() >= *self.until.borrow() {
             return;
         }
         let (position, until) = {
--- a/crates/sillpin-gateway/src/lib.rs
+++ b/crates/sillpin-gateway/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`config`]: routes, pools, cache stores and organisations as operators publish them,
 //! - [`dialect`]: contents of requests and responses,
 //! - [`control`]: calls of engines and cache stores outside the request path,
-//! - [`awake`]: detection of time in which the box was suspended,
+//! - [`suspend_clock`]: detection of time in which the box was suspended,
 //! - [`beliefs`]: the box's view of the fleet, with revision, source and age,
 //! - [`fatal`]: requests that crash the targets that run them,
 //! - [`place`]: selection of a target for a request,
@@ -19,7 +19,7 @@
 //! - [`reload`]: settings that change while the box runs,
 //! - [`ops`]: assembly of a box.
 
-pub mod awake;
+pub mod suspend_clock;
 pub mod beliefs;
 pub mod budget;
 pub mod config;
--- a/crates/sillpin-gateway/src/ops.rs
+++ b/crates/sillpin-gateway/src/ops.rs
@@ -1,6 +1,6 @@
 //! Assembles a box: opens its listeners, starts its tasks, and stops it.
 
-use crate::awake::Awake;
+use crate::suspend_clock::SuspendClock;
 use crate::beliefs::fleet::Fleet;
 use crate::beliefs::reader::{Reader, hold_wait};
 use crate::beliefs::transfers::Transfers;
@@ -152,9 +152,9 @@
         "platform" => cfg.platform.to_string(), "seeds" => cfg.seeds.len());
     let (fleet, port) = beliefs::channel();
     observe_fleet(&metrics.meter(), fleet.clone());
-    let awake = Awake::default();
+    let suspend_clock = SuspendClock::default();
     let task = Fleet::new(cfg.id.clone(), adapter.keys.clone(), log.clone());
-    let task = task.with_awake(awake.clone());
+    let task = task.with_suspend_clock(suspend_clock.clone());
     tokio::spawn(task.run(port));
     let me = BoxEntry {
         id: cfg.id.clone(),
@@ -184,7 +184,7 @@
         loads,
         kept: Kept::default(),
         fatal: Fatal::new(log.clone()),
-        awake,
+        suspend_clock,
     };
     let shared = Arc::new(Shared::new(
         adapter.dialect.clone(),
@@ -337,7 +337,7 @@
         loads: shared.loads.clone(),
         kept: shared.kept.clone(),
         fatal: shared.fatal.clone(),
-        awake: shared.awake.clone(),
+        suspend_clock: shared.suspend_clock.clone(),
         news,
         words,
         transfers,
@@ -357,7 +357,7 @@
             me: id,
             apart: shared.cfg.lease,
             hold: hold_wait(shared.cfg.history),
-            awake: shared.awake.clone(),
+            suspend_clock: shared.suspend_clock.clone(),
             log: log.clone(),
         },
         control: adapter.control.clone(),
--- a/crates/sillpin-gateway/src/peers/digest.rs
+++ b/crates/sillpin-gateway/src/peers/digest.rs
@@ -8,7 +8,7 @@
 use super::spread::{Spread, TELL_EVERY, ZoneNews};
 use super::stall::StallGuard;
 use super::wire::{self, FleetKey};
-use crate::awake::Awake;
+use crate::suspend_clock::SuspendClock;
 use crate::beliefs::transfers::Transfers;
 use crate::beliefs::wanted::ages;
 use crate::beliefs::{BoxEntry, FleetHandle, Known, View};
@@ -64,7 +64,7 @@
     /// What is known of kept parts.
     pub kept: Kept,
     /// Time asleep.
-    pub awake: Awake,
+    pub suspend_clock: SuspendClock,
     /// Requests that end the targets that run them.
     pub fatal: Fatal,
     /// News of this box's own orders, for all boxes.
@@ -104,7 +104,7 @@
             },
             lag: Arc::default(),
             transfers: self.transfers.clone(),
-            stall: StallGuard::start(self.awake.clone()),
+            stall: StallGuard::start(self.suspend_clock.clone()),
             metrics: self.metrics.clone(),
             name: self.name,
             zone: self.me.zone.clone(),
@@ -211,10 +211,10 @@
         let fullness = self.kept.lock().fullness(stores.unwrap_or_default());
         {
             let mut retirements = self.kept.retirements();
-            retirements.wake(self.awake.slept());
+            retirements.wake(self.suspend_clock.slept());
             retirements.update(&view, fullness, Instant::now());
         }
-        self.loads.words(|words| words.wake(self.awake.slept()));
+        self.loads.words(|words| words.wake(self.suspend_clock.slept()));
         if large {
             return;
         }
--- a/crates/sillpin-gateway/src/peers/stall.rs
+++ b/crates/sillpin-gateway/src/peers/stall.rs
@@ -3,7 +3,7 @@
 //! Datagrams that waited while a process was frozen look as if they had just arrived, and their ages would
 //! be taken for true. After a stall, what had been waiting is thrown away.
 
-use crate::awake::Awake;
+use crate::suspend_clock::SuspendClock;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -37,20 +37,20 @@
 /// Notices stalls; clones share it.
 #[derive(Debug, Clone)]
 pub struct StallGuard {
-    awake: Awake,
+    suspend_clock: SuspendClock,
     state: Arc<Mutex<State>>,
 }
 
 impl StallGuard {
     /// Starts the ticks.
-    pub fn start(awake: Awake) -> Self {
+    pub fn start(suspend_clock: SuspendClock) -> Self {
         let state = State {
             ticked: Instant::now(),
-            slept: awake.slept(),
+            slept: suspend_clock.slept(),
             discard_until: None,
         };
         let guard = Self {
-            awake,
+            suspend_clock,
             state: Arc::new(Mutex::new(state)),
         };
         tokio::spawn(guard.clone().tick());
@@ -60,7 +60,7 @@
     async fn tick(self) {
         loop {
             tokio::time::sleep(TICK).await;
-            let (now, slept) = (Instant::now(), self.awake.slept());
+            let (now, slept) = (Instant::now(), self.suspend_clock.slept());
             let mut state = self.state.lock().unwrap_or_else(|e| e.into_inner());
             state.look(now, slept);
             state.ticked = now;
@@ -69,7 +69,7 @@
 
     /// Whether what arrives now may have waited in a stall.
     pub fn is_stale(&self) -> bool {
-        let (now, slept) = (Instant::now(), self.awake.slept());
+        let (now, slept) = (Instant::now(), self.suspend_clock.slept());
         let mut state = self.state.lock().unwrap_or_else(|e| e.into_inner());
         state.look(now, slept);
         state.discard_until.is_some_and(|until| now < until)
--- a/crates/sillpin-gateway/src/pool.rs
+++ b/crates/sillpin-gateway/src/pool.rs
@@ -6,7 +6,7 @@
 //! may
 //! have reached the target, because the caller's response depends on it.
 
-use crate::awake::Awake;
+use crate::suspend_clock::SuspendClock;
 use crate::control::{Life, TargetEntry};
 use bytes::Bytes;
 use derive_more::{Display, Error};
@@ -82,7 +82,7 @@
     driver: AbortHandle,
     peer: SocketAddr,
     life: Option<Life>,
-    /// Time by [`Awake::now`] at which it returned to the pool.
+    /// Time by [`SuspendClock::now`] at which it returned to the pool.
     idle_since: Instant,
     keep_idle: Duration,
 }
@@ -172,15 +172,15 @@
 #[derive(Clone, Default)]
 pub struct ConnectionPool {
     /// Targets close idle connections by their own clocks, which also run while this box is suspended.
-    awake: Awake,
+    suspend_clock: SuspendClock,
     idle: Arc<Mutex<HashMap<TargetId, Vec<Conn>>>>,
 }
 
 impl ConnectionPool {
-    /// Creates an empty pool that counts time in which the box was suspended by `awake`.
-    pub fn new(awake: Awake) -> Self {
+    /// Creates an empty pool that counts time in which the box was suspended by `suspend_clock`.
+    pub fn new(suspend_clock: SuspendClock) -> Self {
         let idle = Arc::default();
-        Self { awake, idle }
+        Self { suspend_clock, idle }
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<TargetId, Vec<Conn>>> {
@@ -198,7 +198,7 @@
     }
 
     fn take_idle(&self, target: &TargetEntry, max_idle: Duration) -> Option<Conn> {
-        let now = self.awake.now();
+        let now = self.suspend_clock.now();
         let mut idle = self.lock();
         let conns = idle.get_mut(&target.id)?;
         conns.retain(|conn| {
@@ -216,7 +216,7 @@
         if conn.sender.ready().await.is_err() {
             return;
         }
-        conn.idle_since = self.awake.now();
+        conn.idle_since = self.suspend_clock.now();
         conn.keep_idle = keep_idle.map_or(DEFAULT_IDLE, |idle| idle.saturating_sub(IDLE_MARGIN));
         let mut idle = self.lock();
         let conns = idle.entry(target).or_default();
@@ -228,7 +228,7 @@
     /// Closes idle connections to targets that are no longer listed, to earlier incarnations, and those idle for too
     /// long.
     pub fn prune(&self, targets: &HashMap<TargetId, Arc<TargetEntry>>) {
-        let now = self.awake.now();
+        let now = self.suspend_clock.now();
         let mut idle = self.lock();
         idle.retain(|id, conns| {
             let target = targets.get(id);
--- a/crates/sillpin-gateway/src/awake.rs
+++ b/crates/sillpin-gateway/src/suspend_clock.rs
@@ -58,19 +58,19 @@
 
 /// Measures how long the box has been suspended; clones share the result.
 #[derive(Debug, Clone)]
-pub struct Awake {
+pub struct SuspendClock {
     ahead: Ahead,
     at_start: Option<Duration>,
     slept: Arc<Mutex<Duration>>,
 }
 
-impl Default for Awake {
+impl Default for SuspendClock {
     fn default() -> Self {
         Self::from(Ahead::Clocks(std::time::Instant::now()))
     }
 }
 
-impl Awake {
+impl SuspendClock {
     fn from(ahead: Ahead) -> Self {
         Self {
             at_start: ahead.read(),
@@ -79,12 +79,12 @@
         }
     }
 
-    /// Creates one that is only advanced by [`Awake::suspend`], for tests.
+    /// Creates one that is only advanced by [`SuspendClock::suspend`], for tests.
     pub fn manual() -> Self {
         Self::from(Ahead::Manual(Arc::default()))
     }
 
-    /// Adds suspended time, for tests; has no effect unless created by [`Awake::manual`].
+    /// Adds suspended time, for tests; has no effect unless created by [`SuspendClock::manual`].
     pub fn suspend(&self, time: Duration) {
         if let Ahead::Manual(ahead) = &self.ahead {
             *lock(ahead) += time;
--- a/crates/sillpin-gateway/src/weights/duty.rs
+++ b/crates/sillpin-gateway/src/weights/duty.rs
@@ -1,6 +1,6 @@
 //! Who holds the duty to order engines.
 
-use crate::awake::Awake;
+use crate::suspend_clock::SuspendClock;
 use crate::beliefs::wanted::NamedAge;
 use serde::{Deserialize, Serialize};
 use sillpin_core::{BoxId, Fence, TargetId};
@@ -41,7 +41,7 @@
     pub lease: LeaseId,
     /// Orders this holder's orders behind those of all before.
     pub fence: Fence,
-    /// No order after this moment of [`Awake::now`], unless the lease is renewed.
+    /// No order after this moment of [`SuspendClock::now`], unless the lease is renewed.
     pub orders_until: Instant,
     /// Engines that holders before ordered, and until when each is left alone.
     others: HashMap<TargetId, Instant>,
@@ -110,7 +110,7 @@
 }
 
 impl Tenure {
-    /// Whether an order may go out at this moment of [`Awake::now`].
+    /// Whether an order may go out at this moment of [`SuspendClock::now`].
     pub fn may_order(&self, now: Instant) -> bool {
         now < self.orders_until
     }
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Takes note of a renewal that was asked for at `asked` of [`Awake::now`].
+    /// Takes note of a renewal that was asked for at `asked` of [`SuspendClock::now`].
     pub fn renewed(&mut self, asked: Instant) {
         self.orders_until = asked + LEASE - QUIET_END;
     }
@@ -161,7 +161,7 @@
     /// after a wait without news.
     pub hold: Duration,
     /// Time asleep: a lease that ran out meanwhile allows nothing.
-    pub awake: Awake,
+    pub suspend_clock: SuspendClock,
     /// Log.
     pub log: Logger,
 }
@@ -173,7 +173,7 @@
         if held {
             self.wait_until_free(at).await?;
         }
-        let asked = self.awake.now();
+        let asked = self.suspend_clock.now();
         let lease = self.platform.grant_lease(LEASE).await?;
         let absent = KvRevision::ABSENT;
         let put = self
@@ -313,7 +313,7 @@
 
     /// Renews the lease; `false` if the duty is lost.
     pub async fn renew(&self, tenure: &mut Tenure) -> bool {
-        let asked = self.awake.now();
+        let asked = self.suspend_clock.now();
         match self.platform.renew_lease(tenure.lease).await {
             Ok(()) => {
                 tenure.renewed(asked);
@@ -324,7 +324,7 @@
                 false
             }
             Err(e) => {
-                let over = tenure.orders_until + QUIET_END < self.awake.now();
+                let over = tenure.orders_until + QUIET_END < self.suspend_clock.now();
                 if over {
                     event!(self.log, events::DUTY_LOST,
                         "fence" => tenure.fence.0, "why" => e.to_string());
--- a/crates/sillpin-gateway/src/weights/load.rs
+++ b/crates/sillpin-gateway/src/weights/load.rs
@@ -1,6 +1,6 @@
 //! One engine's load of new weights.
 
-use crate::awake::Awake;
+use crate::suspend_clock::SuspendClock;
 use crate::beliefs::FleetHandle;
 use crate::beliefs::fleet::served;
 use crate::control::{Control, EngineReport, Life, OrderOutcome, TargetEntry, WeightsOrder};
@@ -88,10 +88,10 @@
     pub fence: Fence,
     /// Its place among the engines that load.
     pub place: Place,
-    /// Nothing is ordered after this moment of [`Awake::now`].
+    /// Nothing is ordered after this moment of [`SuspendClock::now`].
     pub until: watch::Receiver<Instant>,
     /// Time asleep.
-    pub awake: Awake,
+    pub suspend_clock: SuspendClock,
     /// Log.
     pub log: Logger,
 }
@@ -190,7 +190,7 @@
             self.place.set(true);
             return Next::Look(LOOK_EVERY);
         }
-        if self.awake.now() >= *self.until.borrow() {
+        if self.suspend_clock.now() >= *self.until.borrow() {
             return Next::Over(false);
         }
         // Operators may have named further weights while an order went unanswered.
--- a/crates/sillpin-gateway/src/weights/rollout.rs
+++ b/crates/sillpin-gateway/src/weights/rollout.rs
@@ -181,7 +181,7 @@
             kept: self.kept.clone(),
             fleet: self.fleet.clone(),
             until: until.clone(),
-            awake: self.duty.awake.clone(),
+            suspend_clock: self.duty.suspend_clock.clone(),
             log: self.log.clone(),
         };
         // Ends with the tenure.
@@ -268,7 +268,7 @@
     ) -> bool {
         let now = Instant::now();
         underway.resting.retain(|_, at| now < *at);
-        if !tenure.may_order(self.duty.awake.now()) {
+        if !tenure.may_order(self.duty.suspend_clock.now()) {
             return true;
         }
         let view = self.fleet.view();
@@ -384,7 +384,7 @@
             fence: tenure.fence,
             place,
             until: until.clone(),
-            awake: self.duty.awake.clone(),
+            suspend_clock: self.duty.suspend_clock.clone(),
             log: self.log.clone(),
         };
         underway.jobs.spawn(job.run());
--- a/crates/sillpin-gateway/tests/awake.rs
+++ b/crates/sillpin-gateway/tests/awake.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use common::{MemoryStore, TestKeys, engine, entry, name};
-use sillpin_gateway::awake::Awake;
+use sillpin_gateway::suspend_clock::SuspendClock;
 use sillpin_gateway::beliefs::fleet::Fleet;
 use sillpin_gateway::beliefs::{BoxEntry, FleetMsg, Reading, Source, Topic};
 use sillpin_gateway::control::TargetEntry;
@@ -20,9 +20,9 @@
 
 const SLEEP: Duration = Duration::from_secs(5);
 
-fn fleet(awake: &Awake) -> Fleet<TestKeys> {
+fn fleet(suspend_clock: &SuspendClock) -> Fleet<TestKeys> {
     let log = sillpin_telemetry::logs::discard();
-    Fleet::new(name("box-1"), TestKeys, log).with_awake(awake.clone())
+    Fleet::new(name("box-1"), TestKeys, log).with_suspend_clock(suspend_clock.clone())
 }
 
 fn read(topic: Topic, key: &str, value: &str, asked: Instant) -> FleetMsg {
@@ -39,12 +39,12 @@
 #[tokio::test(start_paused = true)]
 async fn what_a_box_knew_is_older_by_the_time_asleep() {
     tokio::time::advance(Duration::from_secs(60)).await;
-    let awake = Awake::manual();
-    let mut fleet = fleet(&awake);
+    let suspend_clock = SuspendClock::manual();
+    let mut fleet = fleet(&suspend_clock);
     let now = Instant::now();
     fleet.handle(read(Topic::Targets, "target/i-1", "ready 1", now), now);
     fleet.handle(read(Topic::Operators, "ops/weights/m", "2", now), now);
-    awake.suspend(SLEEP);
+    suspend_clock.suspend(SLEEP);
     let woke = now + Duration::from_millis(1);
     assert!(fleet.sweep(woke), "the view changes");
     let view = fleet.view();
@@ -63,8 +63,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_box_that_wakes_fetches_nothing_by_what_it_knew() {
     tokio::time::advance(Duration::from_secs(60)).await;
-    let awake = Awake::manual();
-    let mut fleet = fleet(&awake);
+    let suspend_clock = SuspendClock::manual();
+    let mut fleet = fleet(&suspend_clock);
     let mut retirements = Retirements::default();
     let now = Instant::now();
     fleet.handle(read(Topic::Targets, "target/i-1", "ready 1", now), now);
@@ -76,15 +76,15 @@
         link_mbps: 0,
     };
     fleet.handle(FleetMsg::Heard(other), now);
-    assert!(retirements.may_fetch(fleet.view(), awake.slept(), now));
-    awake.suspend(SLEEP);
+    assert!(retirements.may_fetch(fleet.view(), suspend_clock.slept(), now));
+    suspend_clock.suspend(SLEEP);
     let may_fetch = |retirements: &Retirements, fleet: &Fleet<TestKeys>, at| {
-        retirements.may_fetch(fleet.view(), awake.slept(), at)
+        retirements.may_fetch(fleet.view(), suspend_clock.slept(), at)
     };
     assert!(!may_fetch(&retirements, &fleet, now), "before any task ran");
     let woke = now + Duration::from_millis(1);
     fleet.sweep(woke);
-    retirements.wake(awake.slept());
+    retirements.wake(suspend_clock.slept());
     assert!(!may_fetch(&retirements, &fleet, woke), "known too long ago");
     let asked = woke + Duration::from_millis(1);
     fleet.handle(read(Topic::Targets, "target/i-1", "ready 1", asked), asked);
@@ -93,51 +93,51 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_holder_that_wakes_after_its_lease_orders_nothing() {
-    let awake = Awake::manual();
+    let suspend_clock = SuspendClock::manual();
     let duty = Duty {
         platform: MemoryStore::default(),
         me: name("box-1"),
         apart: Duration::from_secs(3),
         hold: Duration::from_secs(25),
-        awake: awake.clone(),
+        suspend_clock: suspend_clock.clone(),
         log: sillpin_telemetry::logs::discard(),
     };
     let mut tenure = duty.take().await.unwrap();
-    assert!(tenure.may_order(awake.now()));
-    awake.suspend(SLEEP);
-    assert!(!tenure.may_order(awake.now()));
+    assert!(tenure.may_order(suspend_clock.now()));
+    suspend_clock.suspend(SLEEP);
+    assert!(!tenure.may_order(suspend_clock.now()));
     assert!(
         duty.renew(&mut tenure).await,
         "the lease of this store holds"
     );
-    assert!(tenure.may_order(awake.now()));
+    assert!(tenure.may_order(suspend_clock.now()));
 }
 
 #[test]
 fn a_box_that_runs_is_not_taken_for_suspended() {
-    let awake = Awake::default();
+    let suspend_clock = SuspendClock::default();
     let began = std::time::Instant::now();
     while began.elapsed() < Duration::from_millis(200) {
-        assert_eq!(awake.slept(), Duration::ZERO);
+        assert_eq!(suspend_clock.slept(), Duration::ZERO);
     }
 }
 
 #[tokio::test]
 async fn a_connection_that_rested_through_the_time_asleep_is_not_used() {
-    let awake = Awake::manual();
+    let suspend_clock = SuspendClock::manual();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let target = TargetEntry {
         addr: listener.local_addr().unwrap(),
         ..engine("i-1", "za")
     };
-    let pool = ConnectionPool::new(awake.clone());
+    let pool = ConnectionPool::new(suspend_clock.clone());
     let long = Duration::from_secs(30);
     let conn = pool.get(&target, long).await.unwrap();
     let _first = listener.accept().await.unwrap();
     pool.put(target.id.clone(), conn, Some(long)).await;
     let conn = pool.get(&target, long).await.unwrap();
     pool.put(target.id.clone(), conn, Some(long)).await;
-    awake.suspend(Duration::from_secs(40));
+    suspend_clock.suspend(Duration::from_secs(40));
     let _new = pool.get(&target, long).await.unwrap();
     let second = tokio::time::timeout(Duration::from_secs(5), listener.accept());
     assert!(second.await.is_ok(), "a new connection is opened");
--- a/crates/sillpin-gateway/tests/duty.rs
+++ b/crates/sillpin-gateway/tests/duty.rs
@@ -4,7 +4,7 @@
 
 use common::{MemoryStore, name, target};
 use sillpin_core::TargetId;
-use sillpin_gateway::awake::Awake;
+use sillpin_gateway::suspend_clock::SuspendClock;
 use sillpin_gateway::weights::duty::{Duty, ORDERED_KEY, Tenure};
 use sillpin_platform::{KvRevision, Platform};
 use std::time::Duration;
@@ -19,7 +19,7 @@
         me: name(me),
         apart: APART,
         hold: Duration::from_secs(25),
-        awake: Awake::manual(),
+        suspend_clock: SuspendClock::manual(),
         log: sillpin_telemetry::logs::discard(),
     }
 }
--- a/crates/sillpin-gateway/tests/freer.rs
+++ b/crates/sillpin-gateway/tests/freer.rs
@@ -4,7 +4,7 @@
 
 use common::{TestKeys, entry, name};
 use sillpin_core::{TargetId, Tokens};
-use sillpin_gateway::awake::Awake;
+use sillpin_gateway::suspend_clock::SuspendClock;
 use sillpin_gateway::beliefs::fleet::Fleet;
 use sillpin_gateway::beliefs::{self, FleetMsg, Reading, Source, Topic};
 use sillpin_gateway::control::{
@@ -121,7 +121,7 @@
         kept,
         fleet,
         until,
-        awake: Awake::manual(),
+        suspend_clock: SuspendClock::manual(),
         log,
     };
     tokio::spawn(freer.run());
--- a/crates/sillpin-gateway/tests/rollout.rs
+++ b/crates/sillpin-gateway/tests/rollout.rs
@@ -4,7 +4,7 @@
 
 use common::{MemoryStore, TestKeys, entry, name};
 use sillpin_core::{TargetId, WeightVersion};
-use sillpin_gateway::awake::Awake;
+use sillpin_gateway::suspend_clock::SuspendClock;
 use sillpin_gateway::beliefs::fleet::Fleet;
 use sillpin_gateway::beliefs::{self, BoxEntry, FleetHandle, FleetMsg, Reading, Source, Topic};
 use sillpin_gateway::control::{
@@ -255,7 +255,7 @@
                 me: me.id.clone(),
                 apart: APART,
                 hold: Duration::from_secs(25),
-                awake: Awake::manual(),
+                suspend_clock: SuspendClock::manual(),
                 log: log.clone(),
             },
             me,
