--- a/crates/sillpin-gateway/src/beliefs/fleet/sleep.rs
+++ b/crates/sillpin-gateway/src/beliefs/fleet/sleep.rs
@@ -9,8 +9,8 @@
 impl<K: PublishedFormat> Fleet<K> {
     /// Makes what is known older by the time that the box was suspended; whether it was.
     pub(super) fn wake(&mut self, now: Instant) -> bool {
-        let slept = self.suspend_clock.slept();
-        let time = slept.saturating_sub(self.view.slept);
+        let suspended = self.suspend_clock.suspended();
+        let time = suspended.saturating_sub(self.view.suspended);
         if time.is_zero() {
             return false;
         }
@@ -22,14 +22,14 @@
         self.view.operators = self.operators.known();
         self.view.listed = self.listed.known();
         self.view.wanted = Arc::new(self.wanted.clone());
-        self.view.slept = slept;
+        self.view.suspended = suspended;
         true
     }
 
     /// When the store was asked for what arrives now. A question from before the box was suspended is older by that.
     pub(super) fn asked(&self, at: Instant) -> Instant {
-        let slept = self.woke.filter(|(woke, _)| at < *woke);
-        let before = slept.and_then(|(_, time)| at.checked_sub(time));
+        let suspended = self.woke.filter(|(woke, _)| at < *woke);
+        let before = suspended.and_then(|(_, time)| at.checked_sub(time));
         before.unwrap_or(at)
     }
 }
--- a/crates/sillpin-gateway/src/beliefs/mod.rs
+++ b/crates/sillpin-gateway/src/beliefs/mod.rs
@@ -122,7 +122,7 @@
     /// Raw entries, for other boxes.
     pub copies: Copies,
     /// How long the box had been suspended in all when this was last made older by it.
-    pub slept: Duration,
+    pub suspended: Duration,
 }
 
 /// Raw entries of the mirrored prefixes.
--- a/crates/sillpin-gateway/src/front/placing.rs
+++ b/crates/sillpin-gateway/src/front/placing.rs
@@ -302,7 +302,7 @@
             in_touch: self
                 .kept
                 .retirements()
-                .may_fetch(view, self.suspend_clock.slept(), now),
+                .may_fetch(view, self.suspend_clock.suspended(), now),
             now,
         };
         // One random number for all versions, so that a fetch spared under one version is not made under another.
--- a/crates/sillpin-gateway/src/kept/retire.rs
+++ b/crates/sillpin-gateway/src/kept/retire.rs
@@ -96,14 +96,14 @@
     history: VecDeque<Sample>,
     others: HashMap<BoxId, Heard>,
     /// Time asleep that what is known was made older by.
-    slept: Duration,
+    suspended: Duration,
 }
 
 impl Retirements {
-    /// Makes what other boxes told older by the time that this one was suspended, which comes to `slept` in all.
-    pub fn wake(&mut self, slept: Duration) {
-        let time = slept.saturating_sub(self.slept);
-        self.slept = slept;
+    /// Makes what other boxes told older by the time that this one was suspended, which comes to `suspended` in all.
+    pub fn wake(&mut self, suspended: Duration) {
+        let time = suspended.saturating_sub(self.suspended);
+        self.suspended = suspended;
         if !time.is_zero() {
             // What is too old for the clock counts as not heard.
             self.others
@@ -198,9 +198,9 @@
 
     /// Whether this box may fetch: it knows what was retired of late, or nobody can free anything because
     /// the store answers no box.
-    pub fn may_fetch(&self, view: &View, slept: Duration, now: Instant) -> bool {
+    pub fn may_fetch(&self, view: &View, suspended: Duration, now: Instant) -> bool {
         // What was known before the box was suspended may have been freed since, until its age is reckoned with that time.
-        if slept > view.slept || slept > self.slept {
+        if suspended > view.suspended || suspended > self.suspended {
             return false;
         }
         let confirmed = view.listed.confirmed;
--- a/crates/sillpin-gateway/src/peers/digest.rs
+++ b/crates/sillpin-gateway/src/peers/digest.rs
@@ -211,10 +211,10 @@
         let fullness = self.kept.lock().fullness(stores.unwrap_or_default());
         {
             let mut retirements = self.kept.retirements();
-            retirements.wake(self.suspend_clock.slept());
+            retirements.wake(self.suspend_clock.suspended());
             retirements.update(&view, fullness, Instant::now());
         }
-        self.loads.words(|words| words.wake(self.suspend_clock.slept()));
+        self.loads.words(|words| words.wake(self.suspend_clock.suspended()));
         if large {
             return;
         }
--- a/crates/sillpin-gateway/src/peers/stall.rs
+++ b/crates/sillpin-gateway/src/peers/stall.rs
@@ -21,16 +21,16 @@
 struct State {
     ticked: Instant,
     /// Time asleep by then.
-    slept: Duration,
+    suspended: Duration,
     discard_until: Option<Instant>,
 }
 
 impl State {
-    fn look(&mut self, now: Instant, slept: Duration) {
-        if now - self.ticked > STALL || slept > self.slept {
+    fn look(&mut self, now: Instant, suspended: Duration) {
+        if now - self.ticked > STALL || suspended > self.suspended {
             self.discard_until = Some(now + DISCARD);
         }
-        self.slept = slept;
+        self.suspended = suspended;
     }
 }
 
@@ -46,7 +46,7 @@
     pub fn start(suspend_clock: SuspendClock) -> Self {
         let state = State {
             ticked: Instant::now(),
-            slept: suspend_clock.slept(),
+            suspended: suspend_clock.suspended(),
             discard_until: None,
         };
         let guard = Self {
@@ -60,18 +60,18 @@
     async fn tick(self) {
         loop {
             tokio::time::sleep(TICK).await;
-            let (now, slept) = (Instant::now(), self.suspend_clock.slept());
+            let (now, suspended) = (Instant::now(), self.suspend_clock.suspended());
             let mut state = self.state.lock().unwrap_or_else(|e| e.into_inner());
-            state.look(now, slept);
+            state.look(now, suspended);
             state.ticked = now;
         }
     }
 
     /// Whether what arrives now may have waited in a stall.
     pub fn is_stale(&self) -> bool {
-        let (now, slept) = (Instant::now(), self.suspend_clock.slept());
+        let (now, suspended) = (Instant::now(), self.suspend_clock.suspended());
         let mut state = self.state.lock().unwrap_or_else(|e| e.into_inner());
-        state.look(now, slept);
+        state.look(now, suspended);
         state.discard_until.is_some_and(|until| now < until)
     }
 }
--- a/crates/sillpin-gateway/src/place/words/mod.rs
+++ b/crates/sillpin-gateway/src/place/words/mod.rs
@@ -65,7 +65,7 @@
     /// Those whose address belongs to another by now.
     pub replaced: Replaced,
     /// Time asleep that what is known has been aged by.
-    slept: Duration,
+    suspended: Duration,
 }
 
 impl Words {
@@ -112,10 +112,10 @@
         waits?.into_iter().min()
     }
 
-    /// Makes what is known older by the time that the box was suspended, `slept` in all since its start.
-    pub fn wake(&mut self, slept: Duration) {
-        let time = slept.saturating_sub(self.slept);
-        self.slept = slept;
+    /// Makes what is known older by the time that the box was suspended, `suspended` in all since its start.
+    pub fn wake(&mut self, suspended: Duration) {
+        let time = suspended.saturating_sub(self.suspended);
+        self.suspended = suspended;
         self.limits.age(time);
         self.backoffs.age(time);
     }
--- a/crates/sillpin-gateway/src/suspend_clock.rs
+++ b/crates/sillpin-gateway/src/suspend_clock.rs
@@ -61,7 +61,7 @@
 pub struct SuspendClock {
     ahead: Ahead,
     at_start: Option<Duration>,
-    slept: Arc<Mutex<Duration>>,
+    suspended: Arc<Mutex<Duration>>,
 }
 
 impl Default for SuspendClock {
@@ -75,7 +75,7 @@
         Self {
             at_start: ahead.read(),
             ahead,
-            slept: Arc::default(),
+            suspended: Arc::default(),
         }
     }
 
@@ -92,19 +92,19 @@
     }
 
     /// Total time that the box was suspended since its start. Never decreases.
-    pub fn slept(&self) -> Duration {
+    pub fn suspended(&self) -> Duration {
         let ahead = self.ahead.read().zip(self.at_start);
         let found = ahead.map(|(now, at_start)| now.saturating_sub(at_start));
-        let mut slept = lock(&self.slept);
-        if let Some(found) = found.filter(|found| *found >= *slept + LEAST) {
-            *slept = found;
+        let mut suspended = lock(&self.suspended);
+        if let Some(found) = found.filter(|found| *found >= *suspended + LEAST) {
+            *suspended = found;
         }
-        *slept
+        *suspended
     }
 
     /// The runtime's clock plus the time suspended. Must not be compared with readings of the runtime's clock.
     pub fn now(&self) -> Instant {
-        Instant::now() + self.slept()
+        Instant::now() + self.suspended()
     }
 }
 
--- a/crates/sillpin-gateway/tests/awake.rs
+++ b/crates/sillpin-gateway/tests/awake.rs
@@ -51,7 +51,7 @@
     assert_eq!(view.listed.confirmed, Some(now - SLEEP));
     assert_eq!(view.operators.confirmed, Some(now - SLEEP));
     assert_eq!(view.wanted[&name("m")].newest().since, now - SLEEP);
-    assert_eq!(view.slept, SLEEP);
+    assert_eq!(view.suspended, SLEEP);
     // The answer to a question from before tells no more than that.
     fleet.handle(read(Topic::Targets, "target/i-1", "ready 1", now), woke);
     assert_eq!(fleet.view().listed.confirmed, Some(now - SLEEP));
@@ -76,15 +76,15 @@
         link_mbps: 0,
     };
     fleet.handle(FleetMsg::Heard(other), now);
-    assert!(retirements.may_fetch(fleet.view(), suspend_clock.slept(), now));
+    assert!(retirements.may_fetch(fleet.view(), suspend_clock.suspended(), now));
     suspend_clock.suspend(SLEEP);
     let may_fetch = |retirements: &Retirements, fleet: &Fleet<TestKeys>, at| {
-        retirements.may_fetch(fleet.view(), suspend_clock.slept(), at)
+        retirements.may_fetch(fleet.view(), suspend_clock.suspended(), at)
     };
     assert!(!may_fetch(&retirements, &fleet, now), "before any task ran");
     let woke = now + Duration::from_millis(1);
     fleet.sweep(woke);
-    retirements.wake(suspend_clock.slept());
+    retirements.wake(suspend_clock.suspended());
     assert!(!may_fetch(&retirements, &fleet, woke), "known too long ago");
     let asked = woke + Duration::from_millis(1);
     fleet.handle(read(Topic::Targets, "target/i-1", "ready 1", asked), asked);
@@ -118,7 +118,7 @@
     let suspend_clock = SuspendClock::default();
     let began = std::time::Instant::now();
     while began.elapsed() < Duration::from_millis(200) {
-        assert_eq!(suspend_clock.slept(), Duration::ZERO);
+        assert_eq!(suspend_clock.suspended(), Duration::ZERO);
     }
 }
 
