--- a/crates/sillpin-gateway/src/dialect.rs
+++ b/crates/sillpin-gateway/src/dialect.rs
@@ -106,7 +106,7 @@
     /// Requested host, without a port.
     pub host: String,
     /// How long the caller waits; `None` if it does not say.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The caller's API key.
     pub key: Option<String>,
     /// The prompt, if the request is for a model.
--- a/crates/sillpin-gateway/src/front/admit.rs
+++ b/crates/sillpin-gateway/src/front/admit.rs
@@ -57,8 +57,8 @@
     /// How long the caller has waited. A caller whose time-out is shorter than the route's has been refused before or
     /// lost its connection, and has waited for the difference already.
     pub fn waited(&self) -> Duration {
-        let patience = self.demand.patience.unwrap_or(self.route.timeout);
-        let before = self.route.timeout.saturating_sub(patience);
+        let timeout = self.demand.timeout.unwrap_or(self.route.timeout);
+        let before = self.route.timeout.saturating_sub(timeout);
         before + self.arrival.elapsed()
     }
 
@@ -89,8 +89,8 @@
         let path = parts.uri.path_and_query();
         let path = path.map_or("/", |path| path.as_str()).to_owned();
         let (config, route, organisation) = self.authorise(&demand, parts.uri.path()).await?;
-        let patience = demand.patience.unwrap_or(route.timeout).min(route.timeout);
-        let deadline = arrival + patience;
+        let timeout = demand.timeout.unwrap_or(route.timeout).min(route.timeout);
+        let deadline = arrival + timeout;
         let limit = config.limits.body_len;
         let reading = tokio::time::timeout_at(deadline, self.bodies.read(body, limit)).await;
         let body = match reading {
