--- a/crates/sillpin-gateway/src/dialect.rs
+++ b/crates/sillpin-gateway/src/dialect.rs
@@ -181,14 +181,14 @@
     /// Whether the body is encoded, which means that an intermediary changed it.
     pub encoded: bool,
     /// What the target reports about itself.
-    pub words: TargetWords,
+    pub signals: ResponseSignals,
 }
 
 /// What a target reports about itself in any response.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct TargetWords {
+pub struct ResponseSignals {
     /// Its limit on the requests of all boxes together, if it names one.
-    pub limit: Option<LimitWord>,
+    pub limit: Option<LimitSignal>,
     /// Whether it is leaving.
     pub leaving: bool,
     /// How long this box is to send it no requests, if it says so.
@@ -206,7 +206,7 @@
 
 /// Limit of a target on the requests of all boxes together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LimitWord {
+pub enum LimitSignal {
     /// Maximum rate.
     Rate(RequestRate),
     /// A limit that cannot be parsed.
--- a/crates/sillpin-gateway/src/front/attempt.rs
+++ b/crates/sillpin-gateway/src/front/attempt.rs
@@ -323,7 +323,7 @@
         }
         let said = Said {
             sent,
-            words: head.words,
+            words: head.signals,
             success: status.is_success() && head.signed && !head.not_run,
             turned_away: TURNED_AWAY.contains(&status),
         };
--- a/crates/sillpin-gateway/src/place/words/limit.rs
+++ b/crates/sillpin-gateway/src/place/words/limit.rs
@@ -4,7 +4,7 @@
 //! not matter by which way or in which order they come. A limit ends only by a success without one whose request was sent after the target last named
 //! it: answers overtake each other, and failures and refusals may be made by something before the target.
 
-use crate::dialect::LimitWord;
+use crate::dialect::LimitSignal;
 use crate::place::shared_limit::SharedLimit;
 use crate::place::work::LifeHash;
 use serde::{Deserialize, Serialize};
@@ -83,7 +83,7 @@
     /// When its request was sent.
     pub sent: Instant,
     /// What it says.
-    pub word: Option<LimitWord>,
+    pub word: Option<LimitSignal>,
     /// Whether it is a success that the target vouches for.
     pub success: bool,
 }
@@ -134,8 +134,8 @@
         let known = self.known.get(&target);
         let before = known.and_then(|known| known.rate);
         let (rate, at) = match heard.word {
-            Some(LimitWord::Rate(rate)) => (Some(rate), now),
-            Some(LimitWord::Unreadable) => {
+            Some(LimitSignal::Rate(rate)) => (Some(rate), now),
+            Some(LimitSignal::Unreadable) => {
                 let careful = RequestRate::try_from(UNREADABLE_PER_S).ok();
                 (before.or(careful), now)
             }
@@ -148,7 +148,7 @@
             }
         };
         let was_unreadable = known.is_some_and(|known| known.unreadable);
-        let is_unreadable = heard.word == Some(LimitWord::Unreadable);
+        let is_unreadable = heard.word == Some(LimitSignal::Unreadable);
         let change = self.set(target, rate, at, now);
         let known = self.known.get_mut(&target)?;
         known.unreadable = is_unreadable;
--- a/crates/sillpin-gateway/src/place/words/mod.rs
+++ b/crates/sillpin-gateway/src/place/words/mod.rs
@@ -1,6 +1,6 @@
 //! What targets say of themselves beside their answers.
 //!
-//! The adapter reads it into [`TargetWords`]; everything that targets say is taken here, and what it means for decisions is asked here.
+//! The adapter reads it into [`ResponseSignals`]; everything that targets say is taken here, and what it means for decisions is asked here.
 //!
 //! - [`limit`]: limits that targets name,
 //! - [`leaving`]: targets that leave,
@@ -17,7 +17,7 @@
 use self::limit::{Heard, LimitChange, NamedLimits, log_limit};
 use self::replaced::Replaced;
 use super::work::LifeHash;
-use crate::dialect::{RetryAfter, TargetWords};
+use crate::dialect::{RetryAfter, ResponseSignals};
 use sillpin_telemetry::{event, events};
 use slog::Logger;
 use std::collections::HashSet;
@@ -30,7 +30,7 @@
     /// When its request was sent.
     pub sent: Instant,
     /// What it says.
-    pub words: TargetWords,
+    pub words: ResponseSignals,
     /// Whether it is a success that the target vouches for.
     pub success: bool,
     /// Whether it turns the request away for now.
--- a/crates/sillpin-gateway/tests/limited_fleet.rs
+++ b/crates/sillpin-gateway/tests/limited_fleet.rs
@@ -12,7 +12,7 @@
 use sillpin_core::{BoxId, TargetId, ZoneId};
 use sillpin_gateway::beliefs::BoxEntry;
 use sillpin_gateway::control::TargetEntry;
-use sillpin_gateway::dialect::LimitWord;
+use sillpin_gateway::dialect::LimitSignal;
 use sillpin_gateway::kept::homes::hash_pair;
 use sillpin_gateway::peers::roles::SMALL_FLEET;
 use sillpin_gateway::place::limits::{Gate, Limits};
@@ -279,7 +279,7 @@
             let one = &mut self.fleet.boxes[answer.to];
             let word = answer
                 .named
-                .map(|rate| LimitWord::Rate(rate.try_into().unwrap()));
+                .map(|rate| LimitSignal::Rate(rate.try_into().unwrap()));
             let heard = Heard {
                 sent: answer.sent,
                 word,
--- a/crates/sillpin-gateway/tests/named_limit.rs
+++ b/crates/sillpin-gateway/tests/named_limit.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use sillpin_core::RequestRate;
 use sillpin_gateway::control::TargetEntry;
-use sillpin_gateway::dialect::LimitWord;
+use sillpin_gateway::dialect::LimitSignal;
 use sillpin_gateway::place::words::limit::{Heard, NamedLimits};
 use sillpin_gateway::place::work::LifeHash;
 use std::time::Duration;
@@ -27,7 +27,7 @@
 fn naming(text: &str) -> Heard {
     Heard {
         sent: Instant::now(),
-        word: Some(LimitWord::Rate(rate(text))),
+        word: Some(LimitSignal::Rate(rate(text))),
         success: true,
     }
 }
@@ -90,7 +90,7 @@
 async fn a_limit_that_cannot_be_read_keeps_what_was_known_and_else_is_taken_for_a_small_one() {
     let mut limits = NamedLimits::default();
     let unreadable = || Heard {
-        word: Some(LimitWord::Unreadable),
+        word: Some(LimitSignal::Unreadable),
         ..silent(Instant::now(), true)
     };
     limits.answered(life("a"), naming("6"), Instant::now());
--- a/crates/sillpin-gateway/tests/place.rs
+++ b/crates/sillpin-gateway/tests/place.rs
@@ -9,7 +9,7 @@
 use sillpin_gateway::config::{EngineSpec, FleetConfig};
 use sillpin_gateway::control::{PartKey, StoreListing};
 use sillpin_gateway::control::{Presence, TargetEntry};
-use sillpin_gateway::dialect::{LimitWord, Part, PartId, Prompt};
+use sillpin_gateway::dialect::{LimitSignal, Part, PartId, Prompt};
 use sillpin_gateway::kept::Kept;
 use sillpin_gateway::place::choose::PromptChoice;
 use sillpin_gateway::place::index::TargetIndex;
@@ -458,7 +458,7 @@
         setting.loads.hear_sums(work.collect(), &[]);
         let heard = Heard {
             sent: Instant::now(),
-            word: Some(LimitWord::Rate("2".parse().unwrap())),
+            word: Some(LimitSignal::Rate("2".parse().unwrap())),
             success: true,
         };
         let life = LifeHash::of(&the_limited);
--- a/crates/sillpin-gateway/tests/words.rs
+++ b/crates/sillpin-gateway/tests/words.rs
@@ -5,7 +5,7 @@
 use common::{engine, name};
 use rstest::rstest;
 use sillpin_gateway::control::{Life, TargetEntry};
-use sillpin_gateway::dialect::{RetryAfter, TargetWords};
+use sillpin_gateway::dialect::{RetryAfter, ResponseSignals};
 use sillpin_gateway::place::words::{Change, Said, Words};
 use sillpin_gateway::place::work::LifeHash;
 use std::time::Duration;
@@ -24,9 +24,9 @@
 fn refusal(retry_after: RetryAfter) -> Said {
     Said {
         sent: Instant::now(),
-        words: TargetWords {
+        words: ResponseSignals {
             retry_after: Some(retry_after),
-            ..TargetWords::default()
+            ..ResponseSignals::default()
         },
         success: false,
         turned_away: true,
@@ -40,9 +40,9 @@
 fn leaving() -> Said {
     Said {
         sent: Instant::now(),
-        words: TargetWords {
+        words: ResponseSignals {
             leaving: true,
-            ..TargetWords::default()
+            ..ResponseSignals::default()
         },
         success: true,
         turned_away: false,
