--- a/crates/sillpin-gateway/src/budget.rs
+++ b/crates/sillpin-gateway/src/budget.rs
@@ -12,7 +12,7 @@
 //! balance,
 //! and the balance is zero afterwards in either case. All boxes together then make as many retries as they have
 //! earned,
-//! apart from random deviations, for which [`DRAWN_PART`] leaves room.
+//! apart from random deviations, for which [`RANDOM_SAVED_FRACTION`] leaves room.
 
 use crate::settings::RetryRules;
 use rand::rngs::StdRng;
@@ -24,53 +24,53 @@
 
 /// Fraction of the limit that is spent: requests that arrive in one window may be retried in the next, and the known
 /// number of boxes lags behind.
-const SPENT_PART: f64 = 0.8;
+const SPENT_FRACTION: f64 = 0.8;
 
 /// Fraction of the slack that may be saved up where retries are granted at random. With a slack of 54, if 59 boxes
 /// have saved up their parts and then fail one request each, 27 retries are granted on average, with a standard
 /// deviation of 4; 65 are allowed.
-const DRAWN_PART: f64 = 0.5;
+const RANDOM_SAVED_FRACTION: f64 = 0.5;
 
 /// A granted retry expires after this time. It is normally taken within milliseconds, when a silent target is
 /// abandoned.
-const WON_TIME: Duration = Duration::from_millis(500);
+const GRANT_TTL: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
 struct Bucket {
-    tokens: f64,
-    filled: Instant,
+    balance: f64,
+    updated_at: Instant,
     /// When a retry was granted that has not been taken yet.
-    won: Option<Instant>,
+    granted_at: Option<Instant>,
 }
 
 /// A box's part of the slack, in retries.
 #[derive(Debug)]
-struct SlackPart {
+struct SlackShare {
     /// Maximum balance.
-    saved: f64,
+    max_balance: f64,
     /// Earned per window.
     earned: f64,
     /// Whether retries are granted at random, since the balance cannot reach a whole one.
-    drawn: bool,
+    randomised: bool,
 }
 
-impl SlackPart {
+impl SlackShare {
     /// The part of one of `boxes` boxes. The maximum balance and the earnings per window add up to the part.
     fn of(rules: &RetryRules, boxes: usize) -> Self {
         let slack = rules.slack / boxes.max(1) as f64;
-        let part = slack * SPENT_PART;
+        let part = slack * SPENT_FRACTION;
         if part < 1.0 {
             return Self {
-                saved: slack * DRAWN_PART,
+                max_balance: slack * RANDOM_SAVED_FRACTION,
                 earned: 0.0,
-                drawn: true,
+                randomised: true,
             };
         }
-        let saved = (part / 2.0).max(1.0);
+        let max_balance = (part / 2.0).max(1.0);
         Self {
-            saved,
-            earned: part - saved,
-            drawn: false,
+            max_balance,
+            earned: part - max_balance,
+            randomised: false,
         }
     }
 }
@@ -79,7 +79,7 @@
 #[derive(Debug)]
 pub struct RetryBudget {
     buckets: HashMap<PoolId, Bucket>,
-    draws: StdRng,
+    rng: StdRng,
 }
 
 impl Default for RetryBudget {
@@ -93,15 +93,15 @@
     pub fn seeded(seed: u64) -> Self {
         Self {
             buckets: HashMap::new(),
-            draws: StdRng::seed_from_u64(seed),
+            rng: StdRng::seed_from_u64(seed),
         }
     }
 
     /// Counts a request for `pool` in a fleet of `boxes` boxes.
-    pub fn request(&mut self, pool: &PoolId, rules: &RetryRules, boxes: usize, now: Instant) {
-        let earned = rules.share * SPENT_PART;
+    pub fn record_request(&mut self, pool: &PoolId, rules: &RetryRules, boxes: usize, now: Instant) {
+        let earned = rules.share * SPENT_FRACTION;
         let bucket = self.bucket(pool, rules, boxes, now);
-        bucket.tokens += earned;
+        bucket.balance += earned;
     }
 
     /// Takes one retry from the budget; returns whether there was one.
@@ -110,8 +110,8 @@
             return false;
         }
         let bucket = self.bucket(pool, rules, boxes, now);
-        if bucket.won.take().is_none() {
-            bucket.tokens -= 1.0;
+        if bucket.granted_at.take().is_none() {
+            bucket.balance -= 1.0;
         }
         true
     }
@@ -119,17 +119,17 @@
     /// Whether there is a retry in the budget. Where retries are granted at random, this draws the random number, so
     /// call it just before a retry is wanted.
     pub fn has(&mut self, pool: &PoolId, rules: &RetryRules, boxes: usize, now: Instant) -> bool {
-        let chance = self.draws.random::<f64>();
+        let random = self.rng.random::<f64>();
         let bucket = self.bucket(pool, rules, boxes, now);
-        if bucket.tokens >= 1.0 || bucket.won.is_some() {
+        if bucket.balance >= 1.0 || bucket.granted_at.is_some() {
             return true;
         }
-        if !SlackPart::of(rules, boxes).drawn {
+        if !SlackShare::of(rules, boxes).randomised {
             return false;
         }
-        let stake = std::mem::take(&mut bucket.tokens);
-        bucket.won = (chance < stake).then_some(now);
-        bucket.won.is_some()
+        let probability = std::mem::take(&mut bucket.balance);
+        bucket.granted_at = (random < probability).then_some(now);
+        bucket.granted_at.is_some()
     }
 
     /// Returns the pool's bucket, with the slack earned since the last call added.
@@ -140,19 +140,19 @@
         boxes: usize,
         now: Instant,
     ) -> &mut Bucket {
-        let part = SlackPart::of(rules, boxes);
+        let part = SlackShare::of(rules, boxes);
         let window = rules.window.as_secs_f64().max(1.0);
         let empty = Bucket {
-            tokens: 0.0,
-            filled: now,
-            won: None,
+            balance: 0.0,
+            updated_at: now,
+            granted_at: None,
         };
         let bucket = self.buckets.entry(pool.clone()).or_insert(empty);
-        let elapsed = (now - bucket.filled).as_secs_f64();
-        bucket.filled = now;
+        let elapsed = (now - bucket.updated_at).as_secs_f64();
+        bucket.updated_at = now;
         let earned = elapsed / window * part.earned;
-        bucket.tokens = (bucket.tokens + earned).min(part.saved);
-        bucket.won = bucket.won.filter(|at| now - *at < WON_TIME);
+        bucket.balance = (bucket.balance + earned).min(part.max_balance);
+        bucket.granted_at = bucket.granted_at.filter(|at| now - *at < GRANT_TTL);
         bucket
     }
 }
--- a/crates/sillpin-gateway/src/config.rs
+++ b/crates/sillpin-gateway/src/config.rs
@@ -26,13 +26,13 @@
 pub struct Priority(pub u8);
 
 /// Number of priorities that engines distinguish.
-const URGENCIES: u8 = 10;
+const PRIORITY_LEVELS: u8 = 10;
 
 impl Priority {
     /// The priority of such a request that will miss its latency goal in any case: behind all that can meet theirs,
     /// with the order among late requests preserved.
     pub fn demoted(self) -> Self {
-        Self(self.0.saturating_add(URGENCIES / 2).min(URGENCIES - 1))
+        Self(self.0.saturating_add(PRIORITY_LEVELS / 2).min(PRIORITY_LEVELS - 1))
     }
 }
 
--- a/crates/sillpin-gateway/src/front/admit.rs
+++ b/crates/sillpin-gateway/src/front/admit.rs
@@ -1,7 +1,7 @@
 //! Admission of a request: finds its route and organisation, and reads its body.
 
 use super::answers::Refusal;
-use super::body_room::{BodyFault, HeldBody};
+use super::body_room::{BodyError, BufferedBody};
 use super::shared::Shared;
 use crate::beliefs::View;
 use crate::config::{FleetConfig, Organisation, Priority, Route};
@@ -16,15 +16,15 @@
 
 /// Maximum age of a configuration that is used to deny a request for good. Configuration changes may take two seconds
 /// to come into force.
-const DENY_FRESH: Duration = Duration::from_millis(1_800);
+const MAX_DENY_AGE: Duration = Duration::from_millis(1_800);
 
 /// How long a request that the configuration does not allow waits for a fresher configuration.
 const DENY_WAIT: Duration = Duration::from_millis(500);
 
 /// A request that passed admission.
-pub struct Run {
+pub struct AdmittedRequest {
     /// Its parsed head.
-    pub demand: RequestHead,
+    pub head: RequestHead,
     /// Configuration that allowed it.
     pub config: Arc<FleetConfig>,
     /// Its route.
@@ -42,12 +42,12 @@
     /// Headers, as sent.
     pub headers: HeaderMap,
     /// Body, as sent.
-    pub body: HeldBody,
+    pub body: BufferedBody,
     /// Identifies repetitions of the same request.
-    pub print: RequestPrint,
+    pub fingerprint: RequestPrint,
 }
 
-impl Run {
+impl AdmittedRequest {
     /// Priority of the request: that of the organisation if it has one, else that of the route.
     pub fn priority(&self) -> Priority {
         let own = self.organisation.as_ref().and_then(|org| org.priority);
@@ -57,7 +57,7 @@
     /// How long the caller has waited. A caller whose time-out is shorter than the route's has been refused before or
     /// lost its connection, and has waited for the difference already.
     pub fn waited(&self) -> Duration {
-        let timeout = self.demand.timeout.unwrap_or(self.route.timeout);
+        let timeout = self.head.timeout.unwrap_or(self.route.timeout);
         let before = self.route.timeout.saturating_sub(timeout);
         before + self.arrival.elapsed()
     }
@@ -83,13 +83,13 @@
         &self,
         parts: Parts,
         body: Incoming,
-        demand: RequestHead,
-    ) -> Result<Run, Refusal> {
+        head: RequestHead,
+    ) -> Result<AdmittedRequest, Refusal> {
         let arrival = Instant::now();
         let path = parts.uri.path_and_query();
         let path = path.map_or("/", |path| path.as_str()).to_owned();
-        let (config, route, organisation) = self.authorise(&demand, parts.uri.path()).await?;
-        let timeout = demand.timeout.unwrap_or(route.timeout).min(route.timeout);
+        let (config, route, organisation) = self.authorise(&head, parts.uri.path()).await?;
+        let timeout = head.timeout.unwrap_or(route.timeout).min(route.timeout);
         let deadline = arrival + timeout;
         let limit = config.limits.body_len;
         let reading = tokio::time::timeout_at(deadline, self.bodies.read(body, limit)).await;
@@ -104,12 +104,12 @@
         };
         let caller = match &organisation {
             Some(org) => org.id.as_str(),
-            None => demand.key.as_deref().unwrap_or_default(),
+            None => head.key.as_deref().unwrap_or_default(),
         };
-        let print = RequestPrint::of(caller, &demand.host, &parts.method, &path, &body.bytes);
-        Ok(Run {
-            print,
-            demand,
+        let fingerprint = RequestPrint::of(caller, &head.host, &parts.method, &path, &body.bytes);
+        Ok(AdmittedRequest {
+            fingerprint,
+            head,
             config,
             route,
             organisation,
@@ -122,26 +122,26 @@
         })
     }
 
-    async fn authorise(&self, demand: &RequestHead, path: &str) -> Result<Admitted, Refusal> {
+    async fn authorise(&self, head: &RequestHead, path: &str) -> Result<Admitted, Refusal> {
         let view = self.fleet.view();
         let config = view.config.clone();
         let config = config.ok_or_else(|| Refusal::not_run("no configuration yet"))?;
-        let (status, why) = match judge(&config, demand, path) {
+        let (status, reason) = match judge(&config, head, path) {
             Verdict::Allowed(route, org) => return Ok((config, route, org)),
-            Verdict::Denied(status, why) => (status, why),
+            Verdict::Denied(status, reason) => (status, reason),
         };
         if is_fresh(&view) {
-            return Err(Refusal::denied(status, why));
+            return Err(Refusal::denied(status, reason));
         }
-        let config = self.fresher_config().await?;
-        match judge(&config, demand, path) {
+        let config = self.wait_for_fresh_config().await?;
+        match judge(&config, head, path) {
             Verdict::Allowed(route, org) => Ok((config, route, org)),
-            Verdict::Denied(status, why) => Err(Refusal::denied(status, why)),
+            Verdict::Denied(status, reason) => Err(Refusal::denied(status, reason)),
         }
     }
 
     /// Waits for a configuration that is fresh enough to deny a request.
-    async fn fresher_config(&self) -> Result<Arc<FleetConfig>, Refusal> {
+    async fn wait_for_fresh_config(&self) -> Result<Arc<FleetConfig>, Refusal> {
         let mut views = self.fleet.subscribe();
         let fresh = views.wait_for(|view| is_fresh(view));
         let view = tokio::time::timeout(DENY_WAIT, fresh).await;
@@ -156,28 +156,28 @@
 /// Whether what operators publish was confirmed recently.
 pub fn is_fresh(view: &View) -> bool {
     let confirmed = view.operators.confirmed;
-    confirmed.is_some_and(|at| at.elapsed() < DENY_FRESH)
+    confirmed.is_some_and(|at| at.elapsed() < MAX_DENY_AGE)
 }
 
-fn judge(config: &FleetConfig, demand: &RequestHead, path: &str) -> Verdict {
-    let Some(route) = config.route(&demand.host, path) else {
+fn judge(config: &FleetConfig, head: &RequestHead, path: &str) -> Verdict {
+    let Some(route) = config.route(&head.host, path) else {
         return Verdict::Denied(StatusCode::NOT_FOUND, "no such route");
     };
     if route.public || config.organisations.is_empty() {
         return Verdict::Allowed(route.clone(), None);
     }
-    let key = demand.key.as_deref().unwrap_or_default();
+    let key = head.key.as_deref().unwrap_or_default();
     match config.organisation(key) {
         Some(org) => Verdict::Allowed(route.clone(), Some(org.clone())),
         None => Verdict::Denied(StatusCode::UNAUTHORIZED, "unknown key"),
     }
 }
 
-fn body_refusal(fault: BodyFault) -> Refusal {
-    let status = match fault {
-        BodyFault::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
-        BodyFault::NoRoom => return Refusal::not_run(fault.to_string()),
-        BodyFault::Cut => StatusCode::BAD_REQUEST,
+fn body_refusal(error: BodyError) -> Refusal {
+    let status = match error {
+        BodyError::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
+        BodyError::NoMemory => return Refusal::not_run(error.to_string()),
+        BodyError::Cut => StatusCode::BAD_REQUEST,
     };
-    Refusal::denied(status, fault.to_string())
+    Refusal::denied(status, error.to_string())
 }
--- a/crates/sillpin-gateway/src/front/answers.rs
+++ b/crates/sillpin-gateway/src/front/answers.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Default retry-after of a refusal. Short, since most refusals come from a target that drains or loads weights.
-pub const COME_BACK: Duration = Duration::from_millis(200);
+pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// Why no target served a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -19,7 +19,7 @@
     /// Whether the request may have run.
     pub outcome: Outcome,
     /// Reason, for the caller and for logs.
-    pub why: String,
+    pub reason: String,
     /// When the caller may come back; `None` if it should not.
     pub retry_after: Option<Duration>,
 }
@@ -33,17 +33,17 @@
 
 impl Refusal {
     /// The request did not run and will not; the caller may retry.
-    pub fn not_run(why: impl Into<String>) -> Self {
+    pub fn not_run(reason: impl Into<String>) -> Self {
         Self {
             status: StatusCode::SERVICE_UNAVAILABLE,
             outcome: Outcome::NotRun,
-            why: why.into(),
-            retry_after: Some(COME_BACK),
+            reason: reason.into(),
+            retry_after: Some(DEFAULT_RETRY_AFTER),
         }
     }
 
     /// Sets another retry-after.
-    pub fn come_back_after(self, wait: Duration) -> Self {
+    pub fn with_retry_after(self, wait: Duration) -> Self {
         Self {
             retry_after: Some(wait),
             ..self
@@ -51,30 +51,30 @@
     }
 
     /// The request is not acceptable and did not run.
-    pub fn denied(status: StatusCode, why: impl Into<String>) -> Self {
+    pub fn denied(status: StatusCode, reason: impl Into<String>) -> Self {
         Self {
             status,
             outcome: Outcome::NotRun,
-            why: why.into(),
+            reason: reason.into(),
             retry_after: None,
         }
     }
 
     /// The request may have run.
-    pub fn unknown(why: impl Into<String>) -> Self {
+    pub fn unknown(reason: impl Into<String>) -> Self {
         Self {
             status: StatusCode::BAD_GATEWAY,
             outcome: Outcome::Unknown,
-            why: why.into(),
+            reason: reason.into(),
             retry_after: None,
         }
     }
 
     /// The request may have run and reached its deadline.
-    pub fn timed_out(why: impl Into<String>) -> Self {
+    pub fn timed_out(reason: impl Into<String>) -> Self {
         Self {
             status: StatusCode::GATEWAY_TIMEOUT,
-            ..Self::unknown(why)
+            ..Self::unknown(reason)
         }
     }
 
@@ -82,7 +82,7 @@
     pub fn response<D: Dialect>(&self, dialect: &D, request_id: Option<&str>) -> Response<Body> {
         let problem = Problem {
             outcome: self.outcome,
-            detail: &self.why,
+            detail: &self.reason,
         };
         let text = serde_json::to_vec(&problem).unwrap_or_default();
         let mut resp = Response::new(Body::full(text));
--- a/crates/sillpin-gateway/src/front/body_room.rs
+++ b/crates/sillpin-gateway/src/front/body_room.rs
@@ -9,13 +9,13 @@
 
 /// Error from reading a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
-pub enum BodyFault {
+pub enum BodyError {
     /// The body is longer than callers may send.
     #[display("body longer than allowed")]
     TooLong,
     /// The memory for bodies is used up.
     #[display("no memory for the body")]
-    NoRoom,
+    NoMemory,
     /// The caller broke off.
     #[display("body was cut off")]
     Cut,
@@ -23,68 +23,68 @@
 
 /// Limits the memory of request bodies; clones share the limit.
 #[derive(Debug, Clone)]
-pub struct BodyRoom {
+pub struct BodyMemory {
     used: Arc<AtomicUsize>,
-    most: usize,
+    max_len: usize,
 }
 
 /// A body, with the memory that it occupies until it is dropped.
 #[derive(Debug)]
-pub struct HeldBody {
+pub struct BufferedBody {
     /// The bytes.
     pub bytes: Bytes,
-    _room: Room,
+    _reservation: Reservation,
 }
 
 #[derive(Debug)]
-struct Room {
+struct Reservation {
     used: Arc<AtomicUsize>,
     len: usize,
 }
 
-impl Drop for Room {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.used.fetch_sub(self.len, Ordering::Relaxed);
     }
 }
 
-impl BodyRoom {
-    /// Creates a limit of `most` bytes.
-    pub fn new(most: usize) -> Self {
+impl BodyMemory {
+    /// Creates a limit of `max_len` bytes.
+    pub fn new(max_len: usize) -> Self {
         let used = Arc::default();
-        Self { used, most }
+        Self { used, max_len }
     }
 
-    fn empty(&self) -> Room {
-        Room {
+    fn new_reservation(&self) -> Reservation {
+        Reservation {
             used: self.used.clone(),
             len: 0,
         }
     }
 
-    fn grow(&self, room: &mut Room, by: usize) -> Result<(), BodyFault> {
+    fn grow(&self, reservation: &mut Reservation, by: usize) -> Result<(), BodyError> {
         let before = self.used.fetch_add(by, Ordering::Relaxed);
-        room.len += by;
-        if before + by > self.most {
-            return Err(BodyFault::NoRoom);
+        reservation.len += by;
+        if before + by > self.max_len {
+            return Err(BodyError::NoMemory);
         }
         Ok(())
     }
 
     /// Reads a complete body of at most `limit` bytes.
-    pub async fn read(&self, mut body: Incoming, limit: usize) -> Result<HeldBody, BodyFault> {
-        let mut room = self.empty();
+    pub async fn read(&self, mut body: Incoming, limit: usize) -> Result<BufferedBody, BodyError> {
+        let mut reservation = self.new_reservation();
         let mut first: Option<Bytes> = None;
         let mut buf = BytesMut::new();
         while let Some(frame) = body.frame().await {
-            let frame = frame.map_err(|_| BodyFault::Cut)?;
+            let frame = frame.map_err(|_| BodyError::Cut)?;
             let Ok(data) = frame.into_data() else {
                 continue;
             };
-            if room.len + data.len() > limit {
-                return Err(BodyFault::TooLong);
+            if reservation.len + data.len() > limit {
+                return Err(BodyError::TooLong);
             }
-            self.grow(&mut room, data.len())?;
+            self.grow(&mut reservation, data.len())?;
             match first.take() {
                 None if buf.is_empty() => first = Some(data),
                 None => buf.extend_from_slice(&data),
@@ -95,6 +95,6 @@
             }
         }
         let bytes = first.unwrap_or_else(|| buf.freeze());
-        Ok(HeldBody { bytes, _room: room })
+        Ok(BufferedBody { bytes, _reservation: reservation })
     }
 }
--- a/crates/sillpin-gateway/src/front/drive.rs
+++ b/crates/sillpin-gateway/src/front/drive.rs
@@ -6,10 +6,10 @@
 //! while
 //! time and retry budget last.
 
-use super::admit::{Run, is_fresh};
-use super::answers::{COME_BACK, Refusal};
-use super::attempt::{Attempt, Ended, Leaving, WholeAnswer};
-use super::placing::Placed;
+use super::admit::{AdmittedRequest, is_fresh};
+use super::answers::{DEFAULT_RETRY_AFTER, Refusal};
+use super::attempt::{Attempt, AttemptOutcome, WaitLimits, CompleteResponse};
+use super::placing::PreparedAttempt;
 use super::shared::Shared;
 use crate::beliefs::{FleetMsg, View};
 use crate::config::Idempotency;
@@ -35,7 +35,7 @@
 const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
 
 /// Deducted from the time that a target is given, so that its response reaches the caller in time.
-const WAY_BACK: Duration = Duration::from_millis(8);
+const RETURN_MARGIN: Duration = Duration::from_millis(8);
 
 /// State of a request across its attempts.
 #[derive(Default)]
@@ -49,15 +49,15 @@
     /// Id of the last event that the caller has received.
     pub resume_after: Option<String>,
     /// Error response of a target, passed on if no other target does better.
-    pub failure: Option<WholeAnswer>,
+    pub failure: Option<CompleteResponse>,
 }
 
 /// Why no further target is tried.
-pub enum GivenUp {
+pub enum NoAttempt {
     /// No target served the request.
     Refused(Refusal),
     /// A target responded with an error, and no other target did better.
-    Failed(WholeAnswer),
+    Failed(CompleteResponse),
 }
 
 /// Mean retry-after while all targets that could serve a request are in evacuated zones. An evacuation lasts for
@@ -82,203 +82,203 @@
 
 impl<D: Dialect> Shared<D> {
     /// Sends a request to targets until there is a response for the caller.
-    pub async fn drive(self: &Arc<Self>, run: Run) -> Result<Response<Body>, Refusal> {
-        let pool = self.pick_pool(&run)?;
+    pub async fn drive(self: &Arc<Self>, request: AdmittedRequest) -> Result<Response<Body>, Refusal> {
+        let pool = self.pick_pool(&request)?;
         self.count_request(&pool);
         let mut progress = Progress {
-            resume_after: run.demand.resume_after.clone(),
+            resume_after: request.head.resume_after.clone(),
             ..Progress::default()
         };
         loop {
-            let sent = self.next_sending(&run, &pool, &mut progress).await;
-            let ended = match sent {
-                Ok(ended) => ended,
-                Err(GivenUp::Refused(refusal)) => return Err(refusal),
-                Err(GivenUp::Failed(answer)) => {
-                    self.log_answered(&run, &answer);
-                    return Ok(self.pass_on_failure(answer));
+            let sent = self.next_attempt(&request, &pool, &mut progress).await;
+            let outcome = match sent {
+                Ok(outcome) => outcome,
+                Err(NoAttempt::Refused(refusal)) => return Err(refusal),
+                Err(NoAttempt::Failed(response)) => {
+                    self.log_response(&request, &response);
+                    return Ok(self.forward_failure(response));
                 }
             };
-            match ended {
-                Ended::Answered(answer) => {
-                    self.log_answered(&run, &answer);
-                    return Ok(self.pass_on(answer));
+            match outcome {
+                AttemptOutcome::Completed(response) => {
+                    self.log_response(&request, &response);
+                    return Ok(self.forward_response(response));
                 }
-                Ended::Streaming(stream) => {
-                    return Ok(self.clone().relay(run, pool, progress, *stream));
+                AttemptOutcome::Streaming(stream) => {
+                    return Ok(self.clone().relay(request, pool, progress, *stream));
                 }
-                Ended::Failed(answer) => {
-                    if !may_repeat(&run, &progress) {
-                        self.log_answered(&run, &answer);
-                        return Ok(self.pass_on_failure(answer));
+                AttemptOutcome::Failed(response) => {
+                    if !may_rerun(&request, &progress) {
+                        self.log_response(&request, &response);
+                        return Ok(self.forward_failure(response));
                     }
-                    progress.failure = Some(answer);
+                    progress.failure = Some(response);
                 }
-                Ended::Unknown(why) if !may_repeat(&run, &progress) => {
-                    return Err(Refusal::unknown(why));
+                AttemptOutcome::Unknown(reason) if !may_rerun(&request, &progress) => {
+                    return Err(Refusal::unknown(reason));
                 }
-                Ended::TakenBack if !may_repeat(&run, &progress) => {
-                    return Err(Refusal::unknown(ended.why()));
+                AttemptOutcome::Cancelled if !may_rerun(&request, &progress) => {
+                    return Err(Refusal::unknown(outcome.reason()));
                 }
-                Ended::TimedOut(why) if !may_repeat(&run, &progress) => {
-                    return Err(Refusal::timed_out(why));
+                AttemptOutcome::TimedOut(reason) if !may_rerun(&request, &progress) => {
+                    return Err(Refusal::timed_out(reason));
                 }
-                Ended::Unsent(_)
-                | Ended::NotRun { .. }
-                | Ended::Unknown(_)
-                | Ended::TakenBack
-                | Ended::TimedOut(_) => {}
+                AttemptOutcome::Unsent(_)
+                | AttemptOutcome::NotRun { .. }
+                | AttemptOutcome::Unknown(_)
+                | AttemptOutcome::Cancelled
+                | AttemptOutcome::TimedOut(_) => {}
             }
         }
     }
 
     /// Selects a target and makes one attempt. Fails when time, targets or retry budget are used up.
-    pub async fn next_sending(
+    pub async fn next_attempt(
         &self,
-        run: &Run,
+        request: &AdmittedRequest,
         pool: &PoolId,
         progress: &mut Progress,
-    ) -> Result<Ended, GivenUp> {
-        let left = run.time_left();
+    ) -> Result<AttemptOutcome, NoAttempt> {
+        let left = request.time_left();
         if left < MIN_TIME_LEFT {
-            return Err(give_up(progress, "no time left"));
+            return Err(end_unserved(progress, "no time left"));
         }
-        if let Some(left) = self.withheld_for(run) {
-            self.metrics.sending("withheld");
-            event!(self.log, events::REQUEST_WITHHELD, "request" => &run.demand.id,
-                "print" => run.print.to_string(), "for_ms" => left.as_millis());
+        if let Some(left) = self.crash_refusal_left(request) {
+            self.metrics.attempt("withheld");
+            event!(self.log, events::REQUEST_WITHHELD, "request" => &request.head.id,
+                "print" => request.fingerprint.to_string(), "for_ms" => left.as_millis());
             return Err(match progress.runs {
-                0 => GivenUp::Refused(Refusal::not_run(FATAL).come_back_after(left)),
-                _ => give_up(progress, FATAL),
+                0 => NoAttempt::Refused(Refusal::not_run(FATAL).with_retry_after(left)),
+                _ => end_unserved(progress, FATAL),
             });
         }
         if !self.may_offer(progress) {
-            return Err(give_up(progress, "several targets refused"));
+            return Err(end_unserved(progress, "several targets refused"));
         }
         let view = self.fleet.view();
-        let Some(mut placed) = self.place(run, pool, &view, progress) else {
-            return Err(self.no_target(run, pool, &view, progress));
+        let Some(mut prepared) = self.prepare_attempt(request, pool, &view, progress) else {
+            return Err(self.refuse_without_target(request, pool, &view, progress));
         };
-        if let Some(refusal) = self.overloaded(run, &placed, progress) {
-            return Err(GivenUp::Refused(refusal));
+        if let Some(refusal) = self.refuse_if_overloaded(request, &prepared, progress) {
+            return Err(NoAttempt::Refused(refusal));
         }
         if progress.arrivals > 0 && !self.take_retry(pool) {
-            return Err(give_up(progress, "retry budget used up"));
+            return Err(end_unserved(progress, "retry budget used up"));
         }
-        let target = placed.chosen.target.clone();
-        self.log_sending(run, progress, &view, &placed);
+        let target = prepared.chosen.target.clone();
+        self.log_attempt(request, progress, &view, &prepared);
         progress.offered.push(target.id.clone());
         let attempt = Attempt {
-            run,
+            request,
             target: target.clone(),
-            sending: sending(run, progress, &mut placed),
-            ticket: self.loads.start(&target.id, placed.work()),
+            head: attempt_head(request, progress, &mut prepared),
+            ticket: self.loads.start(&target.id, prepared.work()),
         };
         let sent = Instant::now();
-        let version = placed.chosen.version;
-        let leaving = Leaving {
-            may_leave: || self.should_leave(run, pool, progress),
-            begin_by: || self.begin_by(run, pool, version?),
+        let version = prepared.chosen.version;
+        let limits = WaitLimits {
+            should_abandon: || self.should_abandon(request, pool, progress),
+            start_deadline: || self.start_deadline(request, pool, version?),
         };
-        let sent_there = self.fatal.sent(run.print, LifeHash::of(&target));
-        let ended = self.attempt(attempt, leaving).await;
-        sent_there.end(matches!(ended, Ended::TimedOut(_) | Ended::TakenBack));
-        if matches!(ended, Ended::Streaming(_)) {
-            self.note_transfer(run, &placed, sent.elapsed());
+        let tracked = self.fatal.sent(request.fingerprint, LifeHash::of(&target));
+        let outcome = self.attempt(attempt, limits).await;
+        tracked.end(matches!(outcome, AttemptOutcome::TimedOut(_) | AttemptOutcome::Cancelled));
+        if matches!(outcome, AttemptOutcome::Streaming(_)) {
+            self.record_transfer(request, &prepared, sent.elapsed());
         }
-        let reached = !matches!(ended, Ended::Unsent(_));
+        let reached = !matches!(outcome, AttemptOutcome::Unsent(_));
         self.loads.note_reach(&target.zone, reached);
-        self.note(run, &target, version, &ended, progress);
-        Ok(ended)
+        self.record_outcome(request, &target, version, &outcome, progress);
+        Ok(outcome)
     }
 
-    fn log_sending(&self, run: &Run, progress: &Progress, view: &View, placed: &Placed) {
-        let (chosen, weights) = (&placed.chosen, placed.weights);
+    fn log_attempt(&self, request: &AdmittedRequest, progress: &Progress, view: &View, prepared: &PreparedAttempt) {
+        let (chosen, weights) = (&prepared.chosen, prepared.weights);
         let limit = self
             .loads
             .words(|words| words.limits.rate(LifeHash::of(&chosen.target)));
         event!(self.log, events::SENDING,
-            "request" => &run.demand.id, "print" => run.print.to_string(),
+            "request" => &request.head.id, "print" => request.fingerprint.to_string(),
             "target" => chosen.target.id.as_str(),
             "addr" => chosen.target.addr.to_string(), "offer" => progress.offered.len(),
             "limit_per_s" => limit.map_or(String::new(), |rate| rate.to_string()),
             "cost_ms" => chosen.cost_ms.round(), "candidates" => chosen.candidates,
             "version" => chosen.version.map_or(0, |version| version.0),
-            "parts" => &placed.parts, "fetched" => placed.fetched, "kept" => placed.kept,
-            "config" => run.config.version.0, "targets_at" => view.listed.revision.to_string(),
-            "left_ms" => run.time_left().as_millis(), "queue_ms" => chosen.queue_ms.round(),
-            "in_time" => placed.in_time, "wanted" => weights.map_or(0, |w| w.wanted.0),
+            "parts" => &prepared.parts, "fetched" => prepared.fetched, "kept" => prepared.kept,
+            "config" => request.config.version.0, "targets_at" => view.listed.revision.to_string(),
+            "left_ms" => request.time_left().as_millis(), "queue_ms" => chosen.queue_ms.round(),
+            "in_time" => prepared.in_time, "wanted" => weights.map_or(0, |w| w.wanted.0),
             "wanted_for_ms" => weights.map_or(0, |w| w.wanted_for.as_millis()),
             "oldest" => weights.map_or(0, |w| w.oldest.0),
             "oldest_why" => weights.map_or("", |w| w.why));
         if let (Some(version), Some(weights)) = (chosen.version, weights) {
-            self.metrics.prompt_sending(version < weights.wanted);
+            self.metrics.prompt_attempt(version < weights.wanted);
         }
-        self.metrics.prompt_tokens("fetched", placed.fetched);
-        self.metrics.prompt_tokens("other", placed.others);
+        self.metrics.prompt_tokens("fetched", prepared.fetched);
+        self.metrics.prompt_tokens("other", prepared.others);
     }
 
     /// Records how long an engine took to start a prompt, to estimate the load on the link that its parts were
     /// fetched over.
-    fn note_transfer(&self, run: &Run, placed: &Placed, took: Duration) {
-        if placed.prompt_ms <= 0.0 {
+    fn record_transfer(&self, request: &AdmittedRequest, prepared: &PreparedAttempt, took: Duration) {
+        if prepared.prefill_ms <= 0.0 {
             return;
         }
-        let expected = placed.chosen.queue_ms + placed.prompt_ms;
+        let expected = prepared.chosen.queue_ms + prepared.prefill_ms;
         let expected = Duration::from_secs_f64(expected / 1000.0);
         let excess = took.saturating_sub(expected);
         let mut links = self.kept.links();
-        match placed.source {
+        match prepared.source {
             Some(store) => {
-                links.note_fetch(store, placed.length, excess, run.route.latency_objective, Instant::now());
+                links.note_fetch(store, prepared.length, excess, request.route.latency_objective, Instant::now());
             }
-            None => links.note_read(placed.length, excess),
+            None => links.note_read(prepared.length, excess),
         }
     }
 
     /// Records the outcome of an attempt.
-    fn note(
+    fn record_outcome(
         &self,
-        run: &Run,
+        request: &AdmittedRequest,
         target: &Arc<TargetEntry>,
         version: Option<WeightVersion>,
-        ended: &Ended,
+        outcome: &AttemptOutcome,
         progress: &mut Progress,
     ) {
-        self.metrics.sending(ended.name());
-        if let Ended::Unknown(_) = ended {
-            self.broke_off(run, target);
+        self.metrics.attempt(outcome.name());
+        if let AttemptOutcome::Unknown(_) = outcome {
+            self.broke_off(request, target);
         }
-        if let Ended::Unsent(why) = ended {
-            self.prober.start(&target.id, why);
+        if let AttemptOutcome::Unsent(reason) = outcome {
+            self.prober.start(&target.id, reason);
             self.witness.unreachable(target);
         }
-        let health = match ended {
-            Ended::Unsent(_) => Some(Health::Unreachable),
-            Ended::NotRun { .. } => Some(Health::Refused),
-            Ended::Failed(_) | Ended::Unknown(_) | Ended::TimedOut(_) => Some(Health::Failed),
-            Ended::Answered(_) | Ended::Streaming(_) => Some(Health::Served),
-            Ended::TakenBack => None,
+        let health = match outcome {
+            AttemptOutcome::Unsent(_) => Some(Health::Unreachable),
+            AttemptOutcome::NotRun { .. } => Some(Health::Refused),
+            AttemptOutcome::Failed(_) | AttemptOutcome::Unknown(_) | AttemptOutcome::TimedOut(_) => Some(Health::Failed),
+            AttemptOutcome::Completed(_) | AttemptOutcome::Streaming(_) => Some(Health::Served),
+            AttemptOutcome::Cancelled => None,
         };
         if let Some(health) = health {
             self.loads.note_life(&target.id, target.life, health);
         }
-        match ended {
-            Ended::Unsent(_) => {}
-            Ended::NotRun { .. } => progress.arrivals += 1,
+        match outcome {
+            AttemptOutcome::Unsent(_) => {}
+            AttemptOutcome::NotRun { .. } => progress.arrivals += 1,
             _ => {
                 progress.arrivals += 1;
                 progress.runs += 1;
             }
         }
-        if let Ended::NotRun {
+        if let AttemptOutcome::NotRun {
             weights,
             misdirected,
             ..
-        } = ended
+        } = outcome
         {
-            self.learn_weights(run, target, *weights);
-            if *misdirected && self.is_replaced(run, version) {
+            self.record_reported_weights(request, target, *weights);
+            if *misdirected && self.is_replaced_target(request, version) {
                 let mut limits = self.loads.limits();
                 limits
                     .words
@@ -286,19 +286,19 @@
                     .find(LifeHash::of(target), Instant::now());
             }
         }
-        if !matches!(ended, Ended::Answered(_) | Ended::Streaming(_)) {
+        if !matches!(outcome, AttemptOutcome::Completed(_) | AttemptOutcome::Streaming(_)) {
             event!(self.log, events::SENDING_FAILED,
-                "request" => &run.demand.id, "target" => target.id.as_str(),
-                "outcome" => ended.name(), "why" => ended.why(),
-                "elapsed_ms" => run.arrival.elapsed().as_millis());
+                "request" => &request.head.id, "target" => target.id.as_str(),
+                "outcome" => outcome.name(), "why" => outcome.reason(),
+                "elapsed_ms" => request.arrival.elapsed().as_millis());
         }
     }
 
     /// Reports to the witness that a response broke off at a target, which may have crashed.
-    pub fn broke_off(&self, run: &Run, target: &Arc<TargetEntry>) {
+    pub fn broke_off(&self, request: &AdmittedRequest, target: &Arc<TargetEntry>) {
         let broken = Broken {
-            id: run.demand.id.clone(),
-            print: run.print,
+            id: request.head.id.clone(),
+            print: request.fingerprint,
         };
         self.witness.broke_off(target, broken);
     }
@@ -306,8 +306,8 @@
     /// Whether a misdirected request, sent for weights of `version`, shows that the target's address now belongs to
     /// another target. An engine also rejects a request as misdirected when it serves other weights; this is only
     /// ruled out while this box has a fresh view of the newest version.
-    fn is_replaced(&self, run: &Run, version: Option<WeightVersion>) -> bool {
-        let Some(prompt) = &run.demand.prompt else {
+    fn is_replaced_target(&self, request: &AdmittedRequest, version: Option<WeightVersion>) -> bool {
+        let Some(prompt) = &request.head.prompt else {
             return true;
         };
         let view = self.fleet.view();
@@ -317,8 +317,8 @@
     }
 
     /// Updates the fleet view with the weights that an engine reports when it rejects a request.
-    fn learn_weights(&self, run: &Run, target: &TargetEntry, weights: Option<WeightVersion>) {
-        let prompt = run.demand.prompt.as_ref();
+    fn record_reported_weights(&self, request: &AdmittedRequest, target: &TargetEntry, weights: Option<WeightVersion>) {
+        let prompt = request.head.prompt.as_ref();
         if let (Some(prompt), Some(version)) = (prompt, weights) {
             self.fleet.hint(FleetMsg::Serves {
                 target: target.id.clone(),
@@ -330,53 +330,53 @@
     }
 
     /// Remaining time during which a request is refused because targets crashed while running it.
-    pub fn withheld_for(&self, run: &Run) -> Option<Duration> {
+    pub fn crash_refusal_left(&self, request: &AdmittedRequest) -> Option<Duration> {
         let now = Instant::now();
-        let until = self.fatal.record().refused_until(run.print, now);
+        let until = self.fatal.record().refused_until(request.fingerprint, now);
         until.map(|until| until.saturating_duration_since(now))
     }
 
     /// Returns the result for a request for which no target was found.
-    fn no_target(&self, run: &Run, pool: &PoolId, view: &View, progress: &mut Progress) -> GivenUp {
+    fn refuse_without_target(&self, request: &AdmittedRequest, pool: &PoolId, view: &View, progress: &mut Progress) -> NoAttempt {
         if progress.runs > 0 {
-            return give_up(progress, "no target is free");
+            return end_unserved(progress, "no target is free");
         }
-        if let Some(wait) = self.backed_off_for(run, pool, view) {
-            self.metrics.sending("backed-off");
-            return GivenUp::Refused(Refusal::not_run(BACKED_OFF).come_back_after(wait));
+        if let Some(wait) = self.backoff_wait(request, pool, view) {
+            self.metrics.attempt("backed-off");
+            return NoAttempt::Refused(Refusal::not_run(BACKED_OFF).with_retry_after(wait));
         }
         if !view.is_evacuated(pool) {
-            let Some(wait) = self.limited_for(run, pool, view) else {
-                return give_up(progress, "no target is free");
+            let Some(wait) = self.limit_wait(request, pool, view) else {
+                return end_unserved(progress, "no target is free");
             };
-            self.metrics.sending("limited");
-            return GivenUp::Refused(Refusal::not_run(LIMITED).come_back_after(wait));
+            self.metrics.attempt("limited");
+            return NoAttempt::Refused(Refusal::not_run(LIMITED).with_retry_after(wait));
         }
         let wait = EVACUATED_WAIT.mul_f64(rand::rng().random_range(0.5..1.5));
-        GivenUp::Refused(Refusal::not_run(EVACUATED).come_back_after(wait))
+        NoAttempt::Refused(Refusal::not_run(EVACUATED).with_retry_after(wait))
     }
 
     /// Refuses a request that no target can start in time. A request that may have run is not refused, since a
     /// refusal states that it has not run.
-    fn overloaded(&self, run: &Run, placed: &Placed, progress: &Progress) -> Option<Refusal> {
-        let queue = placed.queue(self.fleet.view().box_count())?;
+    fn refuse_if_overloaded(&self, request: &AdmittedRequest, prepared: &PreparedAttempt, progress: &Progress) -> Option<Refusal> {
+        let queue = prepared.queue(self.fleet.view().box_count())?;
         let standing_ms = self.loads.note_queue(queue, Instant::now());
         if progress.runs > 0 {
             return None;
         }
-        let expected = placed.expected(run, queue, standing_ms);
+        let expected = prepared.expected(request, queue, standing_ms);
         let late = expected.refused_for(rand::rng().random())?;
-        let wait = late.max(COME_BACK);
+        let wait = late.max(DEFAULT_RETRY_AFTER);
         let wait = wait.mul_f64(rand::rng().random_range(0.5..1.5));
-        self.metrics.sending("overloaded");
-        event!(self.log, events::OVERLOADED, "request" => &run.demand.id, "route" => &run.route.name,
-            "target" => placed.chosen.target.id.as_str(),
-            "organisation" => run.organisation.as_ref().map_or("", |org| org.id.as_str()),
+        self.metrics.attempt("overloaded");
+        event!(self.log, events::OVERLOADED, "request" => &request.head.id, "route" => &request.route.name,
+            "target" => prepared.chosen.target.id.as_str(),
+            "organisation" => request.organisation.as_ref().map_or("", |org| org.id.as_str()),
             "waited_ms" => expected.waited.as_millis(), "aim_ms" => expected.latency_objective.as_millis(),
             "queue_ms" => expected.queue.as_millis(), "own_ms" => expected.own.as_millis(),
             "standing_ms" => expected.standing.as_millis(),
             "retry_after_ms" => wait.as_millis());
-        Some(Refusal::not_run(OVERLOADED).come_back_after(wait))
+        Some(Refusal::not_run(OVERLOADED).with_retry_after(wait))
     }
 
     /// Whether a request may be offered to one more target.
@@ -384,68 +384,68 @@
         progress.offered.len() < MAX_OFFERS
     }
 
-    fn log_answered(&self, run: &Run, answer: &WholeAnswer) {
-        let outcome = match answer.status.is_success() {
+    fn log_response(&self, request: &AdmittedRequest, response: &CompleteResponse) {
+        let outcome = match response.status.is_success() {
             true => "answered",
             false => "failed",
         };
-        if answer.status.is_success() {
-            self.fatal.record().served(run.print, Instant::now());
+        if response.status.is_success() {
+            self.fatal.record().served(request.fingerprint, Instant::now());
         }
-        let elapsed = run.arrival.elapsed();
-        self.metrics.request(&run.route.name, outcome);
+        let elapsed = request.arrival.elapsed();
+        self.metrics.request(&request.route.name, outcome);
         self.metrics.head(elapsed);
         self.metrics.answered(elapsed);
-        event!(self.log, events::REQUEST_ANSWERED, "request" => &run.demand.id,
-            "route" => &run.route.name, "status" => answer.status.as_u16(),
+        event!(self.log, events::REQUEST_ANSWERED, "request" => &request.head.id,
+            "route" => &request.route.name, "status" => response.status.as_u16(),
             "elapsed_ms" => elapsed.as_millis());
     }
 
     /// Builds the caller's response from a target's complete response.
-    fn pass_on(&self, answer: WholeAnswer) -> Response<Body> {
-        let mut resp = Response::new(Body::full(answer.body));
-        *resp.status_mut() = answer.status;
-        *resp.headers_mut() = self.dialect.write_response(&answer.headers);
+    fn forward_response(&self, response: CompleteResponse) -> Response<Body> {
+        let mut resp = Response::new(Body::full(response.body));
+        *resp.status_mut() = response.status;
+        *resp.headers_mut() = self.dialect.write_response(&response.headers);
         resp
     }
 
     /// Builds the caller's response from a target's error response. A status which implies that the request did not
     /// run is replaced, because the target has not confirmed that.
-    fn pass_on_failure(&self, answer: WholeAnswer) -> Response<Body> {
-        const PROMISES: [u16; 4] = [408, 421, 429, 503];
-        if PROMISES.contains(&answer.status.as_u16()) {
-            let why = format!("the target answered with {}", answer.status.as_u16());
-            return Refusal::unknown(why).response(&self.dialect, None);
+    fn forward_failure(&self, response: CompleteResponse) -> Response<Body> {
+        const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
+        if NOT_RUN_STATUSES.contains(&response.status.as_u16()) {
+            let reason = format!("the target answered with {}", response.status.as_u16());
+            return Refusal::unknown(reason).response(&self.dialect, None);
         }
-        self.pass_on(answer)
+        self.forward_response(response)
     }
 }
 
 /// Returns the result of a request that no target served; it depends on whether the request may have run.
-fn give_up(progress: &mut Progress, why: &str) -> GivenUp {
+fn end_unserved(progress: &mut Progress, reason: &str) -> NoAttempt {
     if let Some(failure) = progress.failure.take() {
-        return GivenUp::Failed(failure);
+        return NoAttempt::Failed(failure);
     }
-    GivenUp::Refused(match progress.runs {
-        0 => Refusal::not_run(why),
-        _ => Refusal::unknown(why),
+    NoAttempt::Refused(match progress.runs {
+        0 => Refusal::not_run(reason),
+        _ => Refusal::unknown(reason),
     })
 }
 
 /// Whether a request that ran, or may have run, may be sent to another target.
-pub fn may_repeat(run: &Run, progress: &Progress) -> bool {
-    run.route.idempotency == Idempotency::Idempotent && progress.runs < run.route.max_runs
+pub fn may_rerun(request: &AdmittedRequest, progress: &Progress) -> bool {
+    request.route.idempotency == Idempotency::Idempotent && progress.runs < request.route.max_runs
 }
 
 /// Builds the head of the request to the target.
-fn sending(run: &Run, progress: &Progress, placed: &mut Placed) -> AttemptHead {
-    let for_engine = run.demand.prompt.is_some();
+fn attempt_head(request: &AdmittedRequest, progress: &Progress, prepared: &mut PreparedAttempt) -> AttemptHead {
+    let for_engine = request.head.prompt.is_some();
     AttemptHead {
-        target: placed.chosen.target.id.clone(),
-        time_left: run.time_left().saturating_sub(WAY_BACK),
-        organisation: run.organisation.as_ref().map(|org| org.id.clone()),
-        priority: for_engine.then(|| placed.priority(run)),
-        engine: placed.engine.take(),
+        target: prepared.chosen.target.id.clone(),
+        time_left: request.time_left().saturating_sub(RETURN_MARGIN),
+        organisation: request.organisation.as_ref().map(|org| org.id.clone()),
+        priority: for_engine.then(|| prepared.priority(request)),
+        engine: prepared.engine.take(),
         resume_after: progress.resume_after.clone(),
     }
 }
--- a/crates/sillpin-gateway/src/front/events.rs
+++ b/crates/sillpin-gateway/src/front/events.rs
@@ -14,36 +14,36 @@
 /// Splits bytes into complete events and a remainder.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    rest: BytesMut,
+    remainder: BytesMut,
     last_id: Option<String>,
 }
 
 impl EventSplitter {
     /// Continues after the event with id `last_id`, which was passed on before.
     pub fn after(last_id: Option<String>) -> Self {
-        let rest = BytesMut::new();
-        Self { rest, last_id }
+        let remainder = BytesMut::new();
+        Self { remainder, last_id }
     }
 
     /// Appends bytes and returns the events that are complete now; empty if there are none.
     pub fn push(&mut self, data: &[u8]) -> Bytes {
-        self.rest.extend_from_slice(data);
-        let end = end_of_last_event(&self.rest);
-        let whole = self.rest.split_to(end).freeze();
-        if let Some(id) = last_id(&whole) {
+        self.remainder.extend_from_slice(data);
+        let end = end_of_last_event(&self.remainder);
+        let complete = self.remainder.split_to(end).freeze();
+        if let Some(id) = last_id(&complete) {
             self.last_id = Some(id);
         }
-        whole
+        complete
     }
 
     /// Whether an incomplete event is buffered.
     pub fn is_partial(&self) -> bool {
-        !self.rest.is_empty()
+        !self.remainder.is_empty()
     }
 
     /// Whether the incomplete event exceeds [`MAX_EVENT_LEN`].
     pub fn is_overlong(&self) -> bool {
-        self.rest.len() > MAX_EVENT_LEN
+        self.remainder.len() > MAX_EVENT_LEN
     }
 
     /// Id of the last complete event.
--- a/crates/sillpin-gateway/src/front/handler.rs
+++ b/crates/sillpin-gateway/src/front/handler.rs
@@ -32,8 +32,8 @@
     pub async fn serve(self, req: Request<Incoming>) -> Response<Body> {
         let started = Instant::now();
         let (parts, body) = req.into_parts();
-        let demand = match self.shared.dialect.read_request(&parts) {
-            Ok(demand) => demand,
+        let head = match self.shared.dialect.read_request(&parts) {
+            Ok(head) => head,
             Err(e) => {
                 let refusal = Refusal::denied(StatusCode::BAD_REQUEST, e.to_string());
                 self.log_refusal("", "", &refusal, started);
@@ -42,15 +42,15 @@
                 return resp;
             }
         };
-        let id = demand.id.clone();
+        let id = head.id.clone();
         let path = parts.uri.path().to_owned();
-        let gone = GoneGuard::new(&self.shared, &id, started);
-        let answer = match self.shared.admit(parts, body, demand).await {
-            Ok(run) => self.shared.drive(run).await,
+        let guard = DisconnectGuard::new(&self.shared, &id, started);
+        let result = match self.shared.admit(parts, body, head).await {
+            Ok(request) => self.shared.drive(request).await,
             Err(refusal) => Err(refusal),
         };
-        gone.answered();
-        let mut resp = answer.unwrap_or_else(|refusal| {
+        guard.answered();
+        let mut resp = result.unwrap_or_else(|refusal| {
             self.log_refusal(&id, &path, &refusal, started);
             refusal.response(&self.shared.dialect, Some(&id))
         });
@@ -76,21 +76,21 @@
         self.shared.metrics.request("", "refused");
         event!(self.shared.log, events::REQUEST_FAILED, "request" => id, "path" => path,
             "status" => refusal.status.as_u16(), "outcome" => refusal.outcome.to_string(),
-            "why" => &refusal.why, "elapsed_ms" => started.elapsed().as_millis(),
+            "why" => &refusal.reason, "elapsed_ms" => started.elapsed().as_millis(),
             "config" => view.config.as_ref().map_or(0, |config| config.version.0),
             "config_age_ms" => age.unwrap_or(u128::MAX).min(u128::from(u64::MAX)) as u64);
     }
 }
 
 /// Logs a request whose caller disconnects before the response; the handler's future is dropped then.
-struct GoneGuard<'a, D: Dialect> {
+struct DisconnectGuard<'a, D: Dialect> {
     shared: &'a Arc<Shared<D>>,
     id: &'a str,
     started: Instant,
     answered: bool,
 }
 
-impl<'a, D: Dialect> GoneGuard<'a, D> {
+impl<'a, D: Dialect> DisconnectGuard<'a, D> {
     fn new(shared: &'a Arc<Shared<D>>, id: &'a str, started: Instant) -> Self {
         Self {
             shared,
@@ -105,7 +105,7 @@
     }
 }
 
-impl<D: Dialect> Drop for GoneGuard<'_, D> {
+impl<D: Dialect> Drop for DisconnectGuard<'_, D> {
     fn drop(&mut self) {
         if !self.answered {
             self.shared.metrics.request("", "caller-gone");
--- a/crates/sillpin-gateway/src/front/placing.rs
+++ b/crates/sillpin-gateway/src/front/placing.rs
@@ -1,7 +1,7 @@
 //! Selects pool, target and prompt plan for one attempt.
 
-use super::admit::Run;
-use super::answers::{COME_BACK, Refusal};
+use super::admit::AdmittedRequest;
+use super::answers::{DEFAULT_RETRY_AFTER, Refusal};
 use super::drive::Progress;
 use super::shared::Shared;
 use crate::beliefs::View;
@@ -37,11 +37,11 @@
 /// the goal; but a waiting fetch occupies memory, so the limit must be finite. Measured on two fleets, as the score
 /// of days with incidents: with goals of 1.2 s, 0.702 with a limit of 0.6 goals and 0.723 with 2.1; with goals of 0.3
 /// to 0.5 s, 0.578 with 1.4 to 2.3 and 0.569 with 5 to 8.
-const FETCH_AIMS: f64 = 1.5;
+const FETCH_TIME_FACTOR: f64 = 1.5;
 
 /// Fraction of a late request's work that counts as queued ahead of other requests: the engine prefers requests that
 /// are in time, but finishes a chunk that it has started.
-const LATE_WORK: f64 = 0.25;
+const LATE_WORK_FRACTION: f64 = 0.25;
 
 /// Upper limit of the mean retry-after when targets are at their rate limits. Limits are counted in periods of four
 /// seconds.
@@ -49,16 +49,16 @@
 
 /// Callers refused because targets asked for a pause are spread over this time after its end, so that they don't come
 /// back all at once.
-const BACKED_OFF_SPREAD: Duration = Duration::from_millis(400);
+const BACKOFF_SPREAD: Duration = Duration::from_millis(400);
 
 /// The target selected for an attempt, and what is sent to it.
-pub struct Placed {
+pub struct PreparedAttempt {
     /// The target and the reasons for selecting it.
     pub chosen: Chosen,
     /// Directives for an engine.
     pub engine: Option<EngineDirectives>,
     /// Expected prompt work, in milliseconds of engine time.
-    pub prompt_ms: f64,
+    pub prefill_ms: f64,
     /// Length of the prompt.
     pub length: Tokens,
     /// The prompt's shared parts and how each is obtained, for logs.
@@ -78,16 +78,16 @@
 }
 
 /// The target selected for a request, with the prompt plan if it is an engine.
-pub struct Selected {
+pub struct SelectedTarget {
     /// The target and the reasons for selecting it.
     pub chosen: Chosen,
     plan: Option<Plan>,
     weights: Option<AllowedWeights>,
 }
 
-impl Selected {
+impl SelectedTarget {
     /// Prompt work of the request at the selected target, in milliseconds.
-    fn prompt_ms(&self) -> f64 {
+    fn prefill_ms(&self) -> f64 {
         let work =
             |plan: &Plan| Plan::read_ms(plan.own_tokens) + plan.shared_ms(&self.chosen.target.zone);
         self.plan.as_ref().map_or(0.0, work)
@@ -95,18 +95,18 @@
 
     /// Prompt work until the first event, including the work queued ahead, in milliseconds.
     pub fn expected_ms(&self) -> f64 {
-        self.chosen.queue_ms + self.prompt_ms()
+        self.chosen.queue_ms + self.prefill_ms()
     }
 }
 
-impl Placed {
+impl PreparedAttempt {
     /// A target that is not an engine.
     fn plain(chosen: Chosen) -> Self {
         Self {
             chosen,
             weights: None,
             engine: None,
-            prompt_ms: 0.0,
+            prefill_ms: 0.0,
             length: Tokens(0),
             parts: String::new(),
             source: None,
@@ -119,9 +119,9 @@
 
     /// Work that the request adds to its engine, as reported to other boxes.
     pub fn work(&self) -> Work {
-        let counted = if self.in_time { 1.0 } else { LATE_WORK };
+        let counted = if self.in_time { 1.0 } else { LATE_WORK_FRACTION };
         Work::one(
-            self.prompt_ms * counted,
+            self.prefill_ms * counted,
             Tokens((self.length.0 as f64 * counted) as u64),
         )
     }
@@ -134,38 +134,38 @@
     }
 
     /// Input for the overload decision. `standing_ms` is the recent standing queue at targets, in milliseconds.
-    pub fn expected(&self, run: &Run, queue: Queue, standing_ms: f64) -> Expected {
+    pub fn expected(&self, request: &AdmittedRequest, queue: Queue, standing_ms: f64) -> Expected {
         let millis = |ms: f64| Duration::from_secs_f64(ms.max(0.0) / 1000.0);
         Expected {
-            waited: run.waited(),
-            latency_objective: run.route.latency_objective,
+            waited: request.waited(),
+            latency_objective: request.route.latency_objective,
             queue: millis(queue.met_ms),
             standing: millis(standing_ms),
-            own: millis(self.prompt_ms),
+            own: millis(self.prefill_ms),
         }
     }
 
     /// Priority of the request. A request that will miss its latency goal in any case goes behind all that can meet
     /// theirs.
-    pub fn priority(&self, run: &Run) -> Priority {
+    pub fn priority(&self, request: &AdmittedRequest) -> Priority {
         match self.in_time {
-            true => run.priority(),
-            false => run.priority().demoted(),
+            true => request.priority(),
+            false => request.priority().demoted(),
         }
     }
 }
 
 /// Whether a request's first event can still arrive within its latency goal, given the prompt work ahead of it plus
 /// its own in milliseconds.
-fn is_in_time(run: &Run, work_ms: f64) -> bool {
+fn is_in_time(request: &AdmittedRequest, work_ms: f64) -> bool {
     let work = Duration::from_secs_f64(work_ms * READING_FACTOR / 1000.0);
-    run.arrival.elapsed() + work < run.route.latency_objective
+    request.arrival.elapsed() + work < request.route.latency_objective
 }
 
 impl<D: Dialect> Shared<D> {
     /// Picks one of the route's pools at random, by their weights.
-    pub fn pick_pool(&self, run: &Run) -> Result<PoolId, Refusal> {
-        let shares = &run.route.shares;
+    pub fn pick_pool(&self, request: &AdmittedRequest) -> Result<PoolId, Refusal> {
+        let shares = &request.route.shares;
         let total: u32 = shares.iter().map(|share| share.weight).sum();
         if total == 0 {
             return Err(Refusal::not_run("the route names no pool"));
@@ -181,26 +181,26 @@
     }
 
     /// Selects a target for a request and prepares what is sent to it.
-    pub fn place(
+    pub fn prepare_attempt(
         &self,
-        run: &Run,
+        request: &AdmittedRequest,
         pool: &PoolId,
         view: &View,
         progress: &Progress,
-    ) -> Option<Placed> {
-        let selected = self.select(run, pool, view, progress)?;
-        Some(self.prepare(run, selected))
+    ) -> Option<PreparedAttempt> {
+        let selected = self.select(request, pool, view, progress)?;
+        Some(self.prepare(request, selected))
     }
 
     /// Selects a target for a request, without side effects.
     pub fn select(
         &self,
-        run: &Run,
+        request: &AdmittedRequest,
         pool: &PoolId,
         view: &View,
         progress: &Progress,
-    ) -> Option<Selected> {
-        let spec = run.config.pool(pool);
+    ) -> Option<SelectedTarget> {
+        let spec = request.config.pool(pool);
         let engine = spec.and_then(|spec| spec.engine.as_ref());
         let connections = spec.map_or(0, |spec| spec.max_connections);
         let most_in_flight = connection_share(connections, view.box_count());
@@ -213,15 +213,15 @@
             zone: &self.cfg.zone,
             most_in_flight,
             tried: &progress.offered,
-            body_len: run.body.bytes.len(),
+            body_len: request.body.bytes.len(),
             prompt: None,
-            residency: self.residency(run),
+            residency: self.residency(request),
             gate: spec.map(|spec| self.gate(spec, view, now)),
             now,
         };
-        match (engine, &run.demand.prompt) {
-            (Some(engine), Some(prompt)) => self.select_engine(run, base, view, engine, prompt),
-            _ => Some(Selected {
+        match (engine, &request.head.prompt) {
+            (Some(engine), Some(prompt)) => self.select_engine(request, base, view, engine, prompt),
+            _ => Some(SelectedTarget {
                 chosen: choose(&base)?,
                 plan: None,
                 weights: None,
@@ -230,36 +230,36 @@
     }
 
     /// Regions in which a request may run and its prompt may be stored.
-    fn residency<'a>(&'a self, run: &'a Run) -> Residency<'a> {
+    fn residency<'a>(&'a self, request: &'a AdmittedRequest) -> Residency<'a> {
         Residency {
-            route: &run.route.regions,
-            organisation: run.organisation.as_ref().map_or(&[], |org| &org.regions),
+            route: &request.route.regions,
+            organisation: request.organisation.as_ref().map_or(&[], |org| &org.regions),
             regions: &self.cfg.zones,
         }
     }
 
     /// Time until the first of the allowed targets accepts requests again, plus a random delay. `None` unless all of
     /// them have asked this box to send nothing for some time.
-    pub fn backed_off_for(&self, run: &Run, pool: &PoolId, view: &View) -> Option<Duration> {
-        let residency = self.residency(run);
+    pub fn backoff_wait(&self, request: &AdmittedRequest, pool: &PoolId, view: &View) -> Option<Duration> {
+        let residency = self.residency(request);
         let targets = view.index.pool(pool)?.all.iter();
         let allowed = targets.filter(|target| residency.allows(&target.entry.zone));
         let lives = allowed.map(|target| target.life);
         let wait = self
             .loads
             .words(|words| words.backed_off(lives, Instant::now()))?;
-        Some(wait + BACKED_OFF_SPREAD.mul_f64(rand::rng().random_range(0.0..1.0)))
+        Some(wait + BACKOFF_SPREAD.mul_f64(rand::rng().random_range(0.0..1.0)))
     }
 
     /// Retry-after for a request that no target of a pool may get because of rate limits; `None` if limits are not
     /// the reason. Randomised by half of the value in both directions, so that callers don't come back all at once.
-    pub fn limited_for(&self, run: &Run, pool: &PoolId, view: &View) -> Option<Duration> {
+    pub fn limit_wait(&self, request: &AdmittedRequest, pool: &PoolId, view: &View) -> Option<Duration> {
         let now = Instant::now();
-        let gate = self.gate(run.config.pool(pool)?, view, now);
+        let gate = self.gate(request.config.pool(pool)?, view, now);
         let mut limits = self.loads.limits();
         let targets = view.index.pool(pool)?.all.iter();
         let waits = targets.filter_map(|target| limits.wait(&gate, &target.entry, now));
-        let wait = waits.min()?.clamp(COME_BACK, MAX_LIMITED_WAIT);
+        let wait = waits.min()?.clamp(DEFAULT_RETRY_AFTER, MAX_LIMITED_WAIT);
         Some(wait.mul_f64(rand::rng().random_range(0.5..1.5)))
     }
 
@@ -285,17 +285,17 @@
 
     fn select_engine(
         &self,
-        run: &Run,
+        request: &AdmittedRequest,
         base: Choice<'_>,
         view: &View,
         engine: &EngineSpec,
         prompt: &Prompt,
-    ) -> Option<Selected> {
+    ) -> Option<SelectedTarget> {
         let now = base.now;
         let wanted = view.wanted.get(&prompt.model);
-        let org = run.organisation.as_deref();
+        let org = request.organisation.as_deref();
         let inputs = PlanInputs {
-            config: &run.config,
+            config: &request.config,
             engine,
             kept: &self.kept,
             residency: base.residency,
@@ -320,7 +320,7 @@
         let prompt_choice = PromptChoice {
             model: &prompt.model,
             tokens: prompt.tokens,
-            latency_objective: run.route.latency_objective,
+            latency_objective: request.route.latency_objective,
             capacity: engine.capacity,
             wanted: wanted.map(|wanted| wanted.newest().version),
             oldest: weights.oldest,
@@ -332,7 +332,7 @@
         })?;
         let version = chosen.version?;
         let plan = plans.into_iter().find(|(of, _)| *of == version);
-        Some(Selected {
+        Some(SelectedTarget {
             chosen,
             plan: plan.map(|(_, plan)| plan),
             weights: Some(weights),
@@ -340,8 +340,8 @@
     }
 
     /// Latest time at which a prompt may start at the selected target, according to the current view.
-    pub fn begin_by(&self, run: &Run, pool: &PoolId, version: WeightVersion) -> Option<Instant> {
-        let model = &run.demand.prompt.as_ref()?.model;
+    pub fn start_deadline(&self, request: &AdmittedRequest, pool: &PoolId, version: WeightVersion) -> Option<Instant> {
+        let model = &request.head.prompt.as_ref()?.model;
         let view = self.fleet.view();
         let serving = served_versions(&view, pool, model);
         let weights = self.weights_use(&view, model, serving, Instant::now());
@@ -365,21 +365,21 @@
     }
 
     /// Prepares what is sent to the selected target, and records which parts are going to be saved.
-    fn prepare(&self, run: &Run, selected: Selected) -> Placed {
-        let prompt_ms = selected.prompt_ms();
-        let in_time = is_in_time(run, selected.expected_ms());
-        let prompt = run.demand.prompt.as_ref();
+    fn prepare(&self, request: &AdmittedRequest, selected: SelectedTarget) -> PreparedAttempt {
+        let prefill_ms = selected.prefill_ms();
+        let in_time = is_in_time(request, selected.expected_ms());
+        let prompt = request.head.prompt.as_ref();
         let length = prompt.map_or(Tokens(0), |prompt| prompt.tokens);
-        let Selected {
+        let SelectedTarget {
             chosen,
             plan,
             weights,
         } = selected;
         let (Some(plan), Some(version)) = (plan, chosen.version) else {
-            return Placed::plain(chosen);
+            return PreparedAttempt::plain(chosen);
         };
         let zone = &chosen.target.zone;
-        let fetch_time = run.route.latency_objective.mul_f64(FETCH_AIMS);
+        let fetch_time = request.route.latency_objective.mul_f64(FETCH_TIME_FACTOR);
         let mut directory = self.kept.lock();
         let sending = plan.sending(version, zone, &mut directory, fetch_time, Instant::now());
         drop(directory);
@@ -389,14 +389,14 @@
             .map(|(part, _)| part.tokens.0)
             .sum();
         let shared: u64 = plan.shared.iter().map(|part| part.tokens.0).sum();
-        Placed {
+        PreparedAttempt {
             in_time,
             weights,
             chosen,
             parts: plan.describe(&sending),
             source: plan.main_source(&sending.fetch),
             engine: Some(sending),
-            prompt_ms,
+            prefill_ms,
             length,
             kept: plan.kept_tokens.0,
             fetched,
--- a/crates/sillpin-gateway/src/front/relay.rs
+++ b/crates/sillpin-gateway/src/front/relay.rs
@@ -6,9 +6,9 @@
 //! be
 //! mistaken for a complete one.
 
-use super::admit::Run;
-use super::attempt::{Ended, OpenStream};
-use super::drive::{Progress, may_repeat};
+use super::admit::AdmittedRequest;
+use super::attempt::{AttemptOutcome, OpenStream};
+use super::drive::{Progress, may_rerun};
 use super::events::EventSplitter;
 use super::shared::Shared;
 use crate::dialect::Dialect;
@@ -24,13 +24,13 @@
 use tokio::time::Instant;
 
 /// How relaying from one target ended.
-enum Pumped {
+enum RelayEnd {
     /// The stream is complete.
-    Whole,
+    Complete,
     /// The caller closed its connection.
-    CallerGone,
+    CallerDisconnected,
     /// The request reached its deadline.
-    TimeOver,
+    DeadlineReached,
     /// The target broke the stream off or stopped sending.
     Broken(String),
 }
@@ -39,7 +39,7 @@
     /// Returns the response for a stream's caller; a background task sends the events.
     pub fn relay(
         self: Arc<Self>,
-        run: Run,
+        request: AdmittedRequest,
         pool: PoolId,
         progress: Progress,
         stream: OpenStream,
@@ -50,14 +50,14 @@
         *resp.headers_mut() = self.dialect.write_response(&stream.headers);
         // The length of a resumed stream differs from that of its first part.
         resp.headers_mut().remove(CONTENT_LENGTH);
-        self.metrics.head(run.arrival.elapsed());
-        tokio::spawn(self.pump_all(run, pool, progress, stream, tx));
+        self.metrics.head(request.arrival.elapsed());
+        tokio::spawn(self.relay_all(request, pool, progress, stream, tx));
         resp
     }
 
-    async fn pump_all(
+    async fn relay_all(
         self: Arc<Self>,
-        run: Run,
+        request: AdmittedRequest,
         pool: PoolId,
         mut progress: Progress,
         mut stream: OpenStream,
@@ -67,54 +67,54 @@
         loop {
             let entry = stream.target.clone();
             let (target, life) = (entry.id.clone(), entry.life);
-            let (id, waited) = (&run.demand.id, run.arrival.elapsed().as_millis());
-            let why = match self
-                .pump(&run, &pool, &progress, stream, &mut events, &tx)
+            let (id, waited) = (&request.head.id, request.arrival.elapsed().as_millis());
+            let reason = match self
+                .relay_target(&request, &pool, &progress, stream, &mut events, &tx)
                 .await
             {
-                Pumped::Whole => {
-                    self.fatal.record().served(run.print, Instant::now());
-                    self.metrics.answered(run.arrival.elapsed());
-                    self.metrics.request(&run.route.name, "answered");
+                RelayEnd::Complete => {
+                    self.fatal.record().served(request.fingerprint, Instant::now());
+                    self.metrics.answered(request.arrival.elapsed());
+                    self.metrics.request(&request.route.name, "answered");
                     event!(self.log, events::STREAM_WHOLE, "request" => id,
                         "target" => target.as_str(), "head_ms" => waited,
-                        "whole_ms" => run.arrival.elapsed().as_millis());
+                        "whole_ms" => request.arrival.elapsed().as_millis());
                     return;
                 }
-                Pumped::CallerGone => {
-                    self.fatal.sent(run.print, LifeHash::of(&entry)).end(true);
-                    self.metrics.request(&run.route.name, "caller-gone");
+                RelayEnd::CallerDisconnected => {
+                    self.fatal.sent(request.fingerprint, LifeHash::of(&entry)).end(true);
+                    self.metrics.request(&request.route.name, "caller-gone");
                     event!(self.log, events::CALLER_GONE, "request" => id,
                         "target" => target.as_str(),
-                        "elapsed_ms" => run.arrival.elapsed().as_millis());
+                        "elapsed_ms" => request.arrival.elapsed().as_millis());
                     return;
                 }
-                Pumped::TimeOver => {
-                    self.fatal.sent(run.print, LifeHash::of(&entry)).end(true);
+                RelayEnd::DeadlineReached => {
+                    self.fatal.sent(request.fingerprint, LifeHash::of(&entry)).end(true);
                     "the request's time is over".to_owned()
                 }
-                Pumped::Broken(why) => {
-                    self.broke_off(&run, &entry);
+                RelayEnd::Broken(reason) => {
+                    self.broke_off(&request, &entry);
                     self.loads.note_life(&target, life, Health::Failed);
                     event!(self.log, events::SENDING_FAILED, "request" => id,
-                        "target" => target.as_str(), "outcome" => "broken", "why" => &why,
-                        "elapsed_ms" => run.arrival.elapsed().as_millis());
+                        "target" => target.as_str(), "outcome" => "broken", "why" => &reason,
+                        "elapsed_ms" => request.arrival.elapsed().as_millis());
                     match self
-                        .resume(&run, &pool, &mut progress, &mut events, &tx)
+                        .resume(&request, &pool, &mut progress, &mut events, &tx)
                         .await
                     {
                         Some(next) => {
                             stream = next;
                             continue;
                         }
-                        None => why,
+                        None => reason,
                     }
                 }
             };
-            self.metrics.request(&run.route.name, "broken");
+            self.metrics.request(&request.route.name, "broken");
             event!(self.log, events::REQUEST_FAILED, "request" => id,
-                "target" => target.as_str(), "outcome" => "ran", "why" => &why,
-                "elapsed_ms" => run.arrival.elapsed().as_millis());
+                "target" => target.as_str(), "outcome" => "ran", "why" => &reason,
+                "elapsed_ms" => request.arrival.elapsed().as_millis());
             tx.abort("the stream broke off").await;
             return;
         }
@@ -123,27 +123,27 @@
     /// Resumes a broken stream at another target; `None` if that is not possible.
     async fn resume(
         &self,
-        run: &Run,
+        request: &AdmittedRequest,
         pool: &PoolId,
         progress: &mut Progress,
         events: &mut EventSplitter,
         tx: &BodySender,
     ) -> Option<OpenStream> {
-        while run.route.resumable && may_repeat(run, progress) {
+        while request.route.resumable && may_rerun(request, progress) {
             progress.resume_after = events.last_id().map(str::to_owned);
-            let sending = self.next_sending(run, pool, progress);
-            let ended = tokio::select! {
-                ended = sending => ended,
+            let attempt = self.next_attempt(request, pool, progress);
+            let outcome = tokio::select! {
+                outcome = attempt => outcome,
                 () = tx.closed() => return None,
             };
-            if let Ok(Ended::Streaming(stream)) = ended {
+            if let Ok(AttemptOutcome::Streaming(stream)) = outcome {
                 *events = EventSplitter::after(progress.resume_after.clone());
-                event!(self.log, events::STREAM_RESUMED, "request" => &run.demand.id,
+                event!(self.log, events::STREAM_RESUMED, "request" => &request.head.id,
                     "target" => stream.target.id.as_str(),
                     "after" => progress.resume_after.as_deref().unwrap_or("start"));
                 return Some(*stream);
             }
-            if ended.is_err() || matches!(ended, Ok(Ended::Failed(_))) {
+            if outcome.is_err() || matches!(outcome, Ok(AttemptOutcome::Failed(_))) {
                 return None;
             }
         }
@@ -151,15 +151,15 @@
     }
 
     /// Relays events from one target until its part of the stream ends.
-    async fn pump(
+    async fn relay_target(
         &self,
-        run: &Run,
+        request: &AdmittedRequest,
         pool: &PoolId,
         progress: &Progress,
         stream: OpenStream,
         events: &mut EventSplitter,
         tx: &BodySender,
-    ) -> Pumped {
+    ) -> RelayEnd {
         let OpenStream {
             head,
             mut body,
@@ -172,41 +172,41 @@
         loop {
             let frame = tokio::select! {
                 frame = body.frame() => frame,
-                () = tx.closed() => return Pumped::CallerGone,
-                () = tokio::time::sleep_until(self.silence_until(run)) => {
-                    if run.time_left().is_zero() {
-                        return Pumped::TimeOver;
+                () = tx.closed() => return RelayEnd::CallerDisconnected,
+                () = tokio::time::sleep_until(self.idle_deadline(request)) => {
+                    if request.time_left().is_zero() {
+                        return RelayEnd::DeadlineReached;
                     }
-                    if self.should_resume(run, pool, progress) {
-                        return Pumped::Broken("the target fell silent".to_owned());
+                    if self.should_resume(request, pool, progress) {
+                        return RelayEnd::Broken("the target fell silent".to_owned());
                     }
                     continue;
                 }
             };
             let data = match frame {
                 None if events.is_partial() => {
-                    return Pumped::Broken("ended within an event".to_owned());
+                    return RelayEnd::Broken("ended within an event".to_owned());
                 }
                 None => {
-                    self.keep(target.id.clone(), conn, &head);
-                    return Pumped::Whole;
+                    self.return_connection(target.id.clone(), conn, &head);
+                    return RelayEnd::Complete;
                 }
-                Some(Err(e)) => return Pumped::Broken(format!("broke off: {e}")),
+                Some(Err(e)) => return RelayEnd::Broken(format!("broke off: {e}")),
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
             };
-            let whole = events.push(&data);
+            let complete = events.push(&data);
             if events.is_overlong() {
-                return Pumped::Broken("an event is too long".to_owned());
+                return RelayEnd::Broken("an event is too long".to_owned());
             }
-            if whole.is_empty() {
+            if complete.is_empty() {
                 continue;
             }
             if first {
                 ticket.prompt_done();
                 first = false;
             }
-            if tx.send(whole).await.is_err() {
-                return Pumped::CallerGone;
+            if tx.send(complete).await.is_err() {
+                return RelayEnd::CallerDisconnected;
             }
         }
     }
--- a/crates/sillpin-gateway/src/front/shared.rs
+++ b/crates/sillpin-gateway/src/front/shared.rs
@@ -1,6 +1,6 @@
 //! State shared by all requests of a box.
 
-use super::body_room::BodyRoom;
+use super::body_room::BodyMemory;
 use crate::suspend_clock::SuspendClock;
 use crate::beliefs::FleetHandle;
 use crate::budget::RetryBudget;
@@ -49,7 +49,7 @@
     /// Retry budget.
     pub budget: Mutex<RetryBudget>,
     /// Memory for request bodies.
-    pub bodies: BodyRoom,
+    pub bodies: BodyMemory,
     /// Metrics.
     pub metrics: BoxMetrics,
     /// Log.
@@ -61,7 +61,7 @@
 }
 
 /// Shared state that other tasks update.
-pub struct Learned {
+pub struct FleetHandles {
     /// View of the fleet.
     pub fleet: FleetHandle,
     /// Loads of targets.
@@ -79,21 +79,21 @@
     pub fn new(
         dialect: D,
         settings: Settings,
-        learned: Learned,
+        handles: FleetHandles,
         metrics: BoxMetrics,
         log: Logger,
         stopping: CancellationToken,
     ) -> Self {
         let cfg = settings.borrow().clone();
-        let room = usize::try_from(cfg.memory / BODY_SHARE).unwrap_or(usize::MAX);
+        let max_len = usize::try_from(cfg.memory / BODY_SHARE).unwrap_or(usize::MAX);
         let budget = RetryBudget::default();
-        let Learned {
+        let FleetHandles {
             fleet,
             loads,
             kept,
             fatal,
             suspend_clock,
-        } = learned;
+        } = handles;
         let pool = ConnectionPool::new(suspend_clock.clone());
         let prober = Prober {
             loads: loads.clone(),
@@ -114,7 +114,7 @@
             pool,
             prober,
             budget: Mutex::new(budget),
-            bodies: BodyRoom::new(room),
+            bodies: BodyMemory::new(max_len),
             metrics,
             log,
             stopping,
@@ -129,7 +129,7 @@
         let boxes = self.fleet.view().box_count();
         let rules = self.settings.borrow().retries;
         let mut budget = self.budget.lock().unwrap_or_else(|e| e.into_inner());
-        budget.request(pool, &rules, boxes, Instant::now());
+        budget.record_request(pool, &rules, boxes, Instant::now());
     }
 
     /// Takes a retry for a pool from the budget; returns whether there was one.
--- a/crates/sillpin-gateway/src/front/silence.rs
+++ b/crates/sillpin-gateway/src/front/silence.rs
@@ -8,8 +8,8 @@
 //! start before the caller gives up. Otherwise the request stays until its deadline. Dead connections are detected by
 //! TCP keep-alive, not here.
 
-use super::admit::Run;
-use super::drive::{Progress, may_repeat};
+use super::admit::AdmittedRequest;
+use super::drive::{Progress, may_rerun};
 use super::shared::Shared;
 use crate::config::Idempotency;
 use crate::dialect::Dialect;
@@ -19,55 +19,55 @@
 
 /// Fraction of the callers' event time-out that a silent engine gets; the rest is left for another one to start. A
 /// busy engine often sends no event for more than 1.3 s, and callers wait 2.4 to 4.8 s.
-const PATIENCE_PART: f64 = 0.6;
+const EVENT_TIMEOUT_FRACTION: f64 = 0.6;
 
 /// A target that is not an engine is abandoned after this multiple of the latency goal: its response is late by then,
 /// and its requests normally take a fraction of the goal.
-const PLAIN_AIMS: f64 = 2.0;
+const PLAIN_IDLE_FACTOR: f64 = 2.0;
 
 /// Minimum time before a silent target is abandoned, also on a route without a latency goal.
-const LEAST_SILENCE: Duration = Duration::from_millis(100);
+const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
 
 impl<D: Dialect> Shared<D> {
     /// Time at which a target that sends nothing from now on counts as silent.
-    pub fn silence_until(&self, run: &Run) -> Instant {
-        if run.route.idempotency == Idempotency::AtMostOnce {
-            return run.deadline;
+    pub fn idle_deadline(&self, request: &AdmittedRequest) -> Instant {
+        if request.route.idempotency == Idempotency::AtMostOnce {
+            return request.deadline;
         }
-        let borne = match run.route.streaming {
-            true => run.route.event_timeout.mul_f64(PATIENCE_PART),
-            false => run.route.latency_objective.mul_f64(PLAIN_AIMS),
+        let idle_timeout = match request.route.streaming {
+            true => request.route.event_timeout.mul_f64(EVENT_TIMEOUT_FRACTION),
+            false => request.route.latency_objective.mul_f64(PLAIN_IDLE_FACTOR),
         };
-        run.deadline.min(Instant::now() + borne.max(LEAST_SILENCE))
+        request.deadline.min(Instant::now() + idle_timeout.max(MIN_IDLE_TIMEOUT))
     }
 
     /// Whether to abandon a silent target that has not sent its head, since another is expected to be faster.
     /// `progress` does not count the run at the silent target yet.
-    pub fn should_leave(&self, run: &Run, pool: &PoolId, progress: &Progress) -> bool {
-        let another = progress.runs + 1 < run.route.max_runs;
-        another && run.route.idempotency == Idempotency::Idempotent && self.has_sooner(run, pool, progress)
+    pub fn should_abandon(&self, request: &AdmittedRequest, pool: &PoolId, progress: &Progress) -> bool {
+        let another = progress.runs + 1 < request.route.max_runs;
+        another && request.route.idempotency == Idempotency::Idempotent && self.has_faster_target(request, pool, progress)
     }
 
     /// Whether to resume a stream that fell silent at another target, since that is expected to be faster.
-    pub fn should_resume(&self, run: &Run, pool: &PoolId, progress: &Progress) -> bool {
-        run.route.resumable && may_repeat(run, progress) && self.has_sooner(run, pool, progress)
+    pub fn should_resume(&self, request: &AdmittedRequest, pool: &PoolId, progress: &Progress) -> bool {
+        request.route.resumable && may_rerun(request, progress) && self.has_faster_target(request, pool, progress)
     }
 
     /// Whether another target is expected to start a request before its caller gives up.
-    fn has_sooner(&self, run: &Run, pool: &PoolId, progress: &Progress) -> bool {
-        if !self.may_offer(progress) || self.withheld_for(run).is_some() {
+    fn has_faster_target(&self, request: &AdmittedRequest, pool: &PoolId, progress: &Progress) -> bool {
+        if !self.may_offer(progress) || self.crash_refusal_left(request).is_some() {
             return false;
         }
         let view = self.fleet.view();
-        let Some(found) = self.select(run, pool, &view, progress) else {
+        let Some(candidate) = self.select(request, pool, &view, progress) else {
             return false;
         };
-        let left = match run.route.streaming {
-            true => run.route.event_timeout.mul_f64(1.0 - PATIENCE_PART),
-            false => run.time_left(),
+        let left = match request.route.streaming {
+            true => request.route.event_timeout.mul_f64(1.0 - EVENT_TIMEOUT_FRACTION),
+            false => request.time_left(),
         };
-        let expected = Duration::from_secs_f64(found.expected_ms() / 1000.0);
-        let is_sooner = !found.chosen.rests && expected < left.min(run.time_left());
+        let expected = Duration::from_secs_f64(candidate.expected_ms() / 1000.0);
+        let is_sooner = !candidate.chosen.rests && expected < left.min(request.time_left());
         // Checked last, since the check may use up the balance of the retry budget.
         is_sooner && self.has_retry(pool)
     }
--- a/crates/sillpin-gateway/src/metrics.rs
+++ b/crates/sillpin-gateway/src/metrics.rs
@@ -19,7 +19,7 @@
 #[derive(Clone)]
 pub struct BoxMetrics {
     requests: Counter<u64>,
-    sendings: Counter<u64>,
+    attempts: Counter<u64>,
     parts: Counter<u64>,
     prompts: Counter<u64>,
     copies: Counter<u64>,
@@ -49,7 +49,7 @@
         };
         Self {
             requests: counter("sillpin_requests", "Requests of callers by outcome"),
-            sendings: counter("sillpin_sendings", "Sendings to targets by outcome"),
+            attempts: counter("sillpin_sendings", "Sendings to targets by outcome"),
             copies: counter("sillpin_copies", "Copies asked of boxes by outcome"),
             copied_bytes: counter("sillpin_copied_bytes", "Bytes of copies by outcome"),
             datagrams: counter("sillpin_datagrams", "Datagrams between boxes by kind"),
@@ -111,12 +111,12 @@
     }
 
     /// Counts an attempt by outcome.
-    pub fn sending(&self, outcome: &'static str) {
-        self.sendings.add(1, &[KeyValue::new("outcome", outcome)]);
+    pub fn attempt(&self, outcome: &'static str) {
+        self.attempts.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
     /// Counts a prompt sent to an engine, by whether its weights are the newest or replaced ones.
-    pub fn prompt_sending(&self, replaced: bool) {
+    pub fn prompt_attempt(&self, replaced: bool) {
         let weights = if replaced { "replaced" } else { "newest" };
         self.prompts.add(1, &[KeyValue::new("weights", weights)]);
     }
@@ -156,7 +156,7 @@
 }
 
 /// Registers gauges of targets that get fewer requests because of what they report about themselves.
-pub fn observe_words(meter: &Meter, loads: Loads) {
+pub fn observe_signals(meter: &Meter, loads: Loads) {
     let observe = |of: fn(&Words) -> usize| {
         let loads = loads.clone();
         move |observer: &dyn AsyncInstrument<u64>| {
--- a/crates/sillpin-gateway/src/ops.rs
+++ b/crates/sillpin-gateway/src/ops.rs
@@ -10,11 +10,11 @@
 use crate::dialect::Dialect;
 use crate::fatal::Fatal;
 use crate::fatal::keep::Keep;
-use crate::front::shared::Learned;
+use crate::front::shared::FleetHandles;
 use crate::front::{Front, Shared};
 use crate::kept::reader::Readers;
 use crate::kept::{self, Kept};
-use crate::metrics::{BoxMetrics, observe_fleet, observe_words};
+use crate::metrics::{BoxMetrics, observe_fleet, observe_signals};
 use crate::peers::datagram::{BoxHash, News};
 use crate::peers::digest::Gossip;
 use crate::peers::hub::Hub;
@@ -53,14 +53,14 @@
 const KILL_MARGIN: Duration = Duration::from_millis(300);
 
 /// Interval at which connections that have been idle for too long are closed.
-const PRUNE_EVERY: Duration = Duration::from_secs(1);
+const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Interval of the log lines about calls of the platform store and about traffic between boxes.
-const TRAFFIC_EVERY: Duration = Duration::from_secs(10);
+const TRAFFIC_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Capacity of the queue of updates for other boxes. The holder of the weights duty orders a quarter of all engines
 /// at once, and updates that do not fit are lost: boxes then go on sending to engines that are loading.
-const NEWS_QUEUE: usize = 1_024;
+const UPDATE_QUEUE: usize = 1_024;
 
 /// Media type of the metrics page.
 const METRICS_MEDIA_TYPE: &str = "text/plain; version=0.0.4";
@@ -164,9 +164,9 @@
         link_mbps: cfg.link_mbps,
     };
     let transfers = Transfers::default();
-    let (words_tx, words) = mpsc::channel(NEWS_QUEUE);
+    let (words_tx, words) = mpsc::channel(UPDATE_QUEUE);
     let loads = Loads::default();
-    observe_words(&metrics.meter(), loads.clone());
+    observe_signals(&metrics.meter(), loads.clone());
     start_readers(&adapter.keys, |topic, prefix| Reader {
         platform: adapter.platform.clone(),
         topic,
@@ -179,7 +179,7 @@
         news: words_tx.clone(),
         log: log.clone(),
     });
-    let learned = Learned {
+    let handles = FleetHandles {
         fleet: fleet.clone(),
         loads,
         kept: Kept::default(),
@@ -189,7 +189,7 @@
     let shared = Arc::new(Shared::new(
         adapter.dialect.clone(),
         settings.clone(),
-        learned,
+        handles,
         BoxMetrics::new(&metrics.meter(), adapter.counts.clone()),
         log.clone(),
         stopping.clone(),
@@ -302,7 +302,7 @@
     let (id, candidate) = (me.id.clone(), me.clone());
     let (fleet, log) = (shared.fleet.clone(), shared.log.clone());
     let stopping = shared.stopping.clone();
-    let (news_tx, news) = mpsc::channel(NEWS_QUEUE);
+    let (news_tx, news) = mpsc::channel(UPDATE_QUEUE);
     let fleet_key = FleetKey::new(shared.cfg.fleet.as_deref(), shared.cfg.platform);
     let answerer = Answerer {
         fleet_key,
@@ -403,7 +403,7 @@
 
 /// Logs periodically the number of calls of the platform store, which are charged for, and the traffic between boxes.
 async fn log_traffic(counts: CallCounts, metrics: BoxMetrics, log: Logger) {
-    let mut every = tokio::time::interval(TRAFFIC_EVERY);
+    let mut every = tokio::time::interval(TRAFFIC_LOG_INTERVAL);
     every.tick().await;
     loop {
         every.tick().await;
@@ -419,7 +419,7 @@
 
 /// Drops state of targets that are no longer listed, and of earlier incarnations of those that are.
 async fn prune<D: Dialect>(shared: Arc<Shared<D>>) {
-    let mut every = tokio::time::interval(PRUNE_EVERY);
+    let mut every = tokio::time::interval(PRUNE_INTERVAL);
     every.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut views = shared.fleet.subscribe();
     let mut known = Arc::default();
--- a/crates/sillpin-gateway/src/pool.rs
+++ b/crates/sillpin-gateway/src/pool.rs
@@ -34,10 +34,10 @@
 const USER_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// Idle time after which keep-alive probes start, and their interval.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Number of unanswered probes after which a connection is closed.
-const PROBES: u32 = 2;
+const KEEPALIVE_PROBES: u32 = 2;
 
 /// How long an idle connection is kept if the target does not name a time.
 const DEFAULT_IDLE: Duration = Duration::from_secs(4);
@@ -107,7 +107,7 @@
             Ok(Err(e)) => return Err(unsent(format!("cannot connect: {e}"))),
             Err(_) => return Err(unsent("cannot connect in time".to_owned())),
         };
-        tune(&tcp).map_err(|e| unsent(format!("cannot set socket options: {e}")))?;
+        set_socket_options(&tcp).map_err(|e| unsent(format!("cannot set socket options: {e}")))?;
         let handshake = http1::handshake(TokioIo::new(tcp)).await;
         let (sender, driver) = handshake.map_err(|e| unsent(e.to_string()))?;
         // A connection's error is reported to whoever waits for the response.
@@ -151,20 +151,20 @@
         self.peer == target.addr && self.life == target.life
     }
 
-    fn is_fresh(&self, now: Instant, max_idle: Duration) -> bool {
+    fn is_usable(&self, now: Instant, max_idle: Duration) -> bool {
         let idle = now - self.idle_since;
         !self.sender.is_closed() && self.sender.is_ready() && idle < self.keep_idle.min(max_idle)
     }
 }
 
-fn tune(tcp: &TcpStream) -> io::Result<()> {
+fn set_socket_options(tcp: &TcpStream) -> io::Result<()> {
     tcp.set_nodelay(true)?;
     let socket = SockRef::from(tcp);
-    let probes = TcpKeepalive::new()
-        .with_time(PROBE_EVERY)
-        .with_interval(PROBE_EVERY)
-        .with_retries(PROBES);
-    socket.set_tcp_keepalive(&probes)?;
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
+    socket.set_tcp_keepalive(&keepalive)?;
     socket.set_tcp_user_timeout(Some(USER_TIMEOUT))
 }
 
@@ -202,11 +202,11 @@
         let mut idle = self.lock();
         let conns = idle.get_mut(&target.id)?;
         conns.retain(|conn| {
-            conn.is_to(target) && conn.is_fresh(now, DEFAULT_IDLE.max(conn.keep_idle))
+            conn.is_to(target) && conn.is_usable(now, DEFAULT_IDLE.max(conn.keep_idle))
         });
         let newest = conns
             .iter()
-            .rposition(|conn| conn.is_fresh(now, max_idle))?;
+            .rposition(|conn| conn.is_usable(now, max_idle))?;
         Some(conns.swap_remove(newest))
     }
 
@@ -234,7 +234,7 @@
             let target = targets.get(id);
             let is_kept = |conn: &Conn| {
                 target.is_some_and(|target| conn.is_to(target))
-                    && conn.is_fresh(now, conn.keep_idle)
+                    && conn.is_usable(now, conn.keep_idle)
             };
             conns.retain(is_kept);
             !conns.is_empty()
--- a/crates/sillpin-gateway/src/reload.rs
+++ b/crates/sillpin-gateway/src/reload.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 
 /// Interval of reads without a signal.
-const READ_EVERY: Duration = Duration::from_secs(5);
+const READ_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Keys that take effect at once.
 const LIVE_KEYS: [&str; 3] = [
@@ -60,7 +60,7 @@
         loop {
             let signalled = tokio::select! {
                 _ = hangups.recv() => true,
-                () = tokio::time::sleep(READ_EVERY) => false,
+                () = tokio::time::sleep(READ_INTERVAL) => false,
             };
             match self.reloader.read() {
                 Ok(loaded) => self.take(loaded, signalled),
--- a/crates/sillpin-gateway/src/settings.rs
+++ b/crates/sillpin-gateway/src/settings.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// Replaces durations that are out of range.
-const MAX_TIME: Duration = Duration::from_secs(86_400);
+const MAX_DURATION: Duration = Duration::from_secs(86_400);
 
 /// Sections and keys of the settings.
 pub const SCHEMA: Schema = &[
@@ -243,7 +243,7 @@
         let collectors: Vec<SocketAddr> = loaded.list("telemetry", "collector")?;
         let time = |key, unit: f64| {
             let number: f64 = loaded.get("promises", key)?;
-            Ok::<_, Faults>(Duration::try_from_secs_f64(number * unit).unwrap_or(MAX_TIME))
+            Ok::<_, Faults>(Duration::try_from_secs_f64(number * unit).unwrap_or(MAX_DURATION))
         };
         let zones: Vec<ZoneRegion> = loaded.list("platform", "zones")?;
         let fleet: String = loaded.get("platform", "fleet")?;
@@ -263,7 +263,7 @@
             platform: loaded.get("platform", "addr")?,
             fleet: Some(fleet).filter(|name| !name.is_empty()),
             zones: zones.into_iter().map(|z| (z.zone, z.region)).collect(),
-            history: Duration::try_from_secs_f64(history).unwrap_or(MAX_TIME),
+            history: Duration::try_from_secs_f64(history).unwrap_or(MAX_DURATION),
             seeds: loaded.list("platform", "seeds")?,
             memory: loaded.get::<u64>("limits", "memory-mb")? << 20,
             descriptors: loaded.get("limits", "descriptors")?,
--- a/crates/sillpin-gateway/src/suspend_clock.rs
+++ b/crates/sillpin-gateway/src/suspend_clock.rs
@@ -14,90 +14,90 @@
 
 /// Smaller differences between the clocks are ignored, since the clocks are not read at the same instant. All time
 /// limits of a box are longer.
-const LEAST: Duration = Duration::from_millis(50);
+const MIN_SUSPENSION: Duration = Duration::from_millis(50);
 
 /// Maximum number of attempts to read both clocks without being descheduled in between.
-const READINGS: usize = 3;
+const MAX_READS: usize = 3;
 
 /// Maximum time that reading both clocks may take.
-const READING_TIME: Duration = Duration::from_millis(1);
+const MAX_READ_TIME: Duration = Duration::from_millis(1);
 
 /// How far the boot clock is ahead of the monotonic clock.
 #[derive(Debug, Clone)]
-enum Ahead {
+enum OffsetSource {
     /// Read from the machine's clocks.
     Clocks(std::time::Instant),
     /// Set by tests.
     Manual(Arc<Mutex<Duration>>),
 }
 
-impl Ahead {
+impl OffsetSource {
     /// Returns `None` if the clocks cannot be read.
     fn read(&self) -> Option<Duration> {
         match self {
-            Ahead::Clocks(began) => read_clocks(*began),
-            Ahead::Manual(ahead) => Some(*lock(ahead)),
+            OffsetSource::Clocks(began) => read_clocks(*began),
+            OffsetSource::Manual(offset) => Some(*lock(offset)),
         }
     }
 }
 
 /// Returns the boot clock minus the time since `began` on the monotonic clock.
 fn read_clocks(began: std::time::Instant) -> Option<Duration> {
-    let mut least: Option<Duration> = None;
-    for _ in 0..READINGS {
+    let mut smallest: Option<Duration> = None;
+    for _ in 0..MAX_READS {
         let before = began.elapsed();
         let boot = Duration::from(clock_gettime(ClockId::CLOCK_BOOTTIME).ok()?);
-        let ahead = boot.saturating_sub(before);
-        least = Some(least.map_or(ahead, |least| least.min(ahead)));
-        if began.elapsed() - before < READING_TIME {
+        let offset = boot.saturating_sub(before);
+        smallest = Some(smallest.map_or(offset, |smallest| smallest.min(offset)));
+        if began.elapsed() - before < MAX_READ_TIME {
             break;
         }
     }
-    least
+    smallest
 }
 
 /// Measures how long the box has been suspended; clones share the result.
 #[derive(Debug, Clone)]
 pub struct SuspendClock {
-    ahead: Ahead,
-    at_start: Option<Duration>,
+    offset: OffsetSource,
+    initial_offset: Option<Duration>,
     suspended: Arc<Mutex<Duration>>,
 }
 
 impl Default for SuspendClock {
     fn default() -> Self {
-        Self::from(Ahead::Clocks(std::time::Instant::now()))
+        Self::from(OffsetSource::Clocks(std::time::Instant::now()))
     }
 }
 
 impl SuspendClock {
-    fn from(ahead: Ahead) -> Self {
+    fn from(offset: OffsetSource) -> Self {
         Self {
-            at_start: ahead.read(),
-            ahead,
+            initial_offset: offset.read(),
+            offset,
             suspended: Arc::default(),
         }
     }
 
     /// Creates one that is only advanced by [`SuspendClock::suspend`], for tests.
     pub fn manual() -> Self {
-        Self::from(Ahead::Manual(Arc::default()))
+        Self::from(OffsetSource::Manual(Arc::default()))
     }
 
     /// Adds suspended time, for tests; has no effect unless created by [`SuspendClock::manual`].
     pub fn suspend(&self, time: Duration) {
-        if let Ahead::Manual(ahead) = &self.ahead {
-            *lock(ahead) += time;
+        if let OffsetSource::Manual(offset) = &self.offset {
+            *lock(offset) += time;
         }
     }
 
     /// Total time that the box was suspended since its start. Never decreases.
     pub fn suspended(&self) -> Duration {
-        let ahead = self.ahead.read().zip(self.at_start);
-        let found = ahead.map(|(now, at_start)| now.saturating_sub(at_start));
+        let offset = self.offset.read().zip(self.initial_offset);
+        let measured = offset.map(|(now, initial_offset)| now.saturating_sub(initial_offset));
         let mut suspended = lock(&self.suspended);
-        if let Some(found) = found.filter(|found| *found >= *suspended + LEAST) {
-            *suspended = found;
+        if let Some(measured) = measured.filter(|measured| *measured >= *suspended + MIN_SUSPENSION) {
+            *suspended = measured;
         }
         *suspended
     }
--- a/crates/sillpin-gateway/tests/budget.rs
+++ b/crates/sillpin-gateway/tests/budget.rs
@@ -41,7 +41,7 @@
                 match action {
                     0 => budgets[which] = RetryBudget::default(),
                     1..=4 => {
-                        budgets[which].request(&pool, &RULES, BOXES, now);
+                        budgets[which].record_request(&pool, &RULES, BOXES, now);
                         requests.push(now);
                     }
                     _ => {
@@ -82,7 +82,7 @@
     let mut retries = 0;
     for round in 0..well + failing {
         for budget in &mut budgets {
-            budget.request(&pool, &rules, BOXES, Instant::now());
+            budget.record_request(&pool, &rules, BOXES, Instant::now());
             // A request may be sent to two more targets.
             for _ in 0..2 {
                 let again = round >= well && budget.take(&pool, &rules, BOXES, Instant::now());
@@ -112,7 +112,7 @@
     for _ in 0..rounds {
         tokio::time::advance(Duration::from_secs(1)).await;
         for (budget, retries) in budgets.iter_mut().zip(&mut retries) {
-            budget.request(&pool, &rules, boxes, Instant::now());
+            budget.record_request(&pool, &rules, boxes, Instant::now());
             *retries += u32::from(budget.take(&pool, &rules, boxes, Instant::now()));
         }
     }
@@ -133,7 +133,7 @@
     for seed in 0..BOXES as u64 {
         let mut budget = RetryBudget::seeded(seed);
         for _ in 0..60 {
-            budget.request(&pool, &RULES, BOXES, Instant::now());
+            budget.record_request(&pool, &RULES, BOXES, Instant::now());
             budget.has(&pool, &RULES, BOXES, Instant::now());
             tokio::time::advance(Duration::from_secs(1)).await;
         }
@@ -175,7 +175,7 @@
                     }
                     let mut retries = 0;
                     for budget in &mut budgets {
-                        budget.request(&pool, &rules, boxes, now);
+                        budget.record_request(&pool, &rules, boxes, now);
                         for _ in 0..if fails { sendings } else { 0 } {
                             retries += usize::from(budget.take(&pool, &rules, boxes, now));
                         }
