--- a/crates/sillpin-gateway/src/front/admit.rs
+++ b/crates/sillpin-gateway/src/front/admit.rs
@@ -1,7 +1,7 @@
 //! Admission of a request: finds its route and organisation, and reads its body.
 
-use super::answers::Refusal;
-use super::body_room::{BodyError, BufferedBody};
+use super::refusal::Refusal;
+use super::body_memory::{BodyError, BufferedBody};
 use super::shared::Shared;
 use crate::beliefs::View;
 use crate::config::{FleetConfig, Organisation, Priority, Route};
--- a/crates/sillpin-gateway/src/front/drive.rs
+++ b/crates/sillpin-gateway/src/front/dispatch.rs
@@ -7,9 +7,9 @@
 //! time and retry budget last.
 
 use super::admit::{AdmittedRequest, is_fresh};
-use super::answers::{DEFAULT_RETRY_AFTER, Refusal};
+use super::refusal::{DEFAULT_RETRY_AFTER, Refusal};
 use super::attempt::{Attempt, AttemptOutcome, WaitLimits, CompleteResponse};
-use super::placing::PreparedAttempt;
+use super::selection::PreparedAttempt;
 use super::shared::Shared;
 use crate::beliefs::{FleetMsg, View};
 use crate::config::Idempotency;
@@ -82,7 +82,7 @@
 
 impl<D: Dialect> Shared<D> {
     /// Sends a request to targets until there is a response for the caller.
-    pub async fn drive(self: &Arc<Self>, request: AdmittedRequest) -> Result<Response<Body>, Refusal> {
+    pub async fn dispatch(self: &Arc<Self>, request: AdmittedRequest) -> Result<Response<Body>, Refusal> {
         let pool = self.pick_pool(&request)?;
         self.count_request(&pool);
         let mut progress = Progress {
--- a/crates/sillpin-gateway/src/front/handler.rs
+++ b/crates/sillpin-gateway/src/front/handler.rs
@@ -1,6 +1,6 @@
 //! Handlers of the listeners for callers and for the balancer's checks.
 
-use super::answers::{Refusal, close_after};
+use super::refusal::{Refusal, close_after};
 use super::shared::Shared;
 use crate::dialect::Dialect;
 use hyper::body::Incoming;
@@ -46,7 +46,7 @@
         let path = parts.uri.path().to_owned();
         let guard = DisconnectGuard::new(&self.shared, &id, started);
         let result = match self.shared.admit(parts, body, head).await {
-            Ok(request) => self.shared.drive(request).await,
+            Ok(request) => self.shared.dispatch(request).await,
             Err(refusal) => Err(refusal),
         };
         guard.answered();
--- a/crates/sillpin-gateway/src/front/silence.rs
+++ b/crates/sillpin-gateway/src/front/idle_timeout.rs
@@ -9,7 +9,7 @@
 //! TCP keep-alive, not here.
 
 use super::admit::AdmittedRequest;
-use super::drive::{Progress, may_rerun};
+use super::dispatch::{Progress, may_rerun};
 use super::shared::Shared;
 use crate::config::Idempotency;
 use crate::dialect::Dialect;
--- a/crates/sillpin-gateway/src/front/mod.rs
+++ b/crates/sillpin-gateway/src/front/mod.rs
@@ -2,27 +2,27 @@
 //!
 //! - [`shared`]: state shared by all requests,
 //! - [`admit`]: route, organisation and body of a request,
-//! - [`body_room`]: memory for request bodies,
-//! - [`drive`]: attempts until there is a response,
-//! - [`placing`]: selection of pool, target and prompt plan for an attempt,
+//! - [`body_memory`]: memory for request bodies,
+//! - [`dispatch`]: attempts until there is a response,
+//! - [`selection`]: selection of pool, target and prompt plan for an attempt,
 //! - [`attempt`]: one attempt and its outcome,
 //! - [`relay`]: relaying of event streams,
-//! - [`silence`]: when to abandon a target that sends nothing,
+//! - [`idle_timeout`]: when to abandon a target that sends nothing,
 //! - [`events`]: splitting a stream into complete events,
-//! - [`answers`]: responses that the box creates itself,
+//! - [`refusal`]: responses that the box creates itself,
 //! - [`handler`]: the listeners' handlers.
 
 pub mod admit;
-pub mod answers;
+pub mod refusal;
 pub mod attempt;
-pub mod body_room;
-pub mod drive;
+pub mod body_memory;
+pub mod dispatch;
 pub mod events;
 pub mod handler;
-pub mod placing;
+pub mod selection;
 pub mod relay;
 pub mod shared;
-pub mod silence;
+pub mod idle_timeout;
 
 pub use handler::Front;
 pub use shared::Shared;
--- a/crates/sillpin-gateway/src/front/relay.rs
+++ b/crates/sillpin-gateway/src/front/relay.rs
@@ -8,7 +8,7 @@
 
 use super::admit::AdmittedRequest;
 use super::attempt::{AttemptOutcome, OpenStream};
-use super::drive::{Progress, may_rerun};
+use super::dispatch::{Progress, may_rerun};
 use super::events::EventSplitter;
 use super::shared::Shared;
 use crate::dialect::Dialect;
--- a/crates/sillpin-gateway/src/front/placing.rs
+++ b/crates/sillpin-gateway/src/front/selection.rs
@@ -1,8 +1,8 @@
 //! Selects pool, target and prompt plan for one attempt.
 
 use super::admit::AdmittedRequest;
-use super::answers::{DEFAULT_RETRY_AFTER, Refusal};
-use super::drive::Progress;
+use super::refusal::{DEFAULT_RETRY_AFTER, Refusal};
+use super::dispatch::Progress;
 use super::shared::Shared;
 use crate::beliefs::View;
 use crate::config::{EngineSpec, Pool, Priority};
--- a/crates/sillpin-gateway/src/front/shared.rs
+++ b/crates/sillpin-gateway/src/front/shared.rs
@@ -1,6 +1,6 @@
 //! State shared by all requests of a box.
 
-use super::body_room::BodyMemory;
+use super::body_memory::BodyMemory;
 use crate::suspend_clock::SuspendClock;
 use crate::beliefs::FleetHandle;
 use crate::budget::RetryBudget;
