--- a/crates/sillpin-gateway/src/budget.rs
+++ b/crates/sillpin-gateway/src/budget.rs
@@ -1,18 +1,13 @@
 //! Limits the number of retries that this box makes.
 //!
 //! The limit applies to all boxes together but needs no shared counter: each box may spend a share of its own
-//! requests
-//! plus its part of the slack. A box that starts has no slack yet, since its previous process may have spent it; it
-//! earns
-//! the slack over the window.
+//! requests plus its part of the slack. A box that starts has no slack yet, since its previous process may have spent
+//! it; it earns the slack over the window.
 //!
 //! In a fleet so large that a box's part of the slack is less than one retry, boxes that had each saved up a whole
-//! one
-//! could exceed the limit together. There the retry is granted at random, with a probability equal to the box's
-//! balance,
-//! and the balance is zero afterwards in either case. All boxes together then make as many retries as they have
-//! earned,
-//! apart from random deviations, for which [`RANDOM_SAVED_FRACTION`] leaves room.
+//! one could exceed the limit together. There the retry is granted at random, with a probability equal to the box's
+//! balance, and the balance is zero afterwards in either case. All boxes together then make as many retries as they
+//! have earned, apart from random deviations, for which [`RANDOM_SAVED_FRACTION`] leaves room.
 
 use crate::settings::RetryRules;
 use rand::rngs::StdRng;
--- a/crates/sillpin-gateway/src/config.rs
+++ b/crates/sillpin-gateway/src/config.rs
@@ -29,8 +29,8 @@
 const PRIORITY_LEVELS: u8 = 10;
 
 impl Priority {
-    /// The priority of such a request that will miss its latency goal in any case: behind all that can meet theirs,
-    /// with the order among late requests preserved.
+    /// The priority of such a request that will miss its latency objective in any case: behind all that can meet
+    /// theirs, with the order among late requests preserved.
     pub fn demoted(self) -> Self {
         Self(self.0.saturating_add(PRIORITY_LEVELS / 2).min(PRIORITY_LEVELS - 1))
     }
@@ -62,7 +62,7 @@
     pub resumable: bool,
     /// Maximum time that a request may take.
     pub timeout: Duration,
-    /// Latency goal: time within which the response, or its first event, should arrive.
+    /// Time within which the response, or its first event, should arrive.
     pub latency_objective: Duration,
     /// Callers of a stream give up after this time without an event, also before the first one.
     pub event_timeout: Duration,
--- a/crates/sillpin-gateway/src/dialect.rs
+++ b/crates/sillpin-gateway/src/dialect.rs
@@ -1,8 +1,7 @@
 //! Contents of requests and responses, independent of the platform's header names and formats.
 //!
 //! [`Dialect`] is implemented by the platform's adapter. It parses heads into these types and builds heads from them;
-//! it
-//! makes no decisions.
+//! it makes no decisions.
 
 use crate::config::Priority;
 use derive_more::{Display, Error, From, FromStr};
@@ -125,7 +124,7 @@
     #[display("host missing or ambiguous")]
     Host,
     /// A header cannot be parsed.
-    #[display("header {_0} unreadable")]
+    #[display("header {_0} cannot be parsed")]
     Header(#[error(not(source))] &'static str),
 }
 
@@ -219,7 +218,7 @@
     fn read_request(&self, head: &request::Parts) -> Result<RequestHead, HeadError>;
 
     /// Builds the headers of a request to a target.
-    fn write_request(&self, from: &HeaderMap, sending: &AttemptHead) -> HeaderMap;
+    fn write_request(&self, from: &HeaderMap, head: &AttemptHead) -> HeaderMap;
 
     /// Parses the head of a target's response.
     fn read_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseHead;
--- a/crates/sillpin-gateway/src/front/admit.rs
+++ b/crates/sillpin-gateway/src/front/admit.rs
@@ -92,7 +92,7 @@
         let timeout = head.timeout.unwrap_or(route.timeout).min(route.timeout);
         let deadline = arrival + timeout;
         let limit = config.limits.body_len;
-        let reading = tokio::time::timeout_at(deadline, self.bodies.read(body, limit)).await;
+        let reading = tokio::time::timeout_at(deadline, self.body_memory.read(body, limit)).await;
         let body = match reading {
             Ok(read) => read.map_err(body_refusal)?,
             Err(_) => {
--- a/crates/sillpin-gateway/src/front/attempt.rs
+++ b/crates/sillpin-gateway/src/front/attempt.rs
@@ -1,8 +1,8 @@
 //! One attempt to serve a request at a target, and its outcome.
 //!
-//! [`AttemptOutcome`] is the only basis for decisions about retries and about the caller's response. A target's response is
-//! validated before it counts: it must echo the request's id, and a success must be signed by the target and
-//! complete.
+//! [`AttemptOutcome`] is the only basis for decisions about retries and about the caller's response. A target's
+//! response is validated before it counts: it must echo the request's id, and a success must be signed by the target
+//! and complete.
 
 use super::admit::AdmittedRequest;
 use super::shared::Shared;
@@ -31,7 +31,7 @@
 const MAX_IDLE: Duration = Duration::from_secs(30);
 
 /// Why a prompt was cancelled at its engine.
-const WEIGHTS_OUTDATED: &str = "its weights were replaced too long ago for it to begin";
+const WEIGHTS_OUTDATED: &str = "the request's weights were replaced too long ago for it to start";
 
 /// Statuses by which a target temporarily rejects a request.
 const TEMPORARY_REJECTIONS: [StatusCode; 2] = [
@@ -121,7 +121,7 @@
             AttemptOutcome::Unsent(reason) | AttemptOutcome::Unknown(reason) | AttemptOutcome::TimedOut(reason) => reason,
             AttemptOutcome::NotRun { reason, .. } => reason,
             AttemptOutcome::Cancelled => WEIGHTS_OUTDATED,
-            AttemptOutcome::Failed(_) => "the target's own failure",
+            AttemptOutcome::Failed(_) => "the target responded with an error",
             AttemptOutcome::Completed(_) | AttemptOutcome::Streaming(_) => "",
         }
     }
@@ -183,7 +183,7 @@
                 misdirected: false,
             };
         }
-        let req = match self.request(request, &attempt.head) {
+        let req = match self.build_request(request, &attempt.head) {
             Ok(req) => req,
             Err(e) => return AttemptOutcome::Unsent(e.to_string()),
         };
@@ -196,7 +196,7 @@
             HeadWait::Done(Err(e @ SendError::Unanswered { .. })) => {
                 return AttemptOutcome::Unknown(e.to_string());
             }
-            HeadWait::Abandoned => return AttemptOutcome::TimedOut("no answer in time".to_owned()),
+            HeadWait::Abandoned => return AttemptOutcome::TimedOut("no response in time".to_owned()),
             HeadWait::Expired => return AttemptOutcome::Cancelled,
         };
         self.judge_response(attempt, conn, resp, sent).await
@@ -237,17 +237,18 @@
         }
     }
 
-    fn request(
+    /// Builds the request to the target.
+    fn build_request(
         &self,
         request: &AdmittedRequest,
-        sending: &AttemptHead,
+        head: &AttemptHead,
     ) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
         let uri: Uri = request.path.parse()?;
         let mut req = Request::builder()
             .method(request.method.clone())
             .uri(uri)
             .body(Full::new(request.body.bytes.clone()))?;
-        *req.headers_mut() = self.dialect.write_request(&request.headers, sending);
+        *req.headers_mut() = self.dialect.write_request(&request.headers, head);
         Ok(req)
     }
 
@@ -262,11 +263,11 @@
         let (parts, body) = resp.into_parts();
         let head = self.dialect.read_response(parts.status, &parts.headers);
         if head.request_id.as_deref() != Some(attempt.request.head.id.as_str()) {
-            return AttemptOutcome::Unknown("the answer is another request's".to_owned());
+            return AttemptOutcome::Unknown("the response has another request id".to_owned());
         }
         self.record_signals(&attempt.target, parts.status, &head, sent);
         if head.not_run || parts.status == StatusCode::MISDIRECTED_REQUEST {
-            let reason = format!("refused with {}", parts.status.as_u16());
+            let reason = format!("rejected with status {}", parts.status.as_u16());
             let weights = head.weights;
             self.drain_and_recycle(attempt.target.id.clone(), conn, body, &head);
             return AttemptOutcome::NotRun {
@@ -277,7 +278,7 @@
         }
         let success = parts.status.is_success();
         if success && (!head.signed || head.encoded) {
-            return AttemptOutcome::Unknown("a success that the target does not vouch for".to_owned());
+            return AttemptOutcome::Unknown("success response without the target's signature".to_owned());
         }
         if success && attempt.request.route.streaming {
             return AttemptOutcome::Streaming(Box::new(OpenStream {
@@ -293,8 +294,8 @@
         let limited = http_body_util::Limited::new(body, MAX_COMPLETE_RESPONSE);
         let body = match timeout_at(attempt.request.deadline, limited.collect()).await {
             Ok(Ok(body)) => body.to_bytes(),
-            Ok(Err(e)) => return AttemptOutcome::Unknown(format!("the answer broke off: {e}")),
-            Err(_) => return AttemptOutcome::TimedOut("the answer did not end in time".to_owned()),
+            Ok(Err(e)) => return AttemptOutcome::Unknown(format!("response broke off: {e}")),
+            Err(_) => return AttemptOutcome::TimedOut("response did not complete in time".to_owned()),
         };
         self.return_connection(attempt.target.id.clone(), conn, &head);
         let response = CompleteResponse {
--- a/crates/sillpin-gateway/src/front/dispatch.rs
+++ b/crates/sillpin-gateway/src/front/dispatch.rs
@@ -1,10 +1,8 @@
 //! Attempts of a request until there is a response for the caller.
 //!
 //! Whether another attempt is allowed depends on the outcome of the last one. A request that may run only once ends
-//! with
-//! the first attempt that reached a target and may have run. A request that did not run may go to another target
-//! while
-//! time and retry budget last.
+//! with the first attempt that reached a target and may have run. A request that did not run may go to another target
+//! while time and retry budget last.
 
 use super::admit::{AdmittedRequest, is_fresh};
 use super::refusal::{DEFAULT_RETRY_AFTER, Refusal};
@@ -66,19 +64,19 @@
 const EVACUATED_WAIT: Duration = Duration::from_secs(1);
 
 /// Refusal while all suitable targets are in evacuated zones.
-const EVACUATED: &str = "all zones that have targets for it are evacuated";
+const EVACUATED: &str = "all zones with targets for the request are evacuated";
 
 /// Refusal while all targets are at their rate limits.
-const LIMITED: &str = "its targets limit their requests and get all that they take";
+const LIMITED: &str = "all targets are at their rate limits";
 
 /// Refusal while all targets have asked this box to send nothing for some time.
-const BACKED_OFF: &str = "its targets want no requests for a while";
+const BACKED_OFF: &str = "all targets have asked for a pause";
 
 /// Refusal while no target can start the request in time.
-const OVERLOADED: &str = "no target can begin it in time";
+const OVERLOADED: &str = "no target can start the request in time";
 
 /// Refusal of a request after which targets have crashed.
-const FATAL: &str = "targets that ran this request have ended";
+const FATAL: &str = "targets crashed while running this request";
 
 impl<D: Dialect> Shared<D> {
     /// Sends a request to targets until there is a response for the caller.
@@ -90,8 +88,8 @@
             ..Progress::default()
         };
         loop {
-            let sent = self.next_attempt(&request, &pool, &mut progress).await;
-            let outcome = match sent {
+            let result = self.next_attempt(&request, &pool, &mut progress).await;
+            let outcome = match result {
                 Ok(outcome) => outcome,
                 Err(NoAttempt::Refused(refusal)) => return Err(refusal),
                 Err(NoAttempt::Failed(response)) => {
@@ -141,7 +139,7 @@
     ) -> Result<AttemptOutcome, NoAttempt> {
         let left = request.time_left();
         if left < MIN_TIME_LEFT {
-            return Err(end_unserved(progress, "no time left"));
+            return Err(end_unserved(progress, "deadline reached"));
         }
         if let Some(left) = self.crash_refusal_left(request) {
             self.metrics.attempt("withheld");
@@ -204,7 +202,7 @@
             "limit_per_s" => limit.map_or(String::new(), |rate| rate.to_string()),
             "cost_ms" => chosen.cost_ms.round(), "candidates" => chosen.candidates,
             "version" => chosen.version.map_or(0, |version| version.0),
-            "parts" => &prepared.parts, "fetched" => prepared.fetched, "kept" => prepared.kept,
+            "parts" => &prepared.parts, "fetched" => prepared.fetched, "kept" => prepared.stored,
             "config" => request.config.version.0, "targets_at" => view.listed.revision.to_string(),
             "left_ms" => request.time_left().as_millis(), "queue_ms" => chosen.queue_ms.round(),
             "in_time" => prepared.in_time, "wanted" => weights.map_or(0, |w| w.wanted.0),
@@ -215,7 +213,7 @@
             self.metrics.prompt_attempt(version < weights.wanted);
         }
         self.metrics.prompt_tokens("fetched", prepared.fetched);
-        self.metrics.prompt_tokens("other", prepared.others);
+        self.metrics.prompt_tokens("other", prepared.not_fetched);
     }
 
     /// Records how long an engine took to start a prompt, to estimate the load on the link that its parts were
@@ -230,9 +228,9 @@
         let mut links = self.kept.links();
         match prepared.source {
             Some(store) => {
-                links.note_fetch(store, prepared.length, excess, request.route.latency_objective, Instant::now());
+                links.note_fetch(store, prepared.prompt_len, excess, request.route.latency_objective, Instant::now());
             }
-            None => links.note_read(prepared.length, excess),
+            None => links.note_read(prepared.prompt_len, excess),
         }
     }
 
@@ -339,7 +337,7 @@
     /// Returns the result for a request for which no target was found.
     fn refuse_without_target(&self, request: &AdmittedRequest, pool: &PoolId, view: &View, progress: &mut Progress) -> NoAttempt {
         if progress.runs > 0 {
-            return end_unserved(progress, "no target is free");
+            return end_unserved(progress, "no target is available");
         }
         if let Some(wait) = self.backoff_wait(request, pool, view) {
             self.metrics.attempt("backed-off");
@@ -347,7 +345,7 @@
         }
         if !view.is_evacuated(pool) {
             let Some(wait) = self.limit_wait(request, pool, view) else {
-                return end_unserved(progress, "no target is free");
+                return end_unserved(progress, "no target is available");
             };
             self.metrics.attempt("limited");
             return NoAttempt::Refused(Refusal::not_run(LIMITED).with_retry_after(wait));
@@ -394,8 +392,8 @@
         }
         let elapsed = request.arrival.elapsed();
         self.metrics.request(&request.route.name, outcome);
-        self.metrics.head(elapsed);
-        self.metrics.answered(elapsed);
+        self.metrics.response_head(elapsed);
+        self.metrics.response_end(elapsed);
         event!(self.log, events::REQUEST_ANSWERED, "request" => &request.head.id,
             "route" => &request.route.name, "status" => response.status.as_u16(),
             "elapsed_ms" => elapsed.as_millis());
@@ -414,7 +412,7 @@
     fn forward_failure(&self, response: CompleteResponse) -> Response<Body> {
         const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
         if NOT_RUN_STATUSES.contains(&response.status.as_u16()) {
-            let reason = format!("the target answered with {}", response.status.as_u16());
+            let reason = format!("the target responded with status {}", response.status.as_u16());
             return Refusal::unknown(reason).response(&self.dialect, None);
         }
         self.forward_response(response)
@@ -445,7 +443,7 @@
         time_left: request.time_left().saturating_sub(RETURN_MARGIN),
         organisation: request.organisation.as_ref().map(|org| org.id.clone()),
         priority: for_engine.then(|| prepared.priority(request)),
-        engine: prepared.engine.take(),
+        engine: prepared.directives.take(),
         resume_after: progress.resume_after.clone(),
     }
 }
--- a/crates/sillpin-gateway/src/front/idle_timeout.rs
+++ b/crates/sillpin-gateway/src/front/idle_timeout.rs
@@ -2,11 +2,9 @@
 //!
 //! A busy engine keeps prompts waiting in its queue and streams waiting between events, which from outside looks the
 //! same as an engine that has stopped. Abandoning it discards its work and starts over at the end of another queue.
-//! So a
-//! target is abandoned only if the request may run again, the retry budget allows it, and another target is expected
-//! to
-//! start before the caller gives up. Otherwise the request stays until its deadline. Dead connections are detected by
-//! TCP keep-alive, not here.
+//! So a target is abandoned only if the request may run again, the retry budget allows it, and another target is
+//! expected to start before the caller gives up. Otherwise the request stays until its deadline. Dead connections are
+//! detected by TCP keep-alive, not here.
 
 use super::admit::AdmittedRequest;
 use super::dispatch::{Progress, may_rerun};
@@ -21,11 +19,11 @@
 /// busy engine often sends no event for more than 1.3 s, and callers wait 2.4 to 4.8 s.
 const EVENT_TIMEOUT_FRACTION: f64 = 0.6;
 
-/// A target that is not an engine is abandoned after this multiple of the latency goal: its response is late by then,
-/// and its requests normally take a fraction of the goal.
+/// A target that is not an engine is abandoned after this multiple of the latency objective: its response is late by
+/// then, and its requests normally take a fraction of that.
 const PLAIN_IDLE_FACTOR: f64 = 2.0;
 
-/// Minimum time before a silent target is abandoned, also on a route without a latency goal.
+/// Minimum time before a silent target is abandoned, also on a route without a latency objective.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
 
 impl<D: Dialect> Shared<D> {
--- a/crates/sillpin-gateway/src/front/relay.rs
+++ b/crates/sillpin-gateway/src/front/relay.rs
@@ -1,10 +1,8 @@
 //! Relays streams to callers, event by event.
 //!
 //! When a target breaks a stream off and the route allows resumption, the stream continues at another target after
-//! the
-//! last complete event that the caller has. Otherwise the caller's connection is aborted, so that the response cannot
-//! be
-//! mistaken for a complete one.
+//! the last complete event that the caller has. Otherwise the caller's connection is aborted, so that the response
+//! cannot be mistaken for a complete one.
 
 use super::admit::AdmittedRequest;
 use super::attempt::{AttemptOutcome, OpenStream};
@@ -50,7 +48,7 @@
         *resp.headers_mut() = self.dialect.write_response(&stream.headers);
         // The length of a resumed stream differs from that of its first part.
         resp.headers_mut().remove(CONTENT_LENGTH);
-        self.metrics.head(request.arrival.elapsed());
+        self.metrics.response_head(request.arrival.elapsed());
         tokio::spawn(self.relay_all(request, pool, progress, stream, tx));
         resp
     }
@@ -74,7 +72,7 @@
             {
                 RelayEnd::Complete => {
                     self.fatal.record().served(request.fingerprint, Instant::now());
-                    self.metrics.answered(request.arrival.elapsed());
+                    self.metrics.response_end(request.arrival.elapsed());
                     self.metrics.request(&request.route.name, "answered");
                     event!(self.log, events::STREAM_WHOLE, "request" => id,
                         "target" => target.as_str(), "head_ms" => waited,
@@ -91,7 +89,7 @@
                 }
                 RelayEnd::DeadlineReached => {
                     self.fatal.sent(request.fingerprint, LifeHash::of(&entry)).end(true);
-                    "the request's time is over".to_owned()
+                    "the request's deadline was reached".to_owned()
                 }
                 RelayEnd::Broken(reason) => {
                     self.broke_off(&request, &entry);
@@ -115,7 +113,7 @@
             event!(self.log, events::REQUEST_FAILED, "request" => id,
                 "target" => target.as_str(), "outcome" => "ran", "why" => &reason,
                 "elapsed_ms" => request.arrival.elapsed().as_millis());
-            tx.abort("the stream broke off").await;
+            tx.abort("stream broke off").await;
             return;
         }
     }
@@ -178,25 +176,25 @@
                         return RelayEnd::DeadlineReached;
                     }
                     if self.should_resume(request, pool, progress) {
-                        return RelayEnd::Broken("the target fell silent".to_owned());
+                        return RelayEnd::Broken("the target sent no event in time".to_owned());
                     }
                     continue;
                 }
             };
             let data = match frame {
                 None if events.is_partial() => {
-                    return RelayEnd::Broken("ended within an event".to_owned());
+                    return RelayEnd::Broken("stream ended within an event".to_owned());
                 }
                 None => {
                     self.return_connection(target.id.clone(), conn, &head);
                     return RelayEnd::Complete;
                 }
-                Some(Err(e)) => return RelayEnd::Broken(format!("broke off: {e}")),
+                Some(Err(e)) => return RelayEnd::Broken(format!("stream broke off: {e}")),
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
             };
             let complete = events.push(&data);
             if events.is_overlong() {
-                return RelayEnd::Broken("an event is too long".to_owned());
+                return RelayEnd::Broken("event exceeds the maximum length".to_owned());
             }
             if complete.is_empty() {
                 continue;
--- a/crates/sillpin-gateway/src/front/selection.rs
+++ b/crates/sillpin-gateway/src/front/selection.rs
@@ -32,11 +32,11 @@
 /// Minimum number of connections that each box may use at a target.
 const MIN_CONNECTIONS: u32 = 2;
 
-/// Time limit of a fetch, as a multiple of the request's latency goal; after it the engine discards the fetch and
-/// computes the prompt. A fetch also waits in the engine's queue, and discarding it costs time, so the limit exceeds
-/// the goal; but a waiting fetch occupies memory, so the limit must be finite. Measured on two fleets, as the score
-/// of days with incidents: with goals of 1.2 s, 0.702 with a limit of 0.6 goals and 0.723 with 2.1; with goals of 0.3
-/// to 0.5 s, 0.578 with 1.4 to 2.3 and 0.569 with 5 to 8.
+/// Time limit of a fetch, as a multiple of the request's latency objective; after it the engine discards the fetch
+/// and computes the prompt. A fetch also waits in the engine's queue, and discarding it costs time, so the limit
+/// exceeds that; but a waiting fetch occupies memory, so the limit must be finite. Measured on two fleets, as the
+/// score of days with incidents: with objectives of 1.2 s, 0.702 with a limit of 0.6 times that and 0.723 with 2.1;
+/// with objectives of 0.3 to 0.5 s, 0.578 with 1.4 to 2.3 and 0.569 with 5 to 8.
 const FETCH_TIME_FACTOR: f64 = 1.5;
 
 /// Fraction of a late request's work that counts as queued ahead of other requests: the engine prefers requests that
@@ -56,22 +56,22 @@
     /// The target and the reasons for selecting it.
     pub chosen: Chosen,
     /// Directives for an engine.
-    pub engine: Option<EngineDirectives>,
+    pub directives: Option<EngineDirectives>,
     /// Expected prompt work, in milliseconds of engine time.
     pub prefill_ms: f64,
     /// Length of the prompt.
-    pub length: Tokens,
+    pub prompt_len: Tokens,
     /// The prompt's shared parts and how each is obtained, for logs.
     pub parts: String,
     /// Cache store that most of the prompt is fetched from.
     pub source: Option<SocketAddr>,
     /// Number of prompt tokens that cache stores hold, fetched or not.
-    pub kept: u64,
+    pub stored: u64,
     /// Number of shared prompt tokens that are fetched.
     pub fetched: u64,
     /// Number of shared prompt tokens that are computed or already cached at the engine.
-    pub others: u64,
-    /// Whether the first event can still arrive within the request's latency goal.
+    pub not_fetched: u64,
+    /// Whether the first event can still arrive within the request's latency objective.
     pub in_time: bool,
     /// Weights that the request may run on, for engines.
     pub weights: Option<AllowedWeights>,
@@ -105,14 +105,14 @@
         Self {
             chosen,
             weights: None,
-            engine: None,
+            directives: None,
             prefill_ms: 0.0,
-            length: Tokens(0),
+            prompt_len: Tokens(0),
             parts: String::new(),
             source: None,
-            kept: 0,
+            stored: 0,
             fetched: 0,
-            others: 0,
+            not_fetched: 0,
             in_time: true,
         }
     }
@@ -122,14 +122,14 @@
         let counted = if self.in_time { 1.0 } else { LATE_WORK_FRACTION };
         Work::one(
             self.prefill_ms * counted,
-            Tokens((self.length.0 as f64 * counted) as u64),
+            Tokens((self.prompt_len.0 as f64 * counted) as u64),
         )
     }
 
     /// Prompt work queued ahead of the request at its target, in a fleet of `boxes` boxes; `None` for a request
     /// without a prompt.
     pub fn queue(&self, boxes: usize) -> Option<Queue> {
-        self.engine.as_ref()?;
+        self.directives.as_ref()?;
         Some(Queue::heard(self.chosen.queue_ms, boxes > SMALL_FLEET))
     }
 
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Priority of the request. A request that will miss its latency goal in any case goes behind all that can meet
-    /// theirs.
+    /// Priority of the request. A request that will miss its latency objective in any case goes behind all that can
+    /// meet theirs.
     pub fn priority(&self, request: &AdmittedRequest) -> Priority {
         match self.in_time {
             true => request.priority(),
@@ -155,8 +155,8 @@
     }
 }
 
-/// Whether a request's first event can still arrive within its latency goal, given the prompt work ahead of it plus
-/// its own in milliseconds.
+/// Whether a request's first event can still arrive within its latency objective, given the prompt work ahead of it
+/// plus its own in milliseconds.
 fn is_in_time(request: &AdmittedRequest, work_ms: f64) -> bool {
     let work = Duration::from_secs_f64(work_ms * READING_FACTOR / 1000.0);
     request.arrival.elapsed() + work < request.route.latency_objective
@@ -168,7 +168,7 @@
         let shares = &request.route.shares;
         let total: u32 = shares.iter().map(|share| share.weight).sum();
         if total == 0 {
-            return Err(Refusal::not_run("the route names no pool"));
+            return Err(Refusal::not_run("the route has no pool"));
         }
         let mut at = rand::rng().random_range(0..total);
         for share in shares {
@@ -177,7 +177,7 @@
             }
             at -= share.weight;
         }
-        Err(Refusal::not_run("the route names no pool"))
+        Err(Refusal::not_run("the route has no pool"))
     }
 
     /// Selects a target for a request and prepares what is sent to it.
@@ -369,7 +369,7 @@
         let prefill_ms = selected.prefill_ms();
         let in_time = is_in_time(request, selected.expected_ms());
         let prompt = request.head.prompt.as_ref();
-        let length = prompt.map_or(Tokens(0), |prompt| prompt.tokens);
+        let prompt_len = prompt.map_or(Tokens(0), |prompt| prompt.tokens);
         let SelectedTarget {
             chosen,
             plan,
@@ -381,9 +381,9 @@
         let zone = &chosen.target.zone;
         let fetch_time = request.route.latency_objective.mul_f64(FETCH_TIME_FACTOR);
         let mut directory = self.kept.lock();
-        let sending = plan.sending(version, zone, &mut directory, fetch_time, Instant::now());
+        let directives = plan.sending(version, zone, &mut directory, fetch_time, Instant::now());
         drop(directory);
-        let parts = plan.shared.iter().zip(&sending.fetch);
+        let parts = plan.shared.iter().zip(&directives.fetch);
         let fetched: u64 = parts
             .filter(|(_, from)| from.is_some())
             .map(|(part, _)| part.tokens.0)
@@ -393,14 +393,14 @@
             in_time,
             weights,
             chosen,
-            parts: plan.describe(&sending),
-            source: plan.main_source(&sending.fetch),
-            engine: Some(sending),
+            parts: plan.describe(&directives),
+            source: plan.main_source(&directives.fetch),
+            directives: Some(directives),
             prefill_ms,
-            length,
-            kept: plan.kept_tokens.0,
+            prompt_len,
+            stored: plan.kept_tokens.0,
             fetched,
-            others: shared - fetched,
+            not_fetched: shared - fetched,
         }
     }
 }
--- a/crates/sillpin-gateway/src/front/shared.rs
+++ b/crates/sillpin-gateway/src/front/shared.rs
@@ -49,7 +49,7 @@
     /// Retry budget.
     pub budget: Mutex<RetryBudget>,
     /// Memory for request bodies.
-    pub bodies: BodyMemory,
+    pub body_memory: BodyMemory,
     /// Metrics.
     pub metrics: BoxMetrics,
     /// Log.
@@ -114,7 +114,7 @@
             pool,
             prober,
             budget: Mutex::new(budget),
-            bodies: BodyMemory::new(max_len),
+            body_memory: BodyMemory::new(max_len),
             metrics,
             log,
             stopping,
--- a/crates/sillpin-gateway/src/lib.rs
+++ b/crates/sillpin-gateway/src/lib.rs
@@ -1,9 +1,8 @@
 //! The request path of a box whose routes, organisations and targets are published by a platform.
 //!
 //! One process per box serves callers and maintains its view of the fleet. All decisions are made here, on typed
-//! values.
-//! The platform's formats of requests, keys and settings are hidden behind the traits of [`dialect`] and [`control`],
-//! which an adapter implements.
+//! values. The platform's formats of requests, keys and settings are hidden behind the traits of [`dialect`] and
+//! [`control`], which an adapter implements.
 //!
 //! - [`config`]: routes, pools, cache stores and organisations as operators publish them,
 //! - [`dialect`]: contents of requests and responses,
@@ -13,7 +12,7 @@
 //! - [`fatal`]: requests that crash the targets that run them,
 //! - [`place`]: selection of a target for a request,
 //! - [`kept`]: directory of the parts that cache stores hold, and which to free,
-//! - [`weights`]: loading of new weights on engines, by the holder of a lease,
+//! - [`weights`]: loading of new weights on engines, by an elected leader,
 //! - [`peers`]: communication between boxes,
 //! - [`front`]: listeners, life cycle of a request, streams,
 //! - [`reload`]: settings that change while the box runs,
--- a/crates/sillpin-gateway/src/metrics.rs
+++ b/crates/sillpin-gateway/src/metrics.rs
@@ -20,16 +20,16 @@
 pub struct BoxMetrics {
     requests: Counter<u64>,
     attempts: Counter<u64>,
-    parts: Counter<u64>,
-    prompts: Counter<u64>,
+    prompt_tokens: Counter<u64>,
+    prompt_attempts: Counter<u64>,
     copies: Counter<u64>,
     copied_bytes: Counter<u64>,
     datagrams: Counter<u64>,
     datagram_bytes: Counter<u64>,
     /// Counts of datagrams for the log.
     peer_traffic: Arc<Mutex<PeerTraffic>>,
-    first: Histogram<f64>,
-    whole: Histogram<f64>,
+    time_to_head: Histogram<f64>,
+    time_to_end: Histogram<f64>,
 }
 
 impl BoxMetrics {
@@ -49,19 +49,19 @@
         };
         Self {
             requests: counter("sillpin_requests", "Requests of callers by outcome"),
-            attempts: counter("sillpin_sendings", "Sendings to targets by outcome"),
-            copies: counter("sillpin_copies", "Copies asked of boxes by outcome"),
-            copied_bytes: counter("sillpin_copied_bytes", "Bytes of copies by outcome"),
+            attempts: counter("sillpin_sendings", "Attempts at targets by outcome"),
+            copies: counter("sillpin_copies", "State copies requested from other boxes by outcome"),
+            copied_bytes: counter("sillpin_copied_bytes", "Bytes of state copies by outcome"),
             datagrams: counter("sillpin_datagrams", "Datagrams between boxes by kind"),
             datagram_bytes: counter("sillpin_datagram_bytes", "Bytes of datagrams by kind"),
             peer_traffic: Arc::default(),
-            parts: counter("sillpin_prompt_tokens", "Shared prompt tokens by source"),
-            prompts: counter(
+            prompt_tokens: counter("sillpin_prompt_tokens", "Shared prompt tokens by source"),
+            prompt_attempts: counter(
                 "sillpin_prompt_sendings",
-                "Sendings to engines by whether newer weights were wanted",
+                "Prompts sent to engines by whether newer weights were desired",
             ),
-            first: histogram("sillpin_first_seconds", "Time to the answer's head"),
-            whole: histogram("sillpin_whole_seconds", "Time to the answer's end"),
+            time_to_head: histogram("sillpin_first_seconds", "Time to the head of the response"),
+            time_to_end: histogram("sillpin_whole_seconds", "Time to the end of the response"),
         }
     }
 
@@ -118,22 +118,22 @@
     /// Counts a prompt sent to an engine, by whether its weights are the newest or replaced ones.
     pub fn prompt_attempt(&self, replaced: bool) {
         let weights = if replaced { "replaced" } else { "newest" };
-        self.prompts.add(1, &[KeyValue::new("weights", weights)]);
+        self.prompt_attempts.add(1, &[KeyValue::new("weights", weights)]);
     }
 
     /// Counts tokens of shared parts by `source`.
     pub fn prompt_tokens(&self, source: &'static str, tokens: u64) {
-        self.parts.add(tokens, &[KeyValue::new("source", source)]);
+        self.prompt_tokens.add(tokens, &[KeyValue::new("source", source)]);
     }
 
     /// Records the time to the head of a response.
-    pub fn head(&self, elapsed: Duration) {
-        self.first.record(elapsed.as_secs_f64(), &[]);
+    pub fn response_head(&self, elapsed: Duration) {
+        self.time_to_head.record(elapsed.as_secs_f64(), &[]);
     }
 
     /// Records the time to the end of a response.
-    pub fn answered(&self, elapsed: Duration) {
-        self.whole.record(elapsed.as_secs_f64(), &[]);
+    pub fn response_end(&self, elapsed: Duration) {
+        self.time_to_end.record(elapsed.as_secs_f64(), &[]);
     }
 }
 
@@ -150,7 +150,7 @@
         .build();
     meter
         .u64_observable_gauge("sillpin_cold_targets")
-        .with_description("Targets that were cold when they were last heard of")
+        .with_description("Targets that were cold according to their last update")
         .with_callback(observe(|view| view.cold.len()))
         .build();
 }
@@ -165,17 +165,17 @@
     };
     meter
         .u64_observable_gauge("sillpin_limited_targets")
-        .with_description("Targets that name a limit on the requests of all boxes together")
+        .with_description("Targets that report a limit on the requests of all boxes together")
         .with_callback(observe(|words| words.limits.count()))
         .build();
     meter
         .u64_observable_gauge("sillpin_leaving_targets")
-        .with_description("Targets that told this box that they leave")
+        .with_description("Targets that reported to this box that they are leaving")
         .with_callback(observe(|words| words.leaving.count()))
         .build();
     meter
         .u64_observable_gauge("sillpin_backing_off_targets")
-        .with_description("Targets that want no requests from this box for a while")
+        .with_description("Targets in backoff after a retry-after response to this box")
         .with_callback(observe(|words| words.backoffs.all(Instant::now()).count()))
         .build();
 }
@@ -196,12 +196,12 @@
     };
     meter
         .u64_observable_counter("sillpin_store_calls")
-        .with_description("Calls of the platform's store by step and outcome")
+        .with_description("Calls of the platform store by step and outcome")
         .with_callback(observe(|tally| tally.calls))
         .build();
     meter
         .u64_observable_counter("sillpin_store_bytes")
-        .with_description("Bytes of the platform's store's answers by step and outcome")
+        .with_description("Bytes of the platform store's responses by step and outcome")
         .with_callback(observe(|tally| tally.bytes))
         .build();
 }
--- a/crates/sillpin-gateway/src/pool.rs
+++ b/crates/sillpin-gateway/src/pool.rs
@@ -1,10 +1,8 @@
 //! Connections to targets.
 //!
 //! A connection serves one request at a time and returns to the pool only after a complete response. Anything
-//! unexpected
-//! closes it, since left-over bytes cannot be assigned to a request. An error from sending states whether any byte
-//! may
-//! have reached the target, because the caller's response depends on it.
+//! unexpected closes it, since left-over bytes cannot be assigned to a request. An error from sending states whether
+//! any byte may have reached the target, because the caller's response depends on it.
 
 use crate::suspend_clock::SuspendClock;
 use crate::control::{Life, TargetEntry};
@@ -67,7 +65,7 @@
         peer: SocketAddr,
     },
     /// The target may have received the request.
-    #[display("no answer from {peer}: {what}")]
+    #[display("no response from {peer}: {what}")]
     Unanswered {
         /// Address of the target.
         peer: SocketAddr,
--- a/crates/sillpin-gateway/src/settings.rs
+++ b/crates/sillpin-gateway/src/settings.rs
@@ -32,7 +32,7 @@
                     min: 0,
                     max: 65_535,
                 },
-                "UDP port for news between boxes, alike on all boxes; 0: any",
+                "UDP port for datagrams between boxes, the same on all boxes; 0: any",
             ),
             Key::optional(
                 "metrics-port",
@@ -48,18 +48,18 @@
     Section {
         name: "platform",
         keys: &[
-            Key::required("addr", Kind::Addr, "The platform's store"),
+            Key::required("addr", Kind::Addr, "Address of the platform store"),
             Key::optional(
                 "fleet",
                 Kind::Text,
                 "",
-                "Name of the fleet, alike on all its boxes, where they reach the store at different addresses; else the store's address stands for it",
+                "Name of the fleet, the same on all its boxes; needed if they reach the platform store at different addresses, default: the store's address",
             ),
             Key::optional(
                 "seeds",
                 Kind::AddrList,
                 "",
-                "Boxes to ask first; they may be down",
+                "Boxes to contact first; they may be down",
             ),
             Key::optional(
                 "zones",
@@ -71,7 +71,7 @@
                 "history-s",
                 Kind::Decimal,
                 "20",
-                "For so many seconds the store remembers changes",
+                "Time for which the platform store keeps its history of changes, in seconds",
             ),
         ],
     },
@@ -98,7 +98,7 @@
                 "link-mbps",
                 Kind::Decimal,
                 "0",
-                "What this box's link carries, in Mbit/s; boxes with fast links spread the news of large zones; 0: not known",
+                "Bandwidth of this box's link in Mbit/s; in large zones, boxes with fast links distribute updates; 0: unknown",
             ),
         ],
     },
@@ -115,49 +115,49 @@
                 "lease-ms",
                 Kind::Decimal,
                 "3000",
-                "Two holders of the duty to order engines are at least this far apart",
+                "Minimum time in ms between the orders to engines of one leader and those of the next",
             ),
             Key::optional(
                 "retry-share",
                 Kind::Fraction,
                 "0.2",
-                "Second sendings that a pool may get, as a share of its requests",
+                "Retries that a pool may get, as a fraction of its requests",
             ),
             Key::optional(
                 "retry-slack",
                 Kind::Decimal,
                 "50",
-                "Second sendings that a pool may get beyond that in a window, over all boxes",
+                "Retries that a pool may get beyond that per window, from all boxes together",
             ),
             Key::optional(
                 "retry-window-s",
                 Kind::Decimal,
                 "10",
-                "Window in which second sendings are counted, in seconds",
+                "Window in which retries are counted, in seconds",
             ),
             Key::optional(
                 "warm-up-overage",
                 Kind::Decimal,
                 "1",
-                "All boxes together send a cold target at most so many times the requests a second that its pool names",
+                "Maximum request rate of all boxes together to a cold target, as a multiple of the rate that its pool names",
             ),
             Key::optional(
                 "warm-up-slack",
                 Kind::Decimal,
                 "0",
-                "And in any second so many beyond that",
+                "Requests allowed beyond that in any second",
             ),
             Key::optional(
                 "weights-ms",
                 Kind::Decimal,
                 "10000",
-                "No request begins on weights that were replaced longer ago",
+                "Time in ms after which no request starts on weights that were replaced",
             ),
             Key::optional(
                 "reuse-s",
                 Kind::Decimal,
                 "20",
-                "A part read again within these seconds of its last use was worth keeping",
+                "A stored part that is used again within this time, in seconds, was worth keeping",
             ),
         ],
     },
@@ -202,7 +202,7 @@
     pub link_mbps: u32,
     /// Time from SIGTERM to SIGKILL.
     pub grace: Duration,
-    /// Minimum time between the last order of one holder of the weights duty and the first of the next.
+    /// Minimum time between the last order of one leader and the first of the next.
     pub lease: Duration,
     /// Limits on retries.
     pub retries: RetryRules,
--- a/crates/sillpin-gateway/src/suspend_clock.rs
+++ b/crates/sillpin-gateway/src/suspend_clock.rs
@@ -1,11 +1,9 @@
 //! Detects time in which the box was suspended.
 //!
 //! While a machine is suspended, its monotonic clock stands still, and so does the runtime's clock. A box that
-//! resumes
-//! would take its state to be as fresh as before, although leases have expired, parts were freed and weights
-//! published
-//! meanwhile. The boot clock includes that time. So the box compares the two clocks: it ages its state by their
-//! difference, and does not rely on the state before that is done.
+//! resumes would take its state to be as fresh as before, although leases have expired, parts were freed and weights
+//! published meanwhile. The boot clock includes that time. So the box compares the two clocks: it ages its state by
+//! their difference, and does not rely on the state before that is done.
 
 use nix::time::{ClockId, clock_gettime};
 use std::sync::{Arc, Mutex, MutexGuard};
