--- a/crates/sillpin-gateway/tests/common/mod.rs
+++ b/crates/sillpin-gateway/tests/common/mod.rs
@@ -210,7 +210,7 @@
     }
 
     /// Answers nobody from now on, or everybody again.
-    pub fn set_away(&self, away: bool) {
+    pub fn set_unreachable(&self, away: bool) {
         self.lock().away = away;
     }
 
@@ -222,7 +222,7 @@
     }
 
     /// Comes back without anything that was written, in the next era.
-    pub fn lose_all(&self) {
+    pub fn restore_empty(&self) {
         let mut state = self.lock();
         let era = KvRevision(state.revision).era();
         state.values.clear();
@@ -232,12 +232,12 @@
     }
 
     /// Leaves watches that begin from now on without an answer, or answers again.
-    pub fn set_silent(&self, silent: bool) {
+    pub fn set_unresponsive(&self, silent: bool) {
         self.lock().silent = silent;
     }
 
     /// Sets how long a changed value takes to arrive, as over a thin link.
-    pub fn set_transfer(&self, transfer: Duration) {
+    pub fn set_transfer_time(&self, transfer: Duration) {
         self.lock().transfer = transfer;
     }
 
--- a/crates/sillpin-gateway/tests/duty.rs
+++ b/crates/sillpin-gateway/tests/duty.rs
@@ -123,7 +123,7 @@
     let store = MemoryStore::default();
     let first = duty(&store, "box-1");
     let mut tenure = first.take().await.unwrap();
-    store.set_away(true);
+    store.set_unreachable(true);
     let lost_at = Instant::now();
     while first.renew(&mut tenure).await {
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -236,7 +236,7 @@
     let first = duty(&store, "box-1");
     let mut tenure = first.take().await.unwrap();
     let ordered_at = order(&first, &mut tenure, &target("e1")).await.unwrap();
-    store.lose_all();
+    store.restore_empty();
     assert!(!first.renew(&mut tenure).await, "its lease is lost");
     let second = duty(&store, "box-2");
     let mut taken = second.take().await.unwrap();
--- a/crates/sillpin-gateway/tests/reader.rs
+++ b/crates/sillpin-gateway/tests/reader.rs
@@ -148,7 +148,7 @@
 async fn a_change_that_is_arriving_is_not_begun_again() {
     let world = World::start().await;
     let transfer = Duration::from_secs(4);
-    world.store.set_transfer(transfer);
+    world.store.set_transfer_time(transfer);
     world.publish(2).await;
     sleep(Duration::from_millis(500)).await;
     assert!(world.transfers.is_under_way(Topic::Operators));
@@ -167,10 +167,10 @@
 #[tokio::test(start_paused = true)]
 async fn a_box_whose_store_says_nothing_asks_again_when_others_know_more() {
     let world = World::start().await;
-    world.store.set_silent(true);
+    world.store.set_unresponsive(true);
     world.transfers.doubt(Topic::Operators);
     sleep(ROUND).await;
-    world.store.set_silent(false);
+    world.store.set_unresponsive(false);
     world.publish(2).await;
     sleep(Duration::from_secs(2)).await;
     let version = |view: &View| view.config.as_ref().map(|config| config.version);
@@ -196,9 +196,9 @@
 #[tokio::test(start_paused = true)]
 async fn what_operators_publish_is_listed_again_only_if_the_store_has_forgotten() {
     let world = World::start().await;
-    world.store.set_away(true);
+    world.store.set_unreachable(true);
     sleep(Duration::from_secs(30)).await;
-    world.store.set_away(false);
+    world.store.set_unreachable(false);
     world.publish(2).await;
     let took = world.wait_for(2).await;
     assert!(took < Duration::from_secs(5), "took {took:?}");
