--- a/crates/sillpin-gateway/benches/decision.rs
+++ b/crates/sillpin-gateway/benches/decision.rs
@@ -1,7 +1,7 @@
-//! Time of one decision of a box: where the parts of a prompt are, and which engine gets it.
+//! Measures one decision of a box: planning the parts of a prompt and selecting an engine.
 //!
-//! With 256 engines and 58 stores a decision takes 14.3 us where few engines are looked at (one run on eight cores). The code before the index of
-//! targets was not measured.
+//! With 256 engines and 58 cache stores, a decision takes 14.3 us where few engines are compared (one run on eight
+//! cores). The code before the index of targets was not measured.
 
 #![allow(
     missing_docs,
@@ -29,7 +29,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Stores of the largest fleet.
+/// Number of cache stores of the largest fleet.
 const STORES: u16 = 58;
 
 const ZONES: usize = 5;
@@ -81,8 +81,8 @@
         };
         let (pool, zone, kept) = (name("llm"), name("z0"), Kept::default());
         let mut number = 0;
-        let looks = if heard_late { "few" } else { "all" };
-        group.bench_function(BenchmarkId::new(looks, count), |b| {
+        let label = if heard_late { "few" } else { "all" };
+        group.bench_function(BenchmarkId::new(label, count), |b| {
             b.iter(|| {
                 number += 1;
                 let (prompt, now) = (prompt(number), Instant::now());
--- a/crates/sillpin-gateway/tests/budget.rs
+++ b/crates/sillpin-gateway/tests/budget.rs
@@ -1,4 +1,4 @@
-//! How many second sendings boxes make, each and all together.
+//! Number of retries that boxes make, each and all together.
 
 mod common;
 
@@ -18,7 +18,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// All boxes together stay within share x requests + slack in every window, whichever boxes restart.
+    /// All boxes together stay within share x requests + slack in every window, even if some of them restart.
     #[test]
     fn the_budget_holds_over_all_boxes_and_restarts(
         steps in prop::collection::vec((0usize..7, 0u8..10, 5u64..60), 200..600),
@@ -56,8 +56,8 @@
                 let asked = in_window(&requests, now);
                 let before = now.checked_sub(RULES.window).map_or(0.0, |end| in_window(&requests, end));
                 let allowed = RULES.share * asked.max(before) + RULES.slack;
-                let spent = in_window(&retries, now);
-                prop_assert!(spent <= allowed, "{spent} of {allowed}");
+                let made = in_window(&retries, now);
+                prop_assert!(made <= allowed, "{made} of {allowed}");
             }
             Ok(())
         });
@@ -65,10 +65,11 @@
     }
 }
 
-/// A service of a large fleet that gets few requests served them for a while and then failed all of them for some seconds. Each of 59
-/// boxes had saved up one second sending more than its part, and together they sent more than the window allows.
+/// Guards against boxes that together exceed the limit: in a large fleet with few requests, all requests succeeded
+/// for a while and then all failed for some seconds. Each of 59 boxes had saved up one retry more than its part of
+/// the slack.
 #[tokio::test(start_paused = true)]
-async fn what_many_boxes_save_up_stays_within_the_window_too() {
+async fn saved_up_retries_of_many_boxes_stay_within_the_window() {
     const BOXES: usize = 59;
     let rules = RetryRules {
         share: 0.2,
@@ -78,15 +79,15 @@
     let pool = name("llm");
     let mut budgets: Vec<RetryBudget> = (0..BOXES as u64).map(RetryBudget::seeded).collect();
     // Each box gets a request every two seconds; after a minute all fail.
-    let (well, failing) = (30, 5);
+    let (succeeding, failing) = (30, 5);
     let mut retries = 0;
-    for round in 0..well + failing {
+    for round in 0..succeeding + failing {
         for budget in &mut budgets {
             budget.record_request(&pool, &rules, BOXES, Instant::now());
             // A request may be sent to two more targets.
             for _ in 0..2 {
-                let again = round >= well && budget.take(&pool, &rules, BOXES, Instant::now());
-                retries += u32::from(again);
+                let is_retried = round >= succeeding && budget.take(&pool, &rules, BOXES, Instant::now());
+                retries += u32::from(is_retried);
             }
         }
         tokio::time::advance(Duration::from_secs(2)).await;
@@ -96,14 +97,14 @@
     assert!(f64::from(retries) <= allowed, "{retries} of {allowed}");
 }
 
-/// A service of a large fleet failed every request for a minute. Boxes whose part of what is allowed is less than one second sending
-/// still each make some, and together most of what they earn.
+/// Guards against boxes that can never retry because their part of the slack is less than one retry. All requests
+/// fail for a minute; each box makes some retries, and together they make most of what they earn.
 #[rstest]
 #[case::a_part_below_one(59, 54.0)]
-#[case::a_part_of_half_of_one(91, 54.0)]
+#[case::a_part_of_one_half(91, 54.0)]
 #[case::a_part_above_one(91, 158.0)]
 #[tokio::test(start_paused = true)]
-async fn every_box_of_a_large_fleet_may_send_again(#[case] boxes: usize, #[case] slack: f64) {
+async fn every_box_of_a_large_fleet_can_retry(#[case] boxes: usize, #[case] slack: f64) {
     let rules = RetryRules { slack, ..RULES };
     let pool = name("llm");
     let rounds = 60;
@@ -123,10 +124,10 @@
     assert!(*least >= 2, "{least} at one box");
 }
 
-/// A right that was won and not taken, because the silent target answered after all, does not wait for the next failure: boxes would
-/// all have one in the end.
+/// Guards against granted retries that pile up. A granted retry is not taken when the silent target responds after
+/// all; if it did not expire, all boxes would have one in the end.
 #[tokio::test(start_paused = true)]
-async fn a_right_that_was_won_and_not_taken_lapses() {
+async fn granted_retry_that_is_not_taken_expires() {
     const BOXES: usize = 91;
     let pool = name("llm");
     let mut ready = 0;
@@ -145,8 +146,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(100))]
 
-    /// The boxes of a large fleet stay within share x requests + slack in every window, through times in which all is well and times in
-    /// which all fails, whichever boxes restart and however often a request is sent again.
+    /// The boxes of a large fleet stay within share x requests + slack in every window, whether requests succeed or
+    /// fail, boxes restart, or a request is retried several times.
     #[test]
     fn the_budget_holds_over_the_boxes_of_a_large_fleet(
         boxes in prop::sample::select(vec![59usize, 91]),
@@ -166,7 +167,7 @@
             let mut next = || RetryBudget::seeded(seeds.next().unwrap_or_default());
             let mut budgets: Vec<RetryBudget> = (0..boxes).map(|_| next()).collect();
             let mut rounds: Vec<(Instant, usize, usize)> = Vec::new();
-            for (times, fails, pause, sendings, restarts) in phases {
+            for (times, fails, pause, attempts, restarts) in phases {
                 for _ in 0..times {
                     tokio::time::advance(Duration::from_millis(pause)).await;
                     let now = Instant::now();
@@ -176,7 +177,7 @@
                     let mut retries = 0;
                     for budget in &mut budgets {
                         budget.record_request(&pool, &rules, boxes, now);
-                        for _ in 0..if fails { sendings } else { 0 } {
+                        for _ in 0..if fails { attempts } else { 0 } {
                             retries += usize::from(budget.take(&pool, &rules, boxes, now));
                         }
                     }
@@ -185,8 +186,8 @@
                     let requests = |end: Instant| within(end).map(|(_, requests, _)| *requests).sum::<usize>() as f64;
                     let before = now.checked_sub(rules.window).map_or(0.0, requests);
                     let allowed = rules.share * requests(now).max(before) + rules.slack;
-                    let spent = within(now).map(|(.., retries)| *retries).sum::<usize>() as f64;
-                    prop_assert!(spent <= allowed, "{spent} of {allowed}");
+                    let made = within(now).map(|(.., retries)| *retries).sum::<usize>() as f64;
+                    prop_assert!(made <= allowed, "{made} of {allowed}");
                 }
             }
             Ok(())
--- a/crates/sillpin-gateway/tests/common/mod.rs
+++ b/crates/sillpin-gateway/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What several tests use: names, entries, and a platform store in memory.
+//! Helpers of several tests: names, entries, and an in-memory platform store.
 
 #![allow(dead_code)]
 
@@ -22,7 +22,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A name of any kind.
+/// Parses a name of any type.
 pub fn name<T: std::str::FromStr>(text: &str) -> T {
     match text.parse() {
         Ok(name) => name,
@@ -48,7 +48,7 @@
     }
 }
 
-/// No region is named.
+/// A residency without region limits.
 pub fn anywhere<'a>() -> Residency<'a> {
     static REGIONS: LazyLock<ZoneRegions> = LazyLock::new(ZoneRegions::default);
     Residency {
@@ -58,7 +58,7 @@
     }
 }
 
-/// A managed store.
+/// A managed cache store.
 pub fn store(id: &str, port: u16, zone: &str, capacity: u64, first_ms: u64) -> StoreSpec {
     StoreSpec {
         id: name(id),
@@ -72,8 +72,8 @@
     }
 }
 
-/// Published values in a spelling of the tests' own: `target ID STATE VERSION`, with a life behind them if there is one, a configuration's
-/// version, `MODEL VERSION`.
+/// Format of published values in tests: `STATE VERSION` for a target, followed by its incarnation if there is one; a
+/// number for the version of a configuration or of weights.
 #[derive(Debug, Clone, Copy)]
 pub struct TestKeys;
 
@@ -98,33 +98,33 @@
         let zone = key.strip_prefix("ops/evacuate/")?;
         Some(zone.parse().map_err(|_| DecodeError {
             key: key.to_owned(),
-            what: "no zone".to_owned(),
+            what: "invalid zone".to_owned(),
         }))
     }
 
     fn target(&self, key: &str, value: &str) -> Result<TargetEntry, DecodeError> {
-        let fault = || DecodeError {
+        let error = || DecodeError {
             key: key.to_owned(),
-            what: "unreadable".to_owned(),
+            what: "invalid value".to_owned(),
         };
-        let mut words = value.split(' ');
-        let (state, version) = (words.next(), words.next());
-        let (state, version) = state.zip(version).ok_or_else(fault)?;
-        let id = key.strip_prefix("target/").ok_or_else(fault)?;
+        let mut fields = value.split(' ');
+        let (state, version) = (fields.next(), fields.next());
+        let (state, version) = state.zip(version).ok_or_else(error)?;
+        let id = key.strip_prefix("target/").ok_or_else(error)?;
         let mut entry = engine(id, "za");
         if state != "ready" {
             entry.presence = Presence::Leaving;
         }
-        entry.served[0].version = version.parse().map_err(|_| fault())?;
-        let life = words.next().map(str::parse).transpose();
-        entry.life = life.map_err(|_| fault())?.map(Life);
+        entry.served[0].version = version.parse().map_err(|_| error())?;
+        let life = fields.next().map(str::parse).transpose();
+        entry.life = life.map_err(|_| error())?.map(Life);
         Ok(entry)
     }
 
     fn config(&self, key: &str, value: &str) -> Result<FleetConfig, DecodeError> {
         let version: u64 = value.parse().map_err(|_| DecodeError {
             key: key.to_owned(),
-            what: "unreadable".to_owned(),
+            what: "invalid value".to_owned(),
         })?;
         Ok(FleetConfig {
             version: ConfigVersion(version),
@@ -142,7 +142,7 @@
     }
 }
 
-/// An entry of the platform's store.
+/// An entry of the platform store.
 pub fn entry(key: &str, value: &str, revision: u64) -> KvEntry {
     KvEntry {
         key: key.to_owned(),
@@ -151,7 +151,7 @@
     }
 }
 
-/// A target's name.
+/// The id of a target.
 pub fn target(id: &str) -> TargetId {
     name(id)
 }
@@ -162,19 +162,19 @@
     values: BTreeMap<String, (String, u64, Option<u64>)>,
     leases: BTreeMap<u64, (Instant, Duration)>,
     next_lease: u64,
-    away: bool,
-    /// Changes up to this revision are forgotten.
+    unreachable: bool,
+    /// Changes up to this revision are no longer in the history.
     forgotten: u64,
-    /// Watches that begin now are never answered.
-    silent: bool,
-    /// How long a changed value takes to arrive.
-    transfer: Duration,
-    /// How long each watch so far was to wait.
+    /// Whether watches that start now never get a response.
+    unresponsive: bool,
+    /// Time that the transfer of a changed value takes.
+    transfer_time: Duration,
+    /// The wait time that each watch so far requested.
     waits: Vec<Duration>,
 }
 
 impl State {
-    fn lapse(&mut self, now: Instant) {
+    fn expire_leases(&mut self, now: Instant) {
         let over: Vec<u64> = self
             .leases
             .iter()
@@ -192,36 +192,36 @@
     }
 }
 
-/// A platform store in memory, on the paused clock.
+/// An in-memory platform store, on the paused clock.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryStore {
     state: Arc<Mutex<State>>,
     changed: Arc<Notify>,
 }
 
-/// Time of a call.
-const CALL: Duration = Duration::from_millis(4);
+/// Duration of a call.
+const CALL_TIME: Duration = Duration::from_millis(4);
 
 impl MemoryStore {
     fn lock(&self) -> MutexGuard<'_, State> {
         let mut state = self.state.lock().unwrap();
-        state.lapse(Instant::now());
+        state.expire_leases(Instant::now());
         state
     }
 
-    /// Answers nobody from now on, or everybody again.
-    pub fn set_unreachable(&self, away: bool) {
-        self.lock().away = away;
+    /// Makes all calls fail, or succeed again.
+    pub fn set_unreachable(&self, unreachable: bool) {
+        self.lock().unreachable = unreachable;
     }
 
-    /// Forgets what has changed up to now; unrelated changes follow.
+    /// Drops the history of changes; counts as one unrelated change.
     pub fn forget_history(&self) {
         let mut state = self.lock();
         state.revision += 1;
         state.forgotten = state.revision;
     }
 
-    /// Comes back without anything that was written, in the next era.
+    /// Restarts as if restored from an empty backup, in the next era.
     pub fn restore_empty(&self) {
         let mut state = self.lock();
         let era = KvRevision(state.revision).era();
@@ -231,17 +231,17 @@
         state.forgotten = state.revision;
     }
 
-    /// Leaves watches that begin from now on without an answer, or answers again.
-    pub fn set_unresponsive(&self, silent: bool) {
-        self.lock().silent = silent;
+    /// Makes watches that start from now on never get a response, or get one again.
+    pub fn set_unresponsive(&self, unresponsive: bool) {
+        self.lock().unresponsive = unresponsive;
     }
 
-    /// Sets how long a changed value takes to arrive, as over a thin link.
-    pub fn set_transfer_time(&self, transfer: Duration) {
-        self.lock().transfer = transfer;
+    /// Sets how long the transfer of a changed value takes, as over a slow link.
+    pub fn set_transfer_time(&self, transfer_time: Duration) {
+        self.lock().transfer_time = transfer_time;
     }
 
-    /// How long each watch so far was to wait.
+    /// The wait time that each watch so far requested.
     pub fn waits(&self) -> Vec<Duration> {
         self.lock().waits.clone()
     }
@@ -255,14 +255,14 @@
     }
 
     async fn call(&self) -> Result<(), PlatformError> {
-        tokio::time::sleep(CALL).await;
-        match self.lock().away {
+        tokio::time::sleep(CALL_TIME).await;
+        match self.lock().unreachable {
             true => Err(Self::failed(PlatformFault::Unreachable)),
             false => Ok(()),
         }
     }
 
-    fn found(&self, prefix: &str) -> Vec<KvEntry> {
+    fn entries_below(&self, prefix: &str) -> Vec<KvEntry> {
         let state = self.lock();
         let below = state
             .values
@@ -277,7 +277,7 @@
 impl Platform for MemoryStore {
     async fn get(&self, key: &str) -> Result<Option<KvEntry>, PlatformError> {
         self.call().await?;
-        Ok(self.found(key).into_iter().find(|entry| entry.key == key))
+        Ok(self.entries_below(key).into_iter().find(|entry| entry.key == key))
     }
 
     async fn list(
@@ -287,14 +287,14 @@
         limit: usize,
     ) -> Result<Vec<KvEntry>, PlatformError> {
         self.call().await?;
-        let found = self.found(prefix).into_iter();
+        let found = self.entries_below(prefix).into_iter();
         let rest = found.filter(|entry| Some(entry.key.as_str()) > after);
         Ok(rest.take(limit).collect())
     }
 
     async fn snapshot(&self, prefix: &str) -> Result<Snapshot, PlatformError> {
         self.call().await?;
-        let entries = self.found(prefix);
+        let entries = self.entries_below(prefix);
         let revision = KvRevision(self.lock().revision);
         Ok(Snapshot { entries, revision })
     }
@@ -379,13 +379,13 @@
         loop {
             self.call().await?;
             let at = self.lock().revision;
-            let found = self.found(prefix).into_iter();
+            let found = self.entries_below(prefix).into_iter();
             let changed: Vec<KvEntry> = found.filter(|e| e.revision > after).collect();
             if at > after.0 || Instant::now() >= until {
                 let revision = KvRevision(at);
                 return Ok(WatchReply { changed, revision });
             }
-            // Leases lapse without a notice, so the wait is cut into pieces.
+            // Leases expire without a notification, so the wait is divided into short ones.
             let piece = Duration::from_millis(100);
             let _ = tokio::time::timeout(piece, self.changed.notified()).await;
         }
@@ -399,14 +399,14 @@
         arriving: impl FnOnce() + Send,
     ) -> Result<WatchReply, PlatformError> {
         self.lock().waits.push(wait);
-        if self.lock().silent {
+        if self.lock().unresponsive {
             std::future::pending::<()>().await;
         }
         let reply = self.watch(prefix, after, wait).await?;
         arriving();
-        let transfer = self.lock().transfer;
+        let transfer_time = self.lock().transfer_time;
         if !reply.changed.is_empty() {
-            tokio::time::sleep(transfer).await;
+            tokio::time::sleep(transfer_time).await;
         }
         Ok(reply)
     }
--- a/crates/sillpin-gateway/tests/events.rs
+++ b/crates/sillpin-gateway/tests/events.rs
@@ -1,4 +1,4 @@
-//! Streams are cut into whole events.
+//! Splitting of streams into complete events.
 
 use proptest::prelude::*;
 use sillpin_gateway::front::events::EventSplitter;
@@ -6,18 +6,18 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// However a stream is cut into pieces, whole events come out once, in order, and no half one.
+    /// However a stream is split into chunks, complete events come out once and in order, and no incomplete one does.
     #[test]
-    fn events_come_out_whole(
+    fn events_are_passed_on_complete(
         bodies in prop::collection::vec("[a-z ]{0,20}", 1..20),
         cuts in prop::collection::vec(1usize..9, 1..200),
         crlf in any::<bool>(),
-        rest in "[a-z]{0,5}",
+        incomplete in "[a-z]{0,5}",
     ) {
         let end = if crlf { "\r\n" } else { "\n" };
         let event = |(id, body): (usize, &String)| format!("id: {id}{end}data: {body}{end}{end}");
-        let whole: String = bodies.iter().enumerate().map(event).collect();
-        let sent = format!("{whole}{rest}");
+        let complete: String = bodies.iter().enumerate().map(event).collect();
+        let sent = format!("{complete}{incomplete}");
         let mut splitter = EventSplitter::default();
         let mut out = Vec::new();
         let mut left = sent.as_bytes();
@@ -29,8 +29,8 @@
             out.extend_from_slice(&splitter.push(piece));
             left = tail;
         }
-        prop_assert_eq!(String::from_utf8(out).unwrap(), whole);
-        prop_assert_eq!(splitter.is_partial(), !rest.is_empty());
+        prop_assert_eq!(String::from_utf8(out).unwrap(), complete);
+        prop_assert_eq!(splitter.is_partial(), !incomplete.is_empty());
         let last = (bodies.len() - 1).to_string();
         prop_assert_eq!(splitter.last_id(), Some(last.as_str()));
     }
--- a/crates/sillpin-gateway/tests/suspend.rs
+++ b/crates/sillpin-gateway/tests/suspend.rs
@@ -1,7 +1,8 @@
-//! A box that was suspended: its steady clock stood still, and what it knew seems to be as fresh as before.
+//! Behaviour of a box after it was suspended. Its monotonic clock stood still, so its state seems as fresh as before.
 //!
-//! A holder of the weights duty whose lease had run out meanwhile would go on ordering engines beside its successor; a box would fetch parts that were
-//! freed because nobody heard of it for seconds, and begin prompts on weights that were replaced too long ago.
+//! Without detection, a leader whose lease had expired would keep ordering engines along with its successor, and a
+//! box would fetch parts that were freed because none of its messages arrived for seconds, and start prompts on
+//! weights that were replaced too long ago.
 
 mod common;
 
@@ -18,7 +19,7 @@
 use tokio::net::TcpListener;
 use tokio::time::Instant;
 
-const SLEEP: Duration = Duration::from_secs(5);
+const SUSPENSION: Duration = Duration::from_secs(5);
 
 fn fleet(suspend_clock: &SuspendClock) -> Fleet<TestKeys> {
     let log = sillpin_telemetry::logs::discard();
@@ -37,31 +38,31 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_a_box_knew_is_older_by_the_time_asleep() {
+async fn state_ages_by_the_suspended_time() {
     tokio::time::advance(Duration::from_secs(60)).await;
     let suspend_clock = SuspendClock::manual();
     let mut fleet = fleet(&suspend_clock);
     let now = Instant::now();
     fleet.handle(read(Topic::Targets, "target/i-1", "ready 1", now), now);
     fleet.handle(read(Topic::Operators, "ops/weights/m", "2", now), now);
-    suspend_clock.suspend(SLEEP);
-    let woke = now + Duration::from_millis(1);
-    assert!(fleet.sweep(woke), "the view changes");
+    suspend_clock.suspend(SUSPENSION);
+    let resumed = now + Duration::from_millis(1);
+    assert!(fleet.sweep(resumed), "the view changes");
     let view = fleet.view();
-    assert_eq!(view.listed.confirmed, Some(now - SLEEP));
-    assert_eq!(view.operators.confirmed, Some(now - SLEEP));
-    assert_eq!(view.wanted[&name("m")].newest().since, now - SLEEP);
-    assert_eq!(view.suspended, SLEEP);
-    // The answer to a question from before tells no more than that.
-    fleet.handle(read(Topic::Targets, "target/i-1", "ready 1", now), woke);
-    assert_eq!(fleet.view().listed.confirmed, Some(now - SLEEP));
-    let asked = woke + Duration::from_millis(1);
+    assert_eq!(view.listed.confirmed, Some(now - SUSPENSION));
+    assert_eq!(view.operators.confirmed, Some(now - SUSPENSION));
+    assert_eq!(view.wanted[&name("m")].newest().since, now - SUSPENSION);
+    assert_eq!(view.suspended, SUSPENSION);
+    // A response to a request sent before the suspension does not make the state fresher.
+    fleet.handle(read(Topic::Targets, "target/i-1", "ready 1", now), resumed);
+    assert_eq!(fleet.view().listed.confirmed, Some(now - SUSPENSION));
+    let asked = resumed + Duration::from_millis(1);
     fleet.handle(read(Topic::Targets, "target/i-1", "ready 1", asked), asked);
     assert_eq!(fleet.view().listed.confirmed, Some(asked));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_box_that_wakes_fetches_nothing_by_what_it_knew() {
+async fn no_part_is_fetched_by_outdated_state_after_resume() {
     tokio::time::advance(Duration::from_secs(60)).await;
     let suspend_clock = SuspendClock::manual();
     let mut fleet = fleet(&suspend_clock);
@@ -77,22 +78,22 @@
     };
     fleet.handle(FleetMsg::Heard(other), now);
     assert!(retirements.may_fetch(fleet.view(), suspend_clock.suspended(), now));
-    suspend_clock.suspend(SLEEP);
+    suspend_clock.suspend(SUSPENSION);
     let may_fetch = |retirements: &Retirements, fleet: &Fleet<TestKeys>, at| {
         retirements.may_fetch(fleet.view(), suspend_clock.suspended(), at)
     };
-    assert!(!may_fetch(&retirements, &fleet, now), "before any task ran");
-    let woke = now + Duration::from_millis(1);
-    fleet.sweep(woke);
+    assert!(!may_fetch(&retirements, &fleet, now), "before any task has run");
+    let resumed = now + Duration::from_millis(1);
+    fleet.sweep(resumed);
     retirements.wake(suspend_clock.suspended());
-    assert!(!may_fetch(&retirements, &fleet, woke), "known too long ago");
-    let asked = woke + Duration::from_millis(1);
+    assert!(!may_fetch(&retirements, &fleet, resumed), "the state is outdated");
+    let asked = resumed + Duration::from_millis(1);
     fleet.handle(read(Topic::Targets, "target/i-1", "ready 1", asked), asked);
-    assert!(may_fetch(&retirements, &fleet, asked), "known anew");
+    assert!(may_fetch(&retirements, &fleet, asked), "the state was confirmed again");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_holder_that_wakes_after_its_lease_orders_nothing() {
+async fn leader_whose_lease_expired_while_suspended_gives_no_orders() {
     let suspend_clock = SuspendClock::manual();
     let duty = Duty {
         platform: MemoryStore::default(),
@@ -102,19 +103,19 @@
         suspend_clock: suspend_clock.clone(),
         log: sillpin_telemetry::logs::discard(),
     };
-    let mut tenure = duty.take().await.unwrap();
-    assert!(tenure.may_order(suspend_clock.now()));
-    suspend_clock.suspend(SLEEP);
-    assert!(!tenure.may_order(suspend_clock.now()));
+    let mut leadership = duty.take().await.unwrap();
+    assert!(leadership.may_order(suspend_clock.now()));
+    suspend_clock.suspend(SUSPENSION);
+    assert!(!leadership.may_order(suspend_clock.now()));
     assert!(
-        duty.renew(&mut tenure).await,
+        duty.renew(&mut leadership).await,
         "the lease of this store holds"
     );
-    assert!(tenure.may_order(suspend_clock.now()));
+    assert!(leadership.may_order(suspend_clock.now()));
 }
 
 #[test]
-fn a_box_that_runs_is_not_taken_for_suspended() {
+fn running_box_counts_no_suspended_time() {
     let suspend_clock = SuspendClock::default();
     let began = std::time::Instant::now();
     while began.elapsed() < Duration::from_millis(200) {
@@ -123,7 +124,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_rested_through_the_time_asleep_is_not_used() {
+async fn connection_idle_while_suspended_is_not_reused() {
     let suspend_clock = SuspendClock::manual();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let target = TargetEntry {
