--- a/crates/sillpin-gateway/src/front/admit.rs
+++ b/crates/sillpin-gateway/src/front/admit.rs
@@ -54,7 +54,7 @@
         own.unwrap_or(self.route.priority)
     }
 
-    /// How long the caller has waited. A caller whose time-out is shorter than the route's has been refused before or
+    /// How long the caller has waited. A caller whose timeout is shorter than the route's has been refused before or
     /// lost its connection, and has waited for the difference already.
     pub fn waited(&self) -> Duration {
         let timeout = self.head.timeout.unwrap_or(self.route.timeout);
@@ -122,6 +122,7 @@
         })
     }
 
+    /// Finds the route and organisation of a request. Denies it only by a fresh configuration.
     async fn authorise(&self, head: &RequestHead, path: &str) -> Result<Admitted, Refusal> {
         let view = self.fleet.view();
         let config = view.config.clone();
@@ -159,6 +160,7 @@
     confirmed.is_some_and(|at| at.elapsed() < MAX_DENY_AGE)
 }
 
+/// Checks a request against a configuration.
 fn judge(config: &FleetConfig, head: &RequestHead, path: &str) -> Verdict {
     let Some(route) = config.route(&head.host, path) else {
         return Verdict::Denied(StatusCode::NOT_FOUND, "no such route");
--- a/crates/sillpin-gateway/src/front/attempt.rs
+++ b/crates/sillpin-gateway/src/front/attempt.rs
@@ -139,7 +139,7 @@
 
 /// Conditions, other than the request's deadline, under which waiting for a response ends.
 pub struct WaitLimits<L, B> {
-    /// Called each time the target has been silent for the time-out; returns whether to abandon the attempt for
+    /// Called each time the target has been silent for the timeout; returns whether to abandon the attempt for
     /// another target.
     pub should_abandon: L,
     /// Latest time at which the request may start at the target. Also checked while it waits there: the length of an
--- a/crates/sillpin-gateway/src/front/body_memory.rs
+++ b/crates/sillpin-gateway/src/front/body_memory.rs
@@ -55,6 +55,7 @@
         Self { used, max_len }
     }
 
+    /// Creates a reservation of no bytes.
     fn new_reservation(&self) -> Reservation {
         Reservation {
             used: self.used.clone(),
@@ -62,6 +63,7 @@
         }
     }
 
+    /// Adds bytes to a reservation.
     fn grow(&self, reservation: &mut Reservation, by: usize) -> Result<(), BodyError> {
         let before = self.used.fetch_add(by, Ordering::Relaxed);
         reservation.len += by;
--- a/crates/sillpin-gateway/src/front/dispatch.rs
+++ b/crates/sillpin-gateway/src/front/dispatch.rs
@@ -292,7 +292,7 @@
         }
     }
 
-    /// Reports to the witness that a response broke off at a target, which may have crashed.
+    /// Reports that a response broke off at a target to the crash detector, since the target may have crashed.
     pub fn broke_off(&self, request: &AdmittedRequest, target: &Arc<TargetEntry>) {
         let broken = Broken {
             id: request.head.id.clone(),
--- a/crates/sillpin-gateway/src/front/idle_timeout.rs
+++ b/crates/sillpin-gateway/src/front/idle_timeout.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Fraction of the callers' event time-out that a silent engine gets; the rest is left for another one to start. A
+/// Fraction of the callers' event timeout that a silent engine gets; the rest is left for another one to start. A
 /// busy engine often sends no event for more than 1.3 s, and callers wait 2.4 to 4.8 s.
 const EVENT_TIMEOUT_FRACTION: f64 = 0.6;
 
--- a/crates/sillpin-gateway/src/front/selection.rs
+++ b/crates/sillpin-gateway/src/front/selection.rs
@@ -34,9 +34,9 @@
 
 /// Time limit of a fetch, as a multiple of the request's latency objective; after it the engine discards the fetch
 /// and computes the prompt. A fetch also waits in the engine's queue, and discarding it costs time, so the limit
-/// exceeds that; but a waiting fetch occupies memory, so the limit must be finite. Measured on two fleets, as the
-/// score of days with incidents: with objectives of 1.2 s, 0.702 with a limit of 0.6 times that and 0.723 with 2.1;
-/// with objectives of 0.3 to 0.5 s, 0.578 with 1.4 to 2.3 and 0.569 with 5 to 8.
+/// exceeds the objective; but a waiting fetch occupies memory, so the limit must be finite. Measured on two fleets,
+/// as the score of days with incidents: with objectives of 1.2 s, 0.702 with a limit of 0.6 times that and 0.723 with
+/// 2.1; with objectives of 0.3 to 0.5 s, 0.578 with 1.4 to 2.3 and 0.569 with 5 to 8.
 const FETCH_TIME_FACTOR: f64 = 1.5;
 
 /// Fraction of a late request's work that counts as queued ahead of other requests: the engine prefers requests that
@@ -283,6 +283,7 @@
         }
     }
 
+    /// Selects an engine for a prompt, with the versions of the weights that it may run on.
     fn select_engine(
         &self,
         request: &AdmittedRequest,
@@ -305,7 +306,8 @@
                 .may_fetch(view, self.suspend_clock.suspended(), now),
             now,
         };
-        // One random number for all versions, so that a fetch spared under one version is not made under another.
+        // One random number for all versions, so that a store whose link is spared for one version is not used for
+        // another.
         let draw = rand::rng().random_range(0.0..1.0);
         let plan_for = |version: WeightVersion| {
             let mut plan = plan(prompt, &salt(prompt, version, org), &inputs);
@@ -348,6 +350,7 @@
         weights.begin_by(version)
     }
 
+    /// Input for the decision which versions of the weights a prompt may run on.
     fn weights_use<'a>(
         &self,
         view: &'a View,
--- a/crates/sillpin-gateway/src/front/shared.rs
+++ b/crates/sillpin-gateway/src/front/shared.rs
@@ -19,7 +19,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Bodies of requests in flight get one part in this many of the process's memory.
+/// Request bodies may occupy one part in `BODY_SHARE` of the process's memory.
 const BODY_SHARE: u64 = 4;
 
 /// State shared by all requests.
--- a/crates/sillpin-gateway/src/pool.rs
+++ b/crates/sillpin-gateway/src/pool.rs
@@ -24,8 +24,8 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Time-out for opening a connection. The round trip between two zones takes about 3 ms; a lost SYN is only sent
-/// again after a second, when another target is the better choice.
+/// Timeout for opening a connection. The round trip between two zones takes about 3 ms; a lost SYN is only sent again
+/// after a second, when another target is the better choice.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// A connection with unacknowledged bytes is closed after this time: a machine without power sends no reset.
