--- a/crates/sillpin-gateway/src/control.rs
+++ b/crates/sillpin-gateway/src/control.rs
@@ -194,7 +194,7 @@
     /// Position at which reading of changes starts.
     pub next: u64,
     /// Complete parts.
-    pub whole: Vec<(PartKey, Tokens)>,
+    pub complete: Vec<(PartKey, Tokens)>,
     /// Parts that are being written, or whose writing was aborted.
     pub partial: Vec<PartialPart>,
 }
--- a/crates/sillpin-gateway/src/kept/directory.rs
+++ b/crates/sillpin-gateway/src/kept/directory.rs
@@ -34,7 +34,7 @@
 struct StoreState {
     epoch: u64,
     next: u64,
-    whole: HashMap<PartKey, Tokens>,
+    complete: HashMap<PartKey, Tokens>,
     used: Tokens,
     heard: Option<Instant>,
     recent: Recent,
@@ -70,9 +70,9 @@
         let before = match tokens {
             Some(tokens) => {
                 self.used += tokens;
-                self.whole.insert(key, tokens)
+                self.complete.insert(key, tokens)
             }
-            None => self.whole.remove(&key),
+            None => self.complete.remove(&key),
         };
         let before = before.unwrap_or_default();
         self.used = Tokens(self.used.0.saturating_sub(before.0));
@@ -158,7 +158,7 @@
             },
             ..StoreState::default()
         };
-        for (key, tokens) in list.whole {
+        for (key, tokens) in list.complete {
             state.set(key, Some(tokens));
         }
         self.stores.insert(addr, state);
@@ -272,7 +272,7 @@
         let kept = self
             .stores
             .get(&addr)
-            .and_then(|state| state.whole.get(key));
+            .and_then(|state| state.complete.get(key));
         kept.is_some_and(|kept| *kept >= tokens)
     }
 
@@ -323,9 +323,9 @@
     }
 
     /// All whole parts of a store.
-    pub fn whole(&self, addr: SocketAddr) -> Vec<(PartKey, Tokens)> {
+    pub fn complete(&self, addr: SocketAddr) -> Vec<(PartKey, Tokens)> {
         let state = self.stores.get(&addr);
-        let parts = state.map(|state| state.whole.iter());
+        let parts = state.map(|state| state.complete.iter());
         let copy = |(key, tokens): (&PartKey, &Tokens)| (key.clone(), *tokens);
         parts
             .map(|parts| parts.map(copy).collect())
--- a/crates/sillpin-gateway/src/kept/freer.rs
+++ b/crates/sillpin-gateway/src/kept/freer.rs
@@ -99,7 +99,7 @@
         if !self.kept.retirements().has_any() {
             return Vec::new();
         }
-        let whole = self.kept.lock().whole(store.addr);
+        let complete = self.kept.lock().complete(store.addr);
         let retirements = self.kept.retirements();
         // A store holds thousands of parts under a few salts.
         let mut shares: HashMap<Salt, f64> = HashMap::new();
@@ -108,7 +108,7 @@
             Err(_) => 0.0,
         };
         let mut unused = Vec::new();
-        for (key, _) in whole {
+        for (key, _) in complete {
             let share = match shares.get(&key.salt) {
                 Some(share) => *share,
                 None => {
--- a/crates/sillpin-gateway/src/kept/reader.rs
+++ b/crates/sillpin-gateway/src/kept/reader.rs
@@ -306,7 +306,7 @@
 
     /// Tells the zone what a store holds, if it is little: others ask for a copy else.
     fn tell_listing(&self, list: &StoreListing, asked: Instant) {
-        if !self.is_large_fleet() || list.whole.len() > MAX_CHANGES {
+        if !self.is_large_fleet() || list.complete.len() > MAX_CHANGES {
             return;
         }
         let listing = KeptListing {
@@ -316,7 +316,7 @@
                 next: list.next,
             },
             age_ms: asked.elapsed().as_millis() as u64,
-            whole: list.whole.clone(),
+            complete: list.complete.clone(),
         };
         // Boxes that miss it see in a digest that they lack something.
         let _ = self.news.try_send(News::Listed(listing));
@@ -327,7 +327,7 @@
         let Some(position) = position else {
             let list = self.control.list_store(self.addr).await?;
             event!(self.log, events::KEPT_STORE_LISTED, "store" => self.addr.to_string(),
-                "epoch" => list.epoch, "whole" => list.whole.len(), "partial" => list.partial.len());
+                "epoch" => list.epoch, "whole" => list.complete.len(), "partial" => list.partial.len());
             self.tell_listing(&list, asked);
             self.kept.lock().take_list(self.addr, list, asked);
             return Ok(());
--- a/crates/sillpin-gateway/src/peers/asker.rs
+++ b/crates/sillpin-gateway/src/peers/asker.rs
@@ -268,12 +268,12 @@
     } = copy;
     let mut directory = kept.lock();
     match content {
-        KeptContent::Whole(whole) => {
+        KeptContent::Whole(complete) => {
             let partial = Vec::new();
             let list = StoreListing {
                 epoch,
                 next,
-                whole,
+                complete,
                 partial,
             };
             directory.take_list(store, list, asked);
--- a/crates/sillpin-gateway/src/peers/datagram.rs
+++ b/crates/sillpin-gateway/src/peers/datagram.rs
@@ -142,7 +142,7 @@
     /// Since the store was asked, in milliseconds.
     pub age_ms: u64,
     /// Whole parts.
-    pub whole: Vec<(PartKey, Tokens)>,
+    pub complete: Vec<(PartKey, Tokens)>,
 }
 
 /// Changes of a store's content.
--- a/crates/sillpin-gateway/src/peers/ear/news.rs
+++ b/crates/sillpin-gateway/src/peers/ear/news.rs
@@ -104,7 +104,7 @@
             addr,
             position: Position { epoch, next },
             age_ms,
-            whole,
+            complete,
         } = listing;
         let Some(asked) = asked_at(Some(age_ms)) else {
             return;
@@ -118,7 +118,7 @@
         let list = StoreListing {
             epoch,
             next,
-            whole,
+            complete,
             partial,
         };
         directory.take_list(addr, list, asked);
--- a/crates/sillpin-gateway/src/peers/link.rs
+++ b/crates/sillpin-gateway/src/peers/link.rs
@@ -94,7 +94,7 @@
         let changes = after.and_then(|after| directory.changes_after(store, after));
         let content = match changes {
             Some(changes) => KeptContent::Changes(changes),
-            None => KeptContent::Whole(directory.whole(store)),
+            None => KeptContent::Whole(directory.complete(store)),
         };
         Some(KeptCopy {
             store,
--- a/crates/sillpin-gateway/tests/freer.rs
+++ b/crates/sillpin-gateway/tests/freer.rs
@@ -79,7 +79,7 @@
     StoreListing {
         epoch: 1,
         next: 10,
-        whole: Vec::new(),
+        complete: Vec::new(),
         partial: partial.collect(),
     }
 }
--- a/crates/sillpin-gateway/tests/kept/listing.rs
+++ b/crates/sillpin-gateway/tests/kept/listing.rs
@@ -86,7 +86,7 @@
         Ok(StoreListing {
             epoch: 1,
             next: 1,
-            whole: Vec::new(),
+            complete: Vec::new(),
             partial: Vec::new(),
         })
     }
--- a/crates/sillpin-gateway/tests/kept/main.rs
+++ b/crates/sillpin-gateway/tests/kept/main.rs
@@ -31,7 +31,7 @@
     StoreListing {
         epoch,
         next: 10,
-        whole: parts.iter().map(|part| (key(part), Tokens(100))).collect(),
+        complete: parts.iter().map(|part| (key(part), Tokens(100))).collect(),
         partial: Vec::new(),
     }
 }
--- a/crates/sillpin-gateway/tests/parts.rs
+++ b/crates/sillpin-gateway/tests/parts.rs
@@ -51,7 +51,7 @@
         let list = StoreListing {
             epoch: 1,
             next: 1,
-            whole: holds.then_some((key, Tokens(500))).into_iter().collect(),
+            complete: holds.then_some((key, Tokens(500))).into_iter().collect(),
             partial: Vec::new(),
         };
         kept.lock().take_list(store.addr, list, now);
--- a/crates/sillpin-gateway/tests/place.rs
+++ b/crates/sillpin-gateway/tests/place.rs
@@ -507,7 +507,7 @@
     let list = StoreListing {
         epoch: 1,
         next: 1,
-        whole: vec![(key, Tokens(5_000))],
+        complete: vec![(key, Tokens(5_000))],
         partial: Vec::new(),
     };
     kept.lock().take_list(store.addr, list, now);
--- a/crates/sillpin-gateway/tests/residency.rs
+++ b/crates/sillpin-gateway/tests/residency.rs
@@ -130,11 +130,11 @@
         part: PartId("kept".to_owned()),
     };
     let kept = Kept::default();
-    for (addr, whole) in [(near.addr, vec![]), (far.addr, vec![(key, Tokens(500))])] {
+    for (addr, complete) in [(near.addr, vec![]), (far.addr, vec![(key, Tokens(500))])] {
         let list = StoreListing {
             epoch: 1,
             next: 1,
-            whole,
+            complete,
             partial: vec![],
         };
         kept.lock().take_list(addr, list, now);
