--- a/crates/sillpin-gateway/src/front/attempt.rs
+++ b/crates/sillpin-gateway/src/front/attempt.rs
@@ -144,7 +144,7 @@
     pub should_abandon: L,
     /// Latest time at which the request may start at the target. Also checked while it waits there: the length of an
     /// engine's queue is not known in advance, and margins of several seconds have been used up in it.
-    pub start_deadline: B,
+    pub latest_start: B,
 }
 
 /// Input of one attempt.
@@ -176,7 +176,7 @@
             Ok(conn) => conn,
             Err(e) => return AttemptOutcome::Unsent(e.to_string()),
         };
-        if (limits.start_deadline)().is_some_and(|at| at <= Instant::now()) {
+        if (limits.latest_start)().is_some_and(|at| at <= Instant::now()) {
             return AttemptOutcome::NotRun {
                 reason: WEIGHTS_OUTDATED.to_owned(),
                 weights: None,
@@ -217,11 +217,11 @@
         let mut response = std::pin::pin!(conn.send(req));
         let mut idle_deadline = self.idle_deadline(request);
         loop {
-            let start_deadline = (limits.start_deadline)();
-            if start_deadline.is_some_and(|at| at <= Instant::now()) {
+            let latest_start = (limits.latest_start)();
+            if latest_start.is_some_and(|at| at <= Instant::now()) {
                 return HeadWait::Expired;
             }
-            let next_check = start_deadline
+            let next_check = latest_start
                 .unwrap_or(idle_deadline)
                 .min(Instant::now() + START_CHECK_INTERVAL);
             if let Ok(result) = timeout_at(next_check.min(idle_deadline), &mut response).await {
--- a/crates/sillpin-gateway/src/front/dispatch.rs
+++ b/crates/sillpin-gateway/src/front/dispatch.rs
@@ -176,7 +176,7 @@
         let version = prepared.chosen.version;
         let limits = WaitLimits {
             should_abandon: || self.should_abandon(request, pool, progress),
-            start_deadline: || self.start_deadline(request, pool, version?),
+            latest_start: || self.latest_start(request, pool, version?),
         };
         let tracked = self.fatal.sent(request.fingerprint, LifeHash::of(&target));
         let outcome = self.attempt(attempt, limits).await;
--- a/crates/sillpin-gateway/src/front/selection.rs
+++ b/crates/sillpin-gateway/src/front/selection.rs
@@ -342,7 +342,7 @@
     }
 
     /// Latest time at which a prompt may start at the selected target, according to the current view.
-    pub fn start_deadline(&self, request: &AdmittedRequest, pool: &PoolId, version: WeightVersion) -> Option<Instant> {
+    pub fn latest_start(&self, request: &AdmittedRequest, pool: &PoolId, version: WeightVersion) -> Option<Instant> {
         let model = &request.head.prompt.as_ref()?.model;
         let view = self.fleet.view();
         let serving = served_versions(&view, pool, model);
