--- a/crates/sillpin-gateway/src/beliefs/fleet.rs
+++ b/crates/sillpin-gateway/src/beliefs/fleet.rs
@@ -11,9 +11,9 @@
 pub use self::targets::served;
 use super::mirror::{Change, Mirror};
 use super::{Evacuations, FleetMsg, FleetPort, Known, Named, Reading, Source, Topic, View, Wanted};
-use crate::suspend_clock::SuspendClock;
 use crate::config::FleetConfig;
 use crate::control::{DecodeError, Life, PublishedFormat, TargetEntry};
+use crate::suspend_clock::SuspendClock;
 use sillpin_core::{BoxId, ModelId, TargetId, WeightVersion};
 use sillpin_platform::{KvEntry, KvRevision, StoreEra};
 use sillpin_telemetry::{event, events};
@@ -114,7 +114,10 @@
 
     /// Tells time asleep by `suspend_clock`.
     pub fn with_suspend_clock(self, suspend_clock: SuspendClock) -> Self {
-        Self { suspend_clock, ..self }
+        Self {
+            suspend_clock,
+            ..self
+        }
     }
 
     /// Answers messages until all handles are gone.
--- a/crates/sillpin-gateway/src/budget.rs
+++ b/crates/sillpin-gateway/src/budget.rs
@@ -93,7 +93,13 @@
     }
 
     /// Counts a request for `pool` in a fleet of `boxes` boxes.
-    pub fn record_request(&mut self, pool: &PoolId, rules: &RetryRules, boxes: usize, now: Instant) {
+    pub fn record_request(
+        &mut self,
+        pool: &PoolId,
+        rules: &RetryRules,
+        boxes: usize,
+        now: Instant,
+    ) {
         let earned = rules.share * SPENT_FRACTION;
         let bucket = self.bucket(pool, rules, boxes, now);
         bucket.balance += earned;
--- a/crates/sillpin-gateway/src/config.rs
+++ b/crates/sillpin-gateway/src/config.rs
@@ -32,7 +32,11 @@
     /// The priority of such a request that will miss its latency objective in any case: behind all that can meet
     /// theirs, with the order among late requests preserved.
     pub fn demoted(self) -> Self {
-        Self(self.0.saturating_add(PRIORITY_LEVELS / 2).min(PRIORITY_LEVELS - 1))
+        Self(
+            self.0
+                .saturating_add(PRIORITY_LEVELS / 2)
+                .min(PRIORITY_LEVELS - 1),
+        )
     }
 }
 
--- a/crates/sillpin-gateway/src/dialect.rs
+++ b/crates/sillpin-gateway/src/dialect.rs
@@ -227,7 +227,11 @@
     fn write_response(&self, from: &HeaderMap) -> HeaderMap;
 
     /// Builds the headers of a response that the box creates itself; `retry_after` is when the caller may come back.
-    fn write_own_response(&self, request_id: Option<&str>, retry_after: Option<Duration>) -> HeaderMap;
+    fn write_own_response(
+        &self,
+        request_id: Option<&str>,
+        retry_after: Option<Duration>,
+    ) -> HeaderMap;
 
     /// Whether `path` is that of the readiness check.
     fn is_ready_check(&self, path: &str) -> bool;
--- a/crates/sillpin-gateway/src/front/admit.rs
+++ b/crates/sillpin-gateway/src/front/admit.rs
@@ -1,11 +1,11 @@
 //! Admission of a request: finds its route and organisation, and reads its body.
 
-use super::refusal::Refusal;
 use super::body_memory::{BodyError, BufferedBody};
+use super::refusal::Refusal;
 use super::shared::Shared;
 use crate::beliefs::View;
 use crate::config::{FleetConfig, Organisation, Priority, Route};
-use crate::dialect::{RequestHead, Dialect};
+use crate::dialect::{Dialect, RequestHead};
 use crate::fatal::RequestPrint;
 use hyper::body::Incoming;
 use hyper::http::request::Parts;
--- a/crates/sillpin-gateway/src/front/attempt.rs
+++ b/crates/sillpin-gateway/src/front/attempt.rs
@@ -7,7 +7,7 @@
 use super::admit::AdmittedRequest;
 use super::shared::Shared;
 use crate::control::TargetEntry;
-use crate::dialect::{ResponseHead, Dialect, AttemptHead};
+use crate::dialect::{AttemptHead, Dialect, ResponseHead};
 use crate::place::Ticket;
 use crate::place::words::{Change, Said, log_change};
 use crate::place::work::LifeHash;
@@ -118,7 +118,9 @@
     /// Reason of the outcome, for logs; empty for a success.
     pub fn reason(&self) -> &str {
         match self {
-            AttemptOutcome::Unsent(reason) | AttemptOutcome::Unknown(reason) | AttemptOutcome::TimedOut(reason) => reason,
+            AttemptOutcome::Unsent(reason)
+            | AttemptOutcome::Unknown(reason)
+            | AttemptOutcome::TimedOut(reason) => reason,
             AttemptOutcome::NotRun { reason, .. } => reason,
             AttemptOutcome::Cancelled => WEIGHTS_OUTDATED,
             AttemptOutcome::Failed(_) => "the target responded with an error",
@@ -161,7 +163,11 @@
 
 impl<D: Dialect> Shared<D> {
     /// Sends a request to one target and returns the outcome.
-    pub async fn attempt<L, B>(&self, attempt: Attempt<'_>, limits: WaitLimits<L, B>) -> AttemptOutcome
+    pub async fn attempt<L, B>(
+        &self,
+        attempt: Attempt<'_>,
+        limits: WaitLimits<L, B>,
+    ) -> AttemptOutcome
     where
         L: Fn() -> bool,
         B: Fn() -> Option<Instant>,
@@ -196,7 +202,9 @@
             HeadWait::Done(Err(e @ SendError::Unanswered { .. })) => {
                 return AttemptOutcome::Unknown(e.to_string());
             }
-            HeadWait::Abandoned => return AttemptOutcome::TimedOut("no response in time".to_owned()),
+            HeadWait::Abandoned => {
+                return AttemptOutcome::TimedOut("no response in time".to_owned());
+            }
             HeadWait::Expired => return AttemptOutcome::Cancelled,
         };
         self.judge_response(attempt, conn, resp, sent).await
@@ -278,7 +286,9 @@
         }
         let success = parts.status.is_success();
         if success && (!head.signed || head.encoded) {
-            return AttemptOutcome::Unknown("success response without the target's signature".to_owned());
+            return AttemptOutcome::Unknown(
+                "success response without the target's signature".to_owned(),
+            );
         }
         if success && attempt.request.route.streaming {
             return AttemptOutcome::Streaming(Box::new(OpenStream {
@@ -295,7 +305,9 @@
         let body = match timeout_at(attempt.request.deadline, limited.collect()).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(e)) => return AttemptOutcome::Unknown(format!("response broke off: {e}")),
-            Err(_) => return AttemptOutcome::TimedOut("response did not complete in time".to_owned()),
+            Err(_) => {
+                return AttemptOutcome::TimedOut("response did not complete in time".to_owned());
+            }
         };
         self.return_connection(attempt.target.id.clone(), conn, &head);
         let response = CompleteResponse {
@@ -358,7 +370,12 @@
     }
 
     /// Returns a connection whose response was read completely to the pool, in the background.
-    pub fn return_connection(&self, target: sillpin_core::TargetId, conn: Conn, head: &ResponseHead) {
+    pub fn return_connection(
+        &self,
+        target: sillpin_core::TargetId,
+        conn: Conn,
+        head: &ResponseHead,
+    ) {
         if head.closes {
             return;
         }
--- a/crates/sillpin-gateway/src/front/body_memory.rs
+++ b/crates/sillpin-gateway/src/front/body_memory.rs
@@ -97,6 +97,9 @@
             }
         }
         let bytes = first.unwrap_or_else(|| buf.freeze());
-        Ok(BufferedBody { bytes, _reservation: reservation })
+        Ok(BufferedBody {
+            bytes,
+            _reservation: reservation,
+        })
     }
 }
--- a/crates/sillpin-gateway/src/front/dispatch.rs
+++ b/crates/sillpin-gateway/src/front/dispatch.rs
@@ -5,14 +5,14 @@
 //! while time and retry budget last.
 
 use super::admit::{AdmittedRequest, is_fresh};
+use super::attempt::{Attempt, AttemptOutcome, CompleteResponse, WaitLimits};
 use super::refusal::{DEFAULT_RETRY_AFTER, Refusal};
-use super::attempt::{Attempt, AttemptOutcome, WaitLimits, CompleteResponse};
 use super::selection::PreparedAttempt;
 use super::shared::Shared;
 use crate::beliefs::{FleetMsg, View};
 use crate::config::Idempotency;
 use crate::control::TargetEntry;
-use crate::dialect::{Dialect, AttemptHead};
+use crate::dialect::{AttemptHead, Dialect};
 use crate::fatal::witness::Broken;
 use crate::place::load::Outcome as Health;
 use crate::place::work::LifeHash;
@@ -80,7 +80,10 @@
 
 impl<D: Dialect> Shared<D> {
     /// Sends a request to targets until there is a response for the caller.
-    pub async fn dispatch(self: &Arc<Self>, request: AdmittedRequest) -> Result<Response<Body>, Refusal> {
+    pub async fn dispatch(
+        self: &Arc<Self>,
+        request: AdmittedRequest,
+    ) -> Result<Response<Body>, Refusal> {
         let pool = self.pick_pool(&request)?;
         self.count_request(&pool);
         let mut progress = Progress {
@@ -180,7 +183,10 @@
         };
         let tracked = self.fatal.sent(request.fingerprint, LifeHash::of(&target));
         let outcome = self.attempt(attempt, limits).await;
-        tracked.end(matches!(outcome, AttemptOutcome::TimedOut(_) | AttemptOutcome::Cancelled));
+        tracked.end(matches!(
+            outcome,
+            AttemptOutcome::TimedOut(_) | AttemptOutcome::Cancelled
+        ));
         if matches!(outcome, AttemptOutcome::Streaming(_)) {
             self.record_transfer(request, &prepared, sent.elapsed());
         }
@@ -190,7 +196,13 @@
         Ok(outcome)
     }
 
-    fn log_attempt(&self, request: &AdmittedRequest, progress: &Progress, view: &View, prepared: &PreparedAttempt) {
+    fn log_attempt(
+        &self,
+        request: &AdmittedRequest,
+        progress: &Progress,
+        view: &View,
+        prepared: &PreparedAttempt,
+    ) {
         let (chosen, weights) = (&prepared.chosen, prepared.weights);
         let limit = self
             .loads
@@ -218,7 +230,12 @@
 
     /// Records how long an engine took to start a prompt, to estimate the load on the link that its parts were
     /// fetched over.
-    fn record_transfer(&self, request: &AdmittedRequest, prepared: &PreparedAttempt, took: Duration) {
+    fn record_transfer(
+        &self,
+        request: &AdmittedRequest,
+        prepared: &PreparedAttempt,
+        took: Duration,
+    ) {
         if prepared.prefill_ms <= 0.0 {
             return;
         }
@@ -228,7 +245,13 @@
         let mut links = self.kept.links();
         match prepared.source {
             Some(store) => {
-                links.note_fetch(store, prepared.prompt_len, excess, request.route.latency_objective, Instant::now());
+                links.note_fetch(
+                    store,
+                    prepared.prompt_len,
+                    excess,
+                    request.route.latency_objective,
+                    Instant::now(),
+                );
             }
             None => links.note_read(prepared.prompt_len, excess),
         }
@@ -254,7 +277,9 @@
         let health = match outcome {
             AttemptOutcome::Unsent(_) => Some(Health::Unreachable),
             AttemptOutcome::NotRun { .. } => Some(Health::Refused),
-            AttemptOutcome::Failed(_) | AttemptOutcome::Unknown(_) | AttemptOutcome::TimedOut(_) => Some(Health::Failed),
+            AttemptOutcome::Failed(_)
+            | AttemptOutcome::Unknown(_)
+            | AttemptOutcome::TimedOut(_) => Some(Health::Failed),
             AttemptOutcome::Completed(_) | AttemptOutcome::Streaming(_) => Some(Health::Served),
             AttemptOutcome::Cancelled => None,
         };
@@ -284,7 +309,10 @@
                     .find(LifeHash::of(target), Instant::now());
             }
         }
-        if !matches!(outcome, AttemptOutcome::Completed(_) | AttemptOutcome::Streaming(_)) {
+        if !matches!(
+            outcome,
+            AttemptOutcome::Completed(_) | AttemptOutcome::Streaming(_)
+        ) {
             event!(self.log, events::SENDING_FAILED,
                 "request" => &request.head.id, "target" => target.id.as_str(),
                 "outcome" => outcome.name(), "why" => outcome.reason(),
@@ -304,7 +332,11 @@
     /// Whether a misdirected request, sent for weights of `version`, shows that the target's address now belongs to
     /// another target. An engine also rejects a request as misdirected when it serves other weights; this is only
     /// ruled out while this box has a fresh view of the newest version.
-    fn is_replaced_target(&self, request: &AdmittedRequest, version: Option<WeightVersion>) -> bool {
+    fn is_replaced_target(
+        &self,
+        request: &AdmittedRequest,
+        version: Option<WeightVersion>,
+    ) -> bool {
         let Some(prompt) = &request.head.prompt else {
             return true;
         };
@@ -315,7 +347,12 @@
     }
 
     /// Updates the fleet view with the weights that an engine reports when it rejects a request.
-    fn record_reported_weights(&self, request: &AdmittedRequest, target: &TargetEntry, weights: Option<WeightVersion>) {
+    fn record_reported_weights(
+        &self,
+        request: &AdmittedRequest,
+        target: &TargetEntry,
+        weights: Option<WeightVersion>,
+    ) {
         let prompt = request.head.prompt.as_ref();
         if let (Some(prompt), Some(version)) = (prompt, weights) {
             self.fleet.hint(FleetMsg::Serves {
@@ -335,7 +372,13 @@
     }
 
     /// Returns the result for a request for which no target was found.
-    fn refuse_without_target(&self, request: &AdmittedRequest, pool: &PoolId, view: &View, progress: &mut Progress) -> NoAttempt {
+    fn refuse_without_target(
+        &self,
+        request: &AdmittedRequest,
+        pool: &PoolId,
+        view: &View,
+        progress: &mut Progress,
+    ) -> NoAttempt {
         if progress.runs > 0 {
             return end_unserved(progress, "no target is available");
         }
@@ -356,7 +399,12 @@
 
     /// Refuses a request that no target can start in time. A request that may have run is not refused, since a
     /// refusal states that it has not run.
-    fn refuse_if_overloaded(&self, request: &AdmittedRequest, prepared: &PreparedAttempt, progress: &Progress) -> Option<Refusal> {
+    fn refuse_if_overloaded(
+        &self,
+        request: &AdmittedRequest,
+        prepared: &PreparedAttempt,
+        progress: &Progress,
+    ) -> Option<Refusal> {
         let queue = prepared.queue(self.fleet.view().box_count())?;
         let standing_ms = self.loads.note_queue(queue, Instant::now());
         if progress.runs > 0 {
@@ -388,7 +436,9 @@
             false => "failed",
         };
         if response.status.is_success() {
-            self.fatal.record().served(request.fingerprint, Instant::now());
+            self.fatal
+                .record()
+                .served(request.fingerprint, Instant::now());
         }
         let elapsed = request.arrival.elapsed();
         self.metrics.request(&request.route.name, outcome);
@@ -412,7 +462,10 @@
     fn forward_failure(&self, response: CompleteResponse) -> Response<Body> {
         const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
         if NOT_RUN_STATUSES.contains(&response.status.as_u16()) {
-            let reason = format!("the target responded with status {}", response.status.as_u16());
+            let reason = format!(
+                "the target responded with status {}",
+                response.status.as_u16()
+            );
             return Refusal::unknown(reason).response(&self.dialect, None);
         }
         self.forward_response(response)
@@ -436,7 +489,11 @@
 }
 
 /// Builds the head of the request to the target.
-fn attempt_head(request: &AdmittedRequest, progress: &Progress, prepared: &mut PreparedAttempt) -> AttemptHead {
+fn attempt_head(
+    request: &AdmittedRequest,
+    progress: &Progress,
+    prepared: &mut PreparedAttempt,
+) -> AttemptHead {
     let for_engine = request.head.prompt.is_some();
     AttemptHead {
         target: prepared.chosen.target.id.clone(),
--- a/crates/sillpin-gateway/src/front/idle_timeout.rs
+++ b/crates/sillpin-gateway/src/front/idle_timeout.rs
@@ -36,23 +36,44 @@
             true => request.route.event_timeout.mul_f64(EVENT_TIMEOUT_FRACTION),
             false => request.route.latency_objective.mul_f64(PLAIN_IDLE_FACTOR),
         };
-        request.deadline.min(Instant::now() + idle_timeout.max(MIN_IDLE_TIMEOUT))
+        request
+            .deadline
+            .min(Instant::now() + idle_timeout.max(MIN_IDLE_TIMEOUT))
     }
 
     /// Whether to abandon a silent target that has not sent its head, since another is expected to be faster.
     /// `progress` does not count the run at the silent target yet.
-    pub fn should_abandon(&self, request: &AdmittedRequest, pool: &PoolId, progress: &Progress) -> bool {
+    pub fn should_abandon(
+        &self,
+        request: &AdmittedRequest,
+        pool: &PoolId,
+        progress: &Progress,
+    ) -> bool {
         let another = progress.runs + 1 < request.route.max_runs;
-        another && request.route.idempotency == Idempotency::Idempotent && self.has_faster_target(request, pool, progress)
+        another
+            && request.route.idempotency == Idempotency::Idempotent
+            && self.has_faster_target(request, pool, progress)
     }
 
     /// Whether to resume a stream that fell silent at another target, since that is expected to be faster.
-    pub fn should_resume(&self, request: &AdmittedRequest, pool: &PoolId, progress: &Progress) -> bool {
-        request.route.resumable && may_rerun(request, progress) && self.has_faster_target(request, pool, progress)
+    pub fn should_resume(
+        &self,
+        request: &AdmittedRequest,
+        pool: &PoolId,
+        progress: &Progress,
+    ) -> bool {
+        request.route.resumable
+            && may_rerun(request, progress)
+            && self.has_faster_target(request, pool, progress)
     }
 
     /// Whether another target is expected to start a request before its caller gives up.
-    fn has_faster_target(&self, request: &AdmittedRequest, pool: &PoolId, progress: &Progress) -> bool {
+    fn has_faster_target(
+        &self,
+        request: &AdmittedRequest,
+        pool: &PoolId,
+        progress: &Progress,
+    ) -> bool {
         if !self.may_offer(progress) || self.crash_refusal_left(request).is_some() {
             return false;
         }
@@ -61,7 +82,10 @@
             return false;
         };
         let left = match request.route.streaming {
-            true => request.route.event_timeout.mul_f64(1.0 - EVENT_TIMEOUT_FRACTION),
+            true => request
+                .route
+                .event_timeout
+                .mul_f64(1.0 - EVENT_TIMEOUT_FRACTION),
             false => request.time_left(),
         };
         let expected = Duration::from_secs_f64(candidate.expected_ms() / 1000.0);
--- a/crates/sillpin-gateway/src/front/mod.rs
+++ b/crates/sillpin-gateway/src/front/mod.rs
@@ -13,16 +13,16 @@
 //! - [`handler`]: the listeners' handlers.
 
 pub mod admit;
-pub mod refusal;
 pub mod attempt;
 pub mod body_memory;
 pub mod dispatch;
 pub mod events;
 pub mod handler;
-pub mod selection;
+pub mod idle_timeout;
+pub mod refusal;
 pub mod relay;
+pub mod selection;
 pub mod shared;
-pub mod idle_timeout;
 
 pub use handler::Front;
 pub use shared::Shared;
--- a/crates/sillpin-gateway/src/front/relay.rs
+++ b/crates/sillpin-gateway/src/front/relay.rs
@@ -71,7 +71,9 @@
                 .await
             {
                 RelayEnd::Complete => {
-                    self.fatal.record().served(request.fingerprint, Instant::now());
+                    self.fatal
+                        .record()
+                        .served(request.fingerprint, Instant::now());
                     self.metrics.response_end(request.arrival.elapsed());
                     self.metrics.request(&request.route.name, "answered");
                     event!(self.log, events::STREAM_WHOLE, "request" => id,
@@ -80,7 +82,9 @@
                     return;
                 }
                 RelayEnd::CallerDisconnected => {
-                    self.fatal.sent(request.fingerprint, LifeHash::of(&entry)).end(true);
+                    self.fatal
+                        .sent(request.fingerprint, LifeHash::of(&entry))
+                        .end(true);
                     self.metrics.request(&request.route.name, "caller-gone");
                     event!(self.log, events::CALLER_GONE, "request" => id,
                         "target" => target.as_str(),
@@ -88,7 +92,9 @@
                     return;
                 }
                 RelayEnd::DeadlineReached => {
-                    self.fatal.sent(request.fingerprint, LifeHash::of(&entry)).end(true);
+                    self.fatal
+                        .sent(request.fingerprint, LifeHash::of(&entry))
+                        .end(true);
                     "the request's deadline was reached".to_owned()
                 }
                 RelayEnd::Broken(reason) => {
--- a/crates/sillpin-gateway/src/front/selection.rs
+++ b/crates/sillpin-gateway/src/front/selection.rs
@@ -1,8 +1,8 @@
 //! Selects pool, target and prompt plan for one attempt.
 
 use super::admit::AdmittedRequest;
-use super::refusal::{DEFAULT_RETRY_AFTER, Refusal};
 use super::dispatch::Progress;
+use super::refusal::{DEFAULT_RETRY_AFTER, Refusal};
 use super::shared::Shared;
 use crate::beliefs::View;
 use crate::config::{EngineSpec, Pool, Priority};
@@ -119,7 +119,11 @@
 
     /// Work that the request adds to its engine, as reported to other boxes.
     pub fn work(&self) -> Work {
-        let counted = if self.in_time { 1.0 } else { LATE_WORK_FRACTION };
+        let counted = if self.in_time {
+            1.0
+        } else {
+            LATE_WORK_FRACTION
+        };
         Work::one(
             self.prefill_ms * counted,
             Tokens((self.prompt_len.0 as f64 * counted) as u64),
@@ -233,14 +237,22 @@
     fn residency<'a>(&'a self, request: &'a AdmittedRequest) -> Residency<'a> {
         Residency {
             route: &request.route.regions,
-            organisation: request.organisation.as_ref().map_or(&[], |org| &org.regions),
+            organisation: request
+                .organisation
+                .as_ref()
+                .map_or(&[], |org| &org.regions),
             regions: &self.cfg.zones,
         }
     }
 
     /// Time until the first of the allowed targets accepts requests again, plus a random delay. `None` unless all of
     /// them have asked this box to send nothing for some time.
-    pub fn backoff_wait(&self, request: &AdmittedRequest, pool: &PoolId, view: &View) -> Option<Duration> {
+    pub fn backoff_wait(
+        &self,
+        request: &AdmittedRequest,
+        pool: &PoolId,
+        view: &View,
+    ) -> Option<Duration> {
         let residency = self.residency(request);
         let targets = view.index.pool(pool)?.all.iter();
         let allowed = targets.filter(|target| residency.allows(&target.entry.zone));
@@ -253,7 +265,12 @@
 
     /// Retry-after for a request that no target of a pool may get because of rate limits; `None` if limits are not
     /// the reason. Randomised by half of the value in both directions, so that callers don't come back all at once.
-    pub fn limit_wait(&self, request: &AdmittedRequest, pool: &PoolId, view: &View) -> Option<Duration> {
+    pub fn limit_wait(
+        &self,
+        request: &AdmittedRequest,
+        pool: &PoolId,
+        view: &View,
+    ) -> Option<Duration> {
         let now = Instant::now();
         let gate = self.gate(request.config.pool(pool)?, view, now);
         let mut limits = self.loads.limits();
@@ -342,7 +359,12 @@
     }
 
     /// Latest time at which a prompt may start at the selected target, according to the current view.
-    pub fn latest_start(&self, request: &AdmittedRequest, pool: &PoolId, version: WeightVersion) -> Option<Instant> {
+    pub fn latest_start(
+        &self,
+        request: &AdmittedRequest,
+        pool: &PoolId,
+        version: WeightVersion,
+    ) -> Option<Instant> {
         let model = &request.head.prompt.as_ref()?.model;
         let view = self.fleet.view();
         let serving = served_versions(&view, pool, model);
--- a/crates/sillpin-gateway/src/front/shared.rs
+++ b/crates/sillpin-gateway/src/front/shared.rs
@@ -1,7 +1,6 @@
 //! State shared by all requests of a box.
 
 use super::body_memory::BodyMemory;
-use crate::suspend_clock::SuspendClock;
 use crate::beliefs::FleetHandle;
 use crate::budget::RetryBudget;
 use crate::dialect::Dialect;
@@ -13,6 +12,7 @@
 use crate::pool::ConnectionPool;
 use crate::reload::Settings;
 use crate::settings::BoxConfig;
+use crate::suspend_clock::SuspendClock;
 use sillpin_core::PoolId;
 use slog::Logger;
 use std::sync::{Arc, Mutex};
--- a/crates/sillpin-gateway/src/kept/directory.rs
+++ b/crates/sillpin-gateway/src/kept/directory.rs
@@ -3,7 +3,7 @@
 use super::links::Links;
 use super::retire::{MAX_FETCH_TIME, Retirements};
 use crate::config::StoreSpec;
-use crate::control::{PartChange, PartKey, StoreListing, StoreChanges};
+use crate::control::{PartChange, PartKey, StoreChanges, StoreListing};
 use crate::dialect::EngineTime;
 use serde::{Deserialize, Serialize};
 use sillpin_core::Tokens;
--- a/crates/sillpin-gateway/src/kept/freer.rs
+++ b/crates/sillpin-gateway/src/kept/freer.rs
@@ -3,11 +3,11 @@
 use super::Kept;
 use super::retire::{place_of, weights_of};
 use super::salt::SaltParts;
-use crate::suspend_clock::SuspendClock;
 use crate::beliefs::{FleetHandle, View};
 use crate::config::StoreSpec;
 use crate::control::{Control, FreeOrder, PartKey, PartialPart};
 use crate::dialect::Salt;
+use crate::suspend_clock::SuspendClock;
 use sillpin_telemetry::{event, events};
 use slog::Logger;
 use std::collections::HashMap;
--- a/crates/sillpin-gateway/src/kept/reader.rs
+++ b/crates/sillpin-gateway/src/kept/reader.rs
@@ -3,7 +3,7 @@
 use super::Kept;
 use crate::beliefs::{BoxEntry, FleetHandle, View};
 use crate::config::{FleetConfig, StoreSpec};
-use crate::control::{Control, ControlError, StoreListing, StoreChanges};
+use crate::control::{Control, ControlError, StoreChanges, StoreListing};
 use crate::kept::directory::Position;
 use crate::peers::datagram::{KeptListing, KeptWord, MAX_CHANGES, News};
 use crate::peers::roles::{Role, SMALL_FLEET};
--- a/crates/sillpin-gateway/src/lib.rs
+++ b/crates/sillpin-gateway/src/lib.rs
@@ -18,7 +18,6 @@
 //! - [`reload`]: settings that change while the box runs,
 //! - [`ops`]: assembly of a box.
 
-pub mod suspend_clock;
 pub mod beliefs;
 pub mod budget;
 pub mod config;
@@ -34,4 +33,5 @@
 pub mod pool;
 pub mod reload;
 pub mod settings;
+pub mod suspend_clock;
 pub mod weights;
--- a/crates/sillpin-gateway/src/metrics.rs
+++ b/crates/sillpin-gateway/src/metrics.rs
@@ -50,7 +50,10 @@
         Self {
             requests: counter("sillpin_requests", "Requests of callers by outcome"),
             attempts: counter("sillpin_sendings", "Attempts at targets by outcome"),
-            copies: counter("sillpin_copies", "State copies requested from other boxes by outcome"),
+            copies: counter(
+                "sillpin_copies",
+                "State copies requested from other boxes by outcome",
+            ),
             copied_bytes: counter("sillpin_copied_bytes", "Bytes of state copies by outcome"),
             datagrams: counter("sillpin_datagrams", "Datagrams between boxes by kind"),
             datagram_bytes: counter("sillpin_datagram_bytes", "Bytes of datagrams by kind"),
@@ -118,12 +121,14 @@
     /// Counts a prompt sent to an engine, by whether its weights are the newest or replaced ones.
     pub fn prompt_attempt(&self, replaced: bool) {
         let weights = if replaced { "replaced" } else { "newest" };
-        self.prompt_attempts.add(1, &[KeyValue::new("weights", weights)]);
+        self.prompt_attempts
+            .add(1, &[KeyValue::new("weights", weights)]);
     }
 
     /// Counts tokens of shared parts by `source`.
     pub fn prompt_tokens(&self, source: &'static str, tokens: u64) {
-        self.prompt_tokens.add(tokens, &[KeyValue::new("source", source)]);
+        self.prompt_tokens
+            .add(tokens, &[KeyValue::new("source", source)]);
     }
 
     /// Records the time to the head of a response.
--- a/crates/sillpin-gateway/src/ops.rs
+++ b/crates/sillpin-gateway/src/ops.rs
@@ -1,6 +1,5 @@
 //! Assembles a box: opens its listeners, starts its tasks, and stops it.
 
-use crate::suspend_clock::SuspendClock;
 use crate::beliefs::fleet::Fleet;
 use crate::beliefs::reader::{Reader, hold_wait};
 use crate::beliefs::transfers::Transfers;
@@ -26,6 +25,7 @@
 use crate::place::Loads;
 use crate::reload::Settings;
 use crate::settings::BoxConfig;
+use crate::suspend_clock::SuspendClock;
 use crate::weights::duty::Duty;
 use crate::weights::rollout::{ALONE, Rollout};
 use hyper::header::{CONTENT_TYPE, HeaderValue};
--- a/crates/sillpin-gateway/src/peers/asker.rs
+++ b/crates/sillpin-gateway/src/peers/asker.rs
@@ -5,7 +5,7 @@
 use super::wire::FleetKey;
 use crate::beliefs::transfers::Transfers;
 use crate::beliefs::{BoxEntry, FleetHandle, FleetMsg, Reading, Source, Topic};
-use crate::control::{StoreListing, StoreChanges};
+use crate::control::{StoreChanges, StoreListing};
 use crate::kept::Kept;
 use crate::kept::directory::Position;
 use crate::metrics::BoxMetrics;
--- a/crates/sillpin-gateway/src/peers/datagram.rs
+++ b/crates/sillpin-gateway/src/peers/datagram.rs
@@ -3,7 +3,7 @@
 use super::packed::PackedWord;
 use crate::beliefs::wanted::NamedAge;
 use crate::beliefs::{BoxEntry, Topic};
-use crate::control::{PartChange, PartKey, Life};
+use crate::control::{Life, PartChange, PartKey};
 use crate::dialect::EngineTime;
 use crate::fatal::FatalWord;
 use crate::kept::directory::Position;
--- a/crates/sillpin-gateway/src/peers/digest.rs
+++ b/crates/sillpin-gateway/src/peers/digest.rs
@@ -8,7 +8,6 @@
 use super::spread::{Spread, TELL_EVERY, ZoneNews};
 use super::stall::StallGuard;
 use super::wire::{self, FleetKey};
-use crate::suspend_clock::SuspendClock;
 use crate::beliefs::transfers::Transfers;
 use crate::beliefs::wanted::ages;
 use crate::beliefs::{BoxEntry, FleetHandle, Known, View};
@@ -18,6 +17,7 @@
 use crate::place::Loads;
 use crate::place::work::EngineWork;
 use crate::reload::Settings;
+use crate::suspend_clock::SuspendClock;
 use rand::seq::IndexedRandom;
 use sillpin_telemetry::{event, events};
 use slog::Logger;
@@ -214,7 +214,8 @@
             retirements.wake(self.suspend_clock.suspended());
             retirements.update(&view, fullness, Instant::now());
         }
-        self.loads.words(|words| words.wake(self.suspend_clock.suspended()));
+        self.loads
+            .words(|words| words.wake(self.suspend_clock.suspended()));
         if large {
             return;
         }
--- a/crates/sillpin-gateway/src/peers/ear/news.rs
+++ b/crates/sillpin-gateway/src/peers/ear/news.rs
@@ -2,7 +2,7 @@
 
 use super::{Ear, asked_at};
 use crate::beliefs::{FleetMsg, Topic};
-use crate::control::{StoreListing, StoreChanges};
+use crate::control::{StoreChanges, StoreListing};
 use crate::kept::directory::Position;
 use crate::peers::datagram::{
     Bulletin, KeptListing, KeptWord, LoadNews, News, PublishedWord, Report, ZoneWord,
--- a/crates/sillpin-gateway/src/place/choose.rs
+++ b/crates/sillpin-gateway/src/place/choose.rs
@@ -279,7 +279,11 @@
 
     /// Whether a prompt need not look further than at an engine that was found.
     fn is_soon(&self, found: &Chosen) -> bool {
-        let latency_objective = self.choice.prompt.as_ref().map_or(0.0, |p| millis(p.latency_objective));
+        let latency_objective = self
+            .choice
+            .prompt
+            .as_ref()
+            .map_or(0.0, |p| millis(p.latency_objective));
         !found.rests && found.queue_ms <= latency_objective * FURTHER_AIMS
     }
 
--- a/crates/sillpin-gateway/src/place/parts.rs
+++ b/crates/sillpin-gateway/src/place/parts.rs
@@ -180,7 +180,8 @@
     let has_room =
         |store: &&&StoreSpec| (used(store) + tokens).0 as f64 <= store.capacity.0 as f64 * FILLED;
     let roomy: Vec<&StoreSpec> = known.iter().filter(has_room).copied().collect();
-    let alike = |store: &&&StoreSpec| store.first == roomy[0].first && store.capacity == roomy[0].capacity;
+    let alike =
+        |store: &&&StoreSpec| store.first == roomy[0].first && store.capacity == roomy[0].capacity;
     let not_kept = match (known.is_empty(), roomy.is_empty()) {
         (true, _) => NotKept::StoresUnknown,
         (_, true) => NotKept::NoRoom,
--- a/crates/sillpin-gateway/src/place/words/mod.rs
+++ b/crates/sillpin-gateway/src/place/words/mod.rs
@@ -17,7 +17,7 @@
 use self::limit::{Heard, LimitChange, NamedLimits, log_limit};
 use self::replaced::Replaced;
 use super::work::LifeHash;
-use crate::dialect::{RetryAfter, ResponseSignals};
+use crate::dialect::{ResponseSignals, RetryAfter};
 use sillpin_telemetry::{event, events};
 use slog::Logger;
 use std::collections::HashSet;
--- a/crates/sillpin-gateway/src/pool.rs
+++ b/crates/sillpin-gateway/src/pool.rs
@@ -4,8 +4,8 @@
 //! unexpected closes it, since left-over bytes cannot be assigned to a request. An error from sending states whether
 //! any byte may have reached the target, because the caller's response depends on it.
 
-use crate::suspend_clock::SuspendClock;
 use crate::control::{Life, TargetEntry};
+use crate::suspend_clock::SuspendClock;
 use bytes::Bytes;
 use derive_more::{Display, Error};
 use http_body_util::Full;
@@ -178,7 +178,10 @@
     /// Creates an empty pool that counts time in which the box was suspended by `suspend_clock`.
     pub fn new(suspend_clock: SuspendClock) -> Self {
         let idle = Arc::default();
-        Self { suspend_clock, idle }
+        Self {
+            suspend_clock,
+            idle,
+        }
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<TargetId, Vec<Conn>>> {
--- a/crates/sillpin-gateway/src/suspend_clock.rs
+++ b/crates/sillpin-gateway/src/suspend_clock.rs
@@ -94,7 +94,8 @@
         let offset = self.offset.read().zip(self.initial_offset);
         let measured = offset.map(|(now, initial_offset)| now.saturating_sub(initial_offset));
         let mut suspended = lock(&self.suspended);
-        if let Some(measured) = measured.filter(|measured| *measured >= *suspended + MIN_SUSPENSION) {
+        if let Some(measured) = measured.filter(|measured| *measured >= *suspended + MIN_SUSPENSION)
+        {
             *suspended = measured;
         }
         *suspended
--- a/crates/sillpin-gateway/src/weights/duty.rs
+++ b/crates/sillpin-gateway/src/weights/duty.rs
@@ -1,7 +1,7 @@
 //! Who holds the duty to order engines.
 
-use crate::suspend_clock::SuspendClock;
 use crate::beliefs::wanted::NamedAge;
+use crate::suspend_clock::SuspendClock;
 use serde::{Deserialize, Serialize};
 use sillpin_core::{BoxId, Fence, TargetId};
 use sillpin_platform::{KvRevision, LeaseId, Platform, PlatformError, PlatformFault, StoreEra};
--- a/crates/sillpin-gateway/src/weights/load.rs
+++ b/crates/sillpin-gateway/src/weights/load.rs
@@ -1,9 +1,9 @@
 //! One engine's load of new weights.
 
-use crate::suspend_clock::SuspendClock;
 use crate::beliefs::FleetHandle;
 use crate::beliefs::fleet::served;
 use crate::control::{Control, EngineReport, Life, OrderOutcome, TargetEntry, WeightsOrder};
+use crate::suspend_clock::SuspendClock;
 use sillpin_core::{Fence, ModelId, TargetId, WeightVersion};
 use sillpin_telemetry::{event, events};
 use slog::Logger;
--- a/crates/sillpin-gateway/tests/beliefs.rs
+++ b/crates/sillpin-gateway/tests/beliefs.rs
@@ -437,7 +437,10 @@
     fleet.handle(whole(Topic::Operators, found, 5, start), start);
     let suspend_clock = start + Duration::from_secs(5);
     let named = vec![entry("ops/weights/m", "2", 6)];
-    fleet.handle(changes(Topic::Operators, named, 6, suspend_clock), suspend_clock);
+    fleet.handle(
+        changes(Topic::Operators, named, 6, suspend_clock),
+        suspend_clock,
+    );
     let model: ModelId = common::name("m");
     let wanted = fleet.view().wanted[&model].clone();
     let second = wanted.find(WeightVersion(2)).unwrap();
--- a/crates/sillpin-gateway/tests/budget.rs
+++ b/crates/sillpin-gateway/tests/budget.rs
@@ -86,7 +86,8 @@
             budget.record_request(&pool, &rules, BOXES, Instant::now());
             // A request may be sent to two more targets.
             for _ in 0..2 {
-                let is_retried = round >= succeeding && budget.take(&pool, &rules, BOXES, Instant::now());
+                let is_retried =
+                    round >= succeeding && budget.take(&pool, &rules, BOXES, Instant::now());
                 retries += u32::from(is_retried);
             }
         }
--- a/crates/sillpin-gateway/tests/common/mod.rs
+++ b/crates/sillpin-gateway/tests/common/mod.rs
@@ -277,7 +277,10 @@
 impl Platform for MemoryStore {
     async fn get(&self, key: &str) -> Result<Option<KvEntry>, PlatformError> {
         self.call().await?;
-        Ok(self.entries_below(key).into_iter().find(|entry| entry.key == key))
+        Ok(self
+            .entries_below(key)
+            .into_iter()
+            .find(|entry| entry.key == key))
     }
 
     async fn list(
--- a/crates/sillpin-gateway/tests/freer.rs
+++ b/crates/sillpin-gateway/tests/freer.rs
@@ -4,16 +4,16 @@
 
 use common::{TestKeys, entry, name};
 use sillpin_core::{TargetId, Tokens};
-use sillpin_gateway::suspend_clock::SuspendClock;
 use sillpin_gateway::beliefs::fleet::Fleet;
 use sillpin_gateway::beliefs::{self, FleetMsg, Reading, Source, Topic};
 use sillpin_gateway::control::{
-    Control, ControlError, EngineReport, FreeOrder, PartKey, StoreListing, StoreChanges, OrderOutcome,
-    PartialPart, WeightsOrder,
+    Control, ControlError, EngineReport, FreeOrder, OrderOutcome, PartKey, PartialPart,
+    StoreChanges, StoreListing, WeightsOrder,
 };
 use sillpin_gateway::dialect::{EngineTime, PartId, Salt};
 use sillpin_gateway::kept::Kept;
 use sillpin_gateway::kept::freer::Freer;
+use sillpin_gateway::suspend_clock::SuspendClock;
 use sillpin_platform::{KvRevision, Snapshot};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
--- a/crates/sillpin-gateway/tests/kept/links.rs
+++ b/crates/sillpin-gateway/tests/kept/links.rs
@@ -52,7 +52,13 @@
         let mut links = Links::default();
         for _ in 0..60 {
             links.note_read(LONG, Duration::from_millis(20));
-            links.note_fetch(STORE, LONG, Duration::from_millis(500), latency_objective, Instant::now());
+            links.note_fetch(
+                STORE,
+                LONG,
+                Duration::from_millis(500),
+                latency_objective,
+                Instant::now(),
+            );
         }
         links.share(STORE, Instant::now())
     };
--- a/crates/sillpin-gateway/tests/kept/listing.rs
+++ b/crates/sillpin-gateway/tests/kept/listing.rs
@@ -10,7 +10,8 @@
 use sillpin_gateway::beliefs::fleet::Fleet;
 use sillpin_gateway::beliefs::{self, BoxEntry, FleetHandle, FleetMsg, Reading, Source, Topic};
 use sillpin_gateway::control::{
-    Control, ControlError, EngineReport, FreeOrder, StoreListing, StoreChanges, OrderOutcome, WeightsOrder,
+    Control, ControlError, EngineReport, FreeOrder, OrderOutcome, StoreChanges, StoreListing,
+    WeightsOrder,
 };
 use sillpin_gateway::dialect::EngineTime;
 use sillpin_gateway::kept::Kept;
--- a/crates/sillpin-gateway/tests/kept/main.rs
+++ b/crates/sillpin-gateway/tests/kept/main.rs
@@ -11,7 +11,7 @@
 mod retire;
 
 use sillpin_core::Tokens;
-use sillpin_gateway::control::{PartChange, PartKey, StoreListing, StoreChanges};
+use sillpin_gateway::control::{PartChange, PartKey, StoreChanges, StoreListing};
 use sillpin_gateway::dialect::{EngineTime, PartId, Salt};
 use std::net::SocketAddr;
 
--- a/crates/sillpin-gateway/tests/rollout.rs
+++ b/crates/sillpin-gateway/tests/rollout.rs
@@ -4,15 +4,15 @@
 
 use common::{MemoryStore, TestKeys, entry, name};
 use sillpin_core::{TargetId, WeightVersion};
-use sillpin_gateway::suspend_clock::SuspendClock;
 use sillpin_gateway::beliefs::fleet::Fleet;
 use sillpin_gateway::beliefs::{self, BoxEntry, FleetHandle, FleetMsg, Reading, Source, Topic};
 use sillpin_gateway::control::{
-    Control, ControlError, EngineReport, FreeOrder, StoreListing, StoreChanges, OrderOutcome, Served,
-    WeightsOrder,
+    Control, ControlError, EngineReport, FreeOrder, OrderOutcome, Served, StoreChanges,
+    StoreListing, WeightsOrder,
 };
 use sillpin_gateway::kept::Kept;
 use sillpin_gateway::place::Loads;
+use sillpin_gateway::suspend_clock::SuspendClock;
 use sillpin_gateway::weights::duty::Duty;
 use sillpin_gateway::weights::rollout::Rollout;
 use sillpin_platform::{KvRevision, Snapshot};
--- a/crates/sillpin-gateway/tests/suspend.rs
+++ b/crates/sillpin-gateway/tests/suspend.rs
@@ -7,12 +7,12 @@
 mod common;
 
 use common::{MemoryStore, TestKeys, engine, entry, name};
-use sillpin_gateway::suspend_clock::SuspendClock;
 use sillpin_gateway::beliefs::fleet::Fleet;
 use sillpin_gateway::beliefs::{BoxEntry, FleetMsg, Reading, Source, Topic};
 use sillpin_gateway::control::TargetEntry;
 use sillpin_gateway::kept::retire::Retirements;
 use sillpin_gateway::pool::ConnectionPool;
+use sillpin_gateway::suspend_clock::SuspendClock;
 use sillpin_gateway::weights::duty::Duty;
 use sillpin_platform::{KvRevision, Snapshot};
 use std::time::Duration;
@@ -82,14 +82,23 @@
     let may_fetch = |retirements: &Retirements, fleet: &Fleet<TestKeys>, at| {
         retirements.may_fetch(fleet.view(), suspend_clock.suspended(), at)
     };
-    assert!(!may_fetch(&retirements, &fleet, now), "before any task has run");
+    assert!(
+        !may_fetch(&retirements, &fleet, now),
+        "before any task has run"
+    );
     let resumed = now + Duration::from_millis(1);
     fleet.sweep(resumed);
     retirements.wake(suspend_clock.suspended());
-    assert!(!may_fetch(&retirements, &fleet, resumed), "the state is outdated");
+    assert!(
+        !may_fetch(&retirements, &fleet, resumed),
+        "the state is outdated"
+    );
     let asked = resumed + Duration::from_millis(1);
     fleet.handle(read(Topic::Targets, "target/i-1", "ready 1", asked), asked);
-    assert!(may_fetch(&retirements, &fleet, asked), "the state was confirmed again");
+    assert!(
+        may_fetch(&retirements, &fleet, asked),
+        "the state was confirmed again"
+    );
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/sillpin-gateway/tests/words.rs
+++ b/crates/sillpin-gateway/tests/words.rs
@@ -5,7 +5,7 @@
 use common::{engine, name};
 use rstest::rstest;
 use sillpin_gateway::control::{Life, TargetEntry};
-use sillpin_gateway::dialect::{RetryAfter, ResponseSignals};
+use sillpin_gateway::dialect::{ResponseSignals, RetryAfter};
 use sillpin_gateway::place::words::{Change, Said, Words};
 use sillpin_gateway::place::work::LifeHash;
 use std::time::Duration;
