--- a/crates/sillpin-gateway/src/budget.rs
+++ b/crates/sillpin-gateway/src/budget.rs
@@ -7,7 +7,7 @@
 //! In a fleet so large that a box's part of the slack is less than one retry, boxes that had each saved up a whole
 //! one could exceed the limit together. There the retry is granted at random, with a probability equal to the box's
 //! balance, and the balance is zero afterwards in either case. All boxes together then make as many retries as they
-//! have earned, apart from random deviations, for which [`RANDOM_SAVED_FRACTION`] leaves room.
+//! have earned, apart from random deviations, for which `RANDOM_SAVED_FRACTION` leaves room.
 
 use crate::settings::RetryRules;
 use rand::rngs::StdRng;
--- a/crates/sillpin-gateway/src/dialect.rs
+++ b/crates/sillpin-gateway/src/dialect.rs
@@ -124,7 +124,7 @@
     #[display("host missing or ambiguous")]
     Host,
     /// A header cannot be parsed.
-    #[display("header {_0} cannot be parsed")]
+    #[display("header {_0} unreadable")]
     Header(#[error(not(source))] &'static str),
 }
 
--- a/crates/sillpin-gateway/src/front/attempt.rs
+++ b/crates/sillpin-gateway/src/front/attempt.rs
@@ -31,7 +31,7 @@
 const MAX_IDLE: Duration = Duration::from_secs(30);
 
 /// Why a prompt was cancelled at its engine.
-const WEIGHTS_OUTDATED: &str = "the request's weights were replaced too long ago for it to start";
+const WEIGHTS_OUTDATED: &str = "its weights were replaced too long ago for it to begin";
 
 /// Statuses by which a target temporarily rejects a request.
 const TEMPORARY_REJECTIONS: [StatusCode; 2] = [
@@ -123,7 +123,7 @@
             | AttemptOutcome::TimedOut(reason) => reason,
             AttemptOutcome::NotRun { reason, .. } => reason,
             AttemptOutcome::Cancelled => WEIGHTS_OUTDATED,
-            AttemptOutcome::Failed(_) => "the target responded with an error",
+            AttemptOutcome::Failed(_) => "the target's own failure",
             AttemptOutcome::Completed(_) | AttemptOutcome::Streaming(_) => "",
         }
     }
@@ -203,7 +203,7 @@
                 return AttemptOutcome::Unknown(e.to_string());
             }
             HeadWait::Abandoned => {
-                return AttemptOutcome::TimedOut("no response in time".to_owned());
+                return AttemptOutcome::TimedOut("no answer in time".to_owned());
             }
             HeadWait::Expired => return AttemptOutcome::Cancelled,
         };
@@ -271,11 +271,11 @@
         let (parts, body) = resp.into_parts();
         let head = self.dialect.read_response(parts.status, &parts.headers);
         if head.request_id.as_deref() != Some(attempt.request.head.id.as_str()) {
-            return AttemptOutcome::Unknown("the response has another request id".to_owned());
+            return AttemptOutcome::Unknown("the answer is another request's".to_owned());
         }
         self.record_signals(&attempt.target, parts.status, &head, sent);
         if head.not_run || parts.status == StatusCode::MISDIRECTED_REQUEST {
-            let reason = format!("rejected with status {}", parts.status.as_u16());
+            let reason = format!("refused with {}", parts.status.as_u16());
             let weights = head.weights;
             self.drain_and_recycle(attempt.target.id.clone(), conn, body, &head);
             return AttemptOutcome::NotRun {
@@ -287,7 +287,7 @@
         let success = parts.status.is_success();
         if success && (!head.signed || head.encoded) {
             return AttemptOutcome::Unknown(
-                "success response without the target's signature".to_owned(),
+                "a success that the target does not vouch for".to_owned(),
             );
         }
         if success && attempt.request.route.streaming {
@@ -304,9 +304,9 @@
         let limited = http_body_util::Limited::new(body, MAX_COMPLETE_RESPONSE);
         let body = match timeout_at(attempt.request.deadline, limited.collect()).await {
             Ok(Ok(body)) => body.to_bytes(),
-            Ok(Err(e)) => return AttemptOutcome::Unknown(format!("response broke off: {e}")),
+            Ok(Err(e)) => return AttemptOutcome::Unknown(format!("the answer broke off: {e}")),
             Err(_) => {
-                return AttemptOutcome::TimedOut("response did not complete in time".to_owned());
+                return AttemptOutcome::TimedOut("the answer did not end in time".to_owned());
             }
         };
         self.return_connection(attempt.target.id.clone(), conn, &head);
--- a/crates/sillpin-gateway/src/front/body_memory.rs
+++ b/crates/sillpin-gateway/src/front/body_memory.rs
@@ -11,10 +11,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum BodyError {
     /// The body is longer than callers may send.
-    #[display("body is longer than allowed")]
+    #[display("body longer than allowed")]
     TooLong,
     /// The memory for bodies is used up.
-    #[display("out of memory for request bodies")]
+    #[display("no memory for the body")]
     NoMemory,
     /// The caller broke off.
     #[display("body was cut off")]
--- a/crates/sillpin-gateway/src/front/dispatch.rs
+++ b/crates/sillpin-gateway/src/front/dispatch.rs
@@ -64,19 +64,19 @@
 const EVACUATED_WAIT: Duration = Duration::from_secs(1);
 
 /// Refusal while all suitable targets are in evacuated zones.
-const EVACUATED: &str = "all zones with targets for the request are evacuated";
+const EVACUATED: &str = "all zones that have targets for it are evacuated";
 
 /// Refusal while all targets are at their rate limits.
-const LIMITED: &str = "all targets are at their rate limits";
+const LIMITED: &str = "its targets limit their requests and get all that they take";
 
 /// Refusal while all targets have asked this box to send nothing for some time.
-const BACKED_OFF: &str = "all targets have asked for a pause";
+const BACKED_OFF: &str = "its targets want no requests for a while";
 
 /// Refusal while no target can start the request in time.
-const OVERLOADED: &str = "no target can start the request in time";
+const OVERLOADED: &str = "no target can begin it in time";
 
 /// Refusal of a request after which targets have crashed.
-const FATAL: &str = "targets crashed while running this request";
+const FATAL: &str = "targets that ran this request have ended";
 
 impl<D: Dialect> Shared<D> {
     /// Sends a request to targets until there is a response for the caller.
@@ -142,7 +142,7 @@
     ) -> Result<AttemptOutcome, NoAttempt> {
         let left = request.time_left();
         if left < MIN_TIME_LEFT {
-            return Err(end_unserved(progress, "deadline reached"));
+            return Err(end_unserved(progress, "no time left"));
         }
         if let Some(left) = self.crash_refusal_left(request) {
             self.metrics.attempt("withheld");
@@ -380,7 +380,7 @@
         progress: &mut Progress,
     ) -> NoAttempt {
         if progress.runs > 0 {
-            return end_unserved(progress, "no target is available");
+            return end_unserved(progress, "no target is free");
         }
         if let Some(wait) = self.backoff_wait(request, pool, view) {
             self.metrics.attempt("backed-off");
@@ -388,7 +388,7 @@
         }
         if !view.is_evacuated(pool) {
             let Some(wait) = self.limit_wait(request, pool, view) else {
-                return end_unserved(progress, "no target is available");
+                return end_unserved(progress, "no target is free");
             };
             self.metrics.attempt("limited");
             return NoAttempt::Refused(Refusal::not_run(LIMITED).with_retry_after(wait));
@@ -462,10 +462,7 @@
     fn forward_failure(&self, response: CompleteResponse) -> Response<Body> {
         const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
         if NOT_RUN_STATUSES.contains(&response.status.as_u16()) {
-            let reason = format!(
-                "the target responded with status {}",
-                response.status.as_u16()
-            );
+            let reason = format!("the target answered with {}", response.status.as_u16());
             return Refusal::unknown(reason).response(&self.dialect, None);
         }
         self.forward_response(response)
--- a/crates/sillpin-gateway/src/front/relay.rs
+++ b/crates/sillpin-gateway/src/front/relay.rs
@@ -95,7 +95,7 @@
                     self.fatal
                         .sent(request.fingerprint, LifeHash::of(&entry))
                         .end(true);
-                    "the request's deadline was reached".to_owned()
+                    "the request's time is over".to_owned()
                 }
                 RelayEnd::Broken(reason) => {
                     self.broke_off(&request, &entry);
--- a/crates/sillpin-gateway/src/front/selection.rs
+++ b/crates/sillpin-gateway/src/front/selection.rs
@@ -172,7 +172,7 @@
         let shares = &request.route.shares;
         let total: u32 = shares.iter().map(|share| share.weight).sum();
         if total == 0 {
-            return Err(Refusal::not_run("the route has no pool"));
+            return Err(Refusal::not_run("the route names no pool"));
         }
         let mut at = rand::rng().random_range(0..total);
         for share in shares {
@@ -181,7 +181,7 @@
             }
             at -= share.weight;
         }
-        Err(Refusal::not_run("the route has no pool"))
+        Err(Refusal::not_run("the route names no pool"))
     }
 
     /// Selects a target for a request and prepares what is sent to it.
--- a/crates/sillpin-gateway/src/pool.rs
+++ b/crates/sillpin-gateway/src/pool.rs
@@ -65,7 +65,7 @@
         peer: SocketAddr,
     },
     /// The target may have received the request.
-    #[display("no response from {peer}: {what}")]
+    #[display("no answer from {peer}: {what}")]
     Unanswered {
         /// Address of the target.
         peer: SocketAddr,
