--- a/crates/sillpin-gateway/src/control.rs
+++ b/crates/sillpin-gateway/src/control.rs
@@ -207,7 +207,7 @@
     /// Tokens that have arrived.
     pub arrived: Tokens,
     /// Tokens of capacity that it occupies.
-    pub capacity: Tokens,
+    pub reserved: Tokens,
 }
 
 /// An order to a cache store to free parts.
--- a/crates/sillpin-gateway/tests/freer.rs
+++ b/crates/sillpin-gateway/tests/freer.rs
@@ -74,7 +74,7 @@
     let partial = partial.iter().map(|(part, arrived)| PartialPart {
         key: key(part),
         arrived: Tokens(*arrived),
-        capacity: Tokens(100),
+        reserved: Tokens(100),
     });
     StoreListing {
         epoch: 1,
