--- a/crates/sillpin-gateway/src/config.rs
+++ b/crates/sillpin-gateway/src/config.rs
@@ -29,8 +29,8 @@
 const PRIORITY_LEVELS: u8 = 10;
 
 impl Priority {
-    /// The priority of such a request that will miss its latency objective in any case: behind all that can meet
-    /// theirs, with the order among late requests preserved.
+    /// The priority of a request of this priority that will miss its latency objective in any case: behind all that
+    /// can meet theirs, with the order among late requests preserved.
     pub fn demoted(self) -> Self {
         Self(
             self.0
--- a/crates/sillpin-gateway/src/control.rs
+++ b/crates/sillpin-gateway/src/control.rs
@@ -206,7 +206,7 @@
     pub key: PartKey,
     /// Tokens that have arrived.
     pub arrived: Tokens,
-    /// Tokens of capacity that it occupies.
+    /// Tokens of the store's capacity that it occupies.
     pub reserved: Tokens,
 }
 
--- a/crates/sillpin-gateway/src/reload.rs
+++ b/crates/sillpin-gateway/src/reload.rs
@@ -1,7 +1,7 @@
 //! Reloads settings while the box runs.
 //!
 //! Settings are read again at each SIGHUP and periodically, since the file may change without a signal. Seeds and
-//! limits on retries take effect at once; other settings take effect at the next start.
+//! limits on retries take effect at once; settings that name a listener take effect at the next start.
 
 use crate::settings::BoxConfig;
 use sillpin_settings::program::Reloader;
