--- a/crates/sillpin-core/src/block.rs
+++ b/crates/sillpin-core/src/block.rs
@@ -1,14 +1,14 @@
-//! Prompt identity: a prompt is cut into blocks and each block's name chains over the one before.
+//! Prompt identity: a prompt is split into blocks, and each block's name is a hash chained over the
+//! previous block's.
 //!
 //! A name is a keyed hash over the [`PromptScope`] (organisation, model, adapter, weight version),
-//! the name of the block before it, and the block's text. So the name of another organisation's
-//! block, or of a block of other weights, cannot be formed from one's own prompt; no look-up has to
-//! remember to filter them out. Two prompts that begin alike share the names of their common
-//! blocks, and only those.
+//! the preceding hash, and the block's text. A prompt therefore cannot produce the name of another
+//! organisation's block or of a block of other weights, and look-ups need no filter for them. Two
+//! prompts with a common prefix share the names of its whole blocks, and no others.
 //!
-//! Sillpin holds no tokenizer: a block is a fixed number of bytes of text, moved back to a
-//! character boundary, and [`BYTES_PER_TOKEN`] turns bytes into an estimate of tokens. The engine
-//! reports the true counts in its answers.
+//! Sillpin has no tokenizer: a block is a fixed number of bytes of text, rounded down to a character
+//! boundary, and [`BYTES_PER_TOKEN`] converts bytes to an estimated number of tokens. The engine
+//! reports the exact counts in its responses.
 
 use crate::ids::{AdapterId, ModelId, OrgId, WeightVersion};
 use crate::units::Tokens;
@@ -17,10 +17,10 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::str::FromStr;
 
-/// Tokens in one block; the engines of both users work in pieces of about a thousand.
+/// Tokens in one block; the engines of both users cache in units of about a thousand.
 pub const BLOCK_TOKENS: u64 = 1_000;
 
-/// Estimated bytes of text in one token.
+/// Estimated bytes of text per token.
 pub const BYTES_PER_TOKEN: u64 = 4;
 
 /// Bytes of text in one block.
@@ -29,22 +29,22 @@
 /// Length of a block name in bytes.
 pub const BLOCK_NAME_LEN: usize = 16;
 
-/// Separates the derived key of block names from any other use of the fleet's secret.
+/// Key derivation context that separates block names from other uses of the fleet's secret.
 const KEY_CONTEXT: &str = "sillpin 2026 block names";
 
 /// The name of one block: 128 bits of a keyed hash.
 ///
-/// It is text in documents that people read, and bytes between the system's own processes.
+/// Human-readable formats contain it as hexadecimal text, binary formats as bytes.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct BlockName([u8; BLOCK_NAME_LEN]);
 
-/// Text that is not a block name.
+/// Error for text that is not a block name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 #[display("invalid block name: {} hexadecimal digits", BLOCK_NAME_LEN * 2)]
 pub struct InvalidBlockName;
 
 impl BlockName {
-    /// The name's first eight bytes, for placement.
+    /// Returns the first eight bytes of the name as a hash for placement.
     pub fn placement_hash(&self) -> u64 {
         let (head, _) = self.0.split_at(8);
         u64::from_le_bytes(head.try_into().unwrap_or_default())
@@ -98,7 +98,7 @@
     }
 }
 
-/// The secret that keys block names, shared by every box of one user.
+/// Key of the block name hash; the same on every box of one user.
 #[derive(Clone)]
 pub struct BlockKey([u8; 32]);
 
@@ -109,21 +109,22 @@
     }
 }
 
-/// What a block belongs to besides its text. Blocks of different scopes never share a name.
+/// Properties of a prompt, other than its text, that its block names depend on. Blocks of different
+/// scopes never share a name.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct PromptScope {
     /// Organisation that sent the prompt.
     pub org: OrgId,
-    /// Model that reads it.
+    /// Model that runs it.
     pub model: ModelId,
-    /// Adapter beside the model, if any.
+    /// Adapter used with the model, if any.
     pub adapter: Option<AdapterId>,
     /// Version of the model's weights.
     pub version: WeightVersion,
 }
 
 impl PromptScope {
-    /// Hash of the scope, the name "before" the first block.
+    /// Hash of the scope, with which the hash chain starts.
     fn root(&self, key: &BlockKey) -> blake3::Hash {
         let mut hasher = blake3::Hasher::new_keyed(&key.0);
         let adapter = self.adapter.as_ref().map_or("", AdapterId::as_str);
@@ -135,8 +136,8 @@
         hasher.finalize()
     }
 
-    /// Names of the whole blocks of `prompt`, in order. The rest behind the last whole block has
-    /// no name, as engines cache whole blocks only.
+    /// Returns the names of the whole blocks of `prompt`, in order. A partial last block has no
+    /// name, as engines cache whole blocks only.
     pub fn block_names(&self, key: &BlockKey, prompt: &str) -> Vec<BlockName> {
         let mut before = self.root(key);
         let mut names = Vec::with_capacity(prompt.len() / BLOCK_BYTES);
@@ -150,8 +151,8 @@
         names
     }
 
-    /// Where an unversioned placement decision hashes this prompt to: stable across weight
-    /// versions, so that a prompt keeps its home when weights are swapped.
+    /// Returns the placement hash of the first `home_blocks` blocks. It is independent of the weight
+    /// version, so that a prompt keeps its home targets when weights are replaced.
     pub fn home_hash(&self, key: &BlockKey, prompt: &str, home_blocks: usize) -> u64 {
         let unversioned = PromptScope {
             version: WeightVersion(0),
@@ -176,7 +177,7 @@
     BlockName(name)
 }
 
-/// Estimated tokens in `text`.
+/// Estimates the number of tokens in `text`.
 pub fn estimate_tokens(text: &str) -> Tokens {
     Tokens((text.len() as u64).div_ceil(BYTES_PER_TOKEN))
 }
--- a/crates/sillpin-core/src/block_tests.rs
+++ b/crates/sillpin-core/src/block_tests.rs
@@ -1,4 +1,4 @@
-//! Block names keep organisations, versions and texts apart.
+//! Block names differ between organisations, weight versions, keys and texts.
 
 use super::*;
 
--- a/crates/sillpin-core/src/ids.rs
+++ b/crates/sillpin-core/src/ids.rs
@@ -1,7 +1,7 @@
 //! Newtypes for identifiers.
 //!
-//! Names that people choose ([`BoxId`], [`OrgId`], ...) share one alphabet, so that they can stand
-//! in a URL, a metric label and a key of the platform's service without escaping.
+//! Names chosen by people ([`BoxId`], [`OrgId`], ...) have a restricted character set, so that they
+//! need no escaping in URLs, metric labels and keys of the platform's service.
 
 use crate::number_type;
 use derive_more::{Display, Error};
@@ -10,10 +10,10 @@
 use std::sync::Arc;
 use uuid::Uuid;
 
-/// Longest name accepted, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_LEN: usize = 64;
 
-/// A name that does not follow the rules of this module.
+/// Error for an empty or too long name, or one with other characters.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display(
     "invalid {kind} name {name:?}: 1 to {MAX_NAME_LEN} characters of a-z, 0-9, '.', '_' and '-'"
@@ -45,7 +45,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -77,7 +77,7 @@
 }
 
 name_type!(
-    /// An entry box: one machine that runs `sillpin-entry` and `sillpin-keeper`.
+    /// A box: a machine that runs `sillpin-entry` and `sillpin-keeper`, or `sillpin-box`.
     BoxId, "box"
 );
 name_type!(
@@ -85,11 +85,11 @@
     ZoneId, "availability zone"
 );
 name_type!(
-    /// A region: availability zones near each other.
+    /// A region: a group of availability zones near each other.
     RegionId, "region"
 );
 name_type!(
-    /// An organisation whose callers use the system.
+    /// An organisation, to which callers belong.
     OrgId, "organisation"
 );
 name_type!(
@@ -105,7 +105,7 @@
     ModelId, "model"
 );
 name_type!(
-    /// An adapter loaded beside a model.
+    /// An adapter loaded with a model.
     AdapterId, "adapter"
 );
 name_type!(
@@ -122,7 +122,7 @@
         );
 
         impl $name {
-            /// The number after this one.
+            /// Returns the next number.
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
             }
@@ -131,7 +131,7 @@
 }
 
 counter_type!(
-    /// A position in the log of accepted bundles; a box adopts only a higher one.
+    /// A position in the log of accepted bundles; a box only adopts higher revisions.
     Revision
 );
 counter_type!(
@@ -139,15 +139,15 @@
     WeightVersion
 );
 counter_type!(
-    /// One writing of a kept block; never reused for the same block.
+    /// Number of a write of a block to a store; never reused for the same block.
     Generation
 );
 counter_type!(
-    /// Orders a target's orders: a target that checks refuses a lower one.
+    /// Fencing token of orders to a target: a target that checks it refuses lower tokens.
     Fence
 );
 counter_type!(
-    /// One life of a process, in milliseconds since the Unix epoch at its start.
+    /// Start time of a process in milliseconds since the Unix epoch, which distinguishes restarts.
     Incarnation
 );
 
@@ -162,7 +162,7 @@
         pub struct $name(Uuid);
 
         impl $name {
-            /// A new identifier, ordered by time of creation.
+            /// Creates a new identifier; identifiers are ordered by creation time.
             pub fn generate() -> Self {
                 Self(Uuid::now_v7())
             }
@@ -171,10 +171,10 @@
 }
 
 uuid_type!(
-    /// One request of a caller.
+    /// Id of a caller's request.
     RequestId
 );
 uuid_type!(
-    /// One sending of a request to a target. A target echoes it with everything it answers.
+    /// Id of one attempt to run a request at a target. The target repeats it in every response document.
     AttemptId
 );
--- a/crates/sillpin-core/src/lib.rs
+++ b/crates/sillpin-core/src/lib.rs
@@ -1,15 +1,15 @@
-//! Data types that every other crate of sillpin shares.
+//! Data types shared by all crates of sillpin.
 //!
 //! Nothing here does I/O, reads a clock or spawns a task. The modules are:
 //!
-//! - [`ids`]: newtypes for the names and numbers that identify things,
+//! - [`ids`]: newtypes for identifiers,
 //! - [`units`]: newtypes for sizes, rates and shares,
-//! - `newtype`: the macros that declare them,
-//! - [`block`]: prompt identity, the chain of block names ("docs/DESIGN.md", decision 1),
-//! - [`run`]: what a caller asked for,
-//! - [`target`]: what is known of a target,
-//! - [`outcome`]: what may be said about a request that failed,
-//! - [`sabotage`]: mechanisms that a test build can turn off.
+//! - `newtype`: the macros that declare these newtypes,
+//! - [`block`]: prompt identity by chained block names (`docs/DESIGN.md`, decision 1),
+//! - [`run`]: priority classes of requests,
+//! - [`target`]: entries and load reports of targets and boxes,
+//! - [`outcome`]: outcomes of requests, and error responses,
+//! - [`sabotage`]: mechanisms that test builds can disable.
 
 pub mod block;
 pub mod ids;
--- a/crates/sillpin-core/src/newtype.rs
+++ b/crates/sillpin-core/src/newtype.rs
@@ -1,10 +1,10 @@
-//! Macros that declare newtypes and words, so that all of one kind have the same traits and the same spelling.
+//! Macros that declare number newtypes and string enums with uniform traits and formats.
 //!
-//! [`number_type`](crate::number_type) serves other crates too; they need `derive_more` and `serde` among their
-//! dependencies.
+//! Other crates may use [`number_type`](crate::number_type) too; they need the dependencies
+//! `derive_more` and `serde`.
 
-/// Declares a whole number with a name of its own, written as the bare number. Further traits are derived as attributes
-/// of the declaration.
+/// Declares a newtype of an unsigned integer, displayed and serialised as the plain number. Further
+/// derives can be given as attributes of the declaration.
 #[macro_export]
 macro_rules! number_type {
     ($(#[$attr:meta])* $name:ident) => {
@@ -18,7 +18,7 @@
     };
 }
 
-/// Declares a choice between words, which are written in kebab case.
+/// Declares an enum without fields whose variants are serialised in kebab case.
 macro_rules! word_type {
     ($(#[$attr:meta])* pub enum $name:ident { $($words:tt)* }) => {
         $(#[$attr])*
--- a/crates/sillpin-core/src/outcome.rs
+++ b/crates/sillpin-core/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What may truthfully be said about a request that did not get its whole answer.
+//! What is certain about the execution of a request whose response was not complete.
 
 use crate::ids::RequestId;
 use crate::newtype::word_type;
@@ -10,10 +10,10 @@
 word_type! {
     /// Whether the request was carried out.
     pub enum Outcome {
-        /// No target has begun it, and none will.
+        /// No target has started it, and none will.
         #[display("not-run")]
         NotRun,
-        /// It may or may not have been carried out.
+        /// It may have been carried out or not.
         #[display("unknown")]
         Unknown,
         /// A target carried it out.
@@ -22,23 +22,23 @@
     }
 }
 
-/// An error answer: a problem document of RFC 9457 with the outcome.
+/// Body of an error response: an RFC 9457 problem document with the outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// Short machine-readable name of the problem.
+    /// Machine-readable type of the problem.
     #[serde(rename = "type")]
     pub kind: String,
-    /// The same in words.
+    /// Human-readable summary of the type.
     pub title: String,
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// What happened to this request in particular.
+    /// Explanation specific to this request.
     pub detail: String,
     /// Whether the request was carried out.
     pub outcome: Outcome,
-    /// The request, for `sillpin explain`.
+    /// Id of the request, for `sillpin explain`.
     pub request_id: Option<RequestId>,
-    /// When asking again may help, in seconds; also sent as `Retry-After`.
+    /// Time after which a retry may succeed, in seconds; also sent as `Retry-After`.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub retry_after: Option<u64>,
 }
--- a/crates/sillpin-core/src/run.rs
+++ b/crates/sillpin-core/src/run.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for, apart from the prompt itself.
+//! Priority classes of requests.
 
 use crate::newtype::word_type;
 
@@ -6,14 +6,14 @@
     /// Priority class of a request, most urgent first.
     #[derive(Default)]
     pub enum PriorityClass {
-        /// Somebody waits at the kerb or the counter.
+        /// A person waits for the response on the spot, at a kerb or counter.
         #[display("urgent")]
         Urgent,
-        /// Somebody waits at a desk.
+        /// A person waits for the response at a desk.
         #[default]
         #[display("normal")]
         Normal,
-        /// Nobody waits.
+        /// No person waits for the response.
         #[display("batch")]
         Batch,
     }
@@ -23,7 +23,7 @@
     /// All classes, most urgent first.
     pub const ALL: [PriorityClass; 3] = [Self::Urgent, Self::Normal, Self::Batch];
 
-    /// Position among the classes; 0 is the most urgent.
+    /// Returns the position among the classes; 0 is the most urgent.
     pub fn rank(self) -> u8 {
         self as u8
     }
--- a/crates/sillpin-core/src/sabotage.rs
+++ b/crates/sillpin-core/src/sabotage.rs
@@ -1,35 +1,36 @@
-//! Turns single mechanisms off, so that the checkers of the fault rounds can be seen to fire.
+//! Disables single mechanisms, to show that the checkers of `cargo xtask faults` detect their
+//! absence.
 //!
-//! Only in builds with the feature `broken`, which nothing but `cargo xtask faults --off` makes; in
-//! every other build [`is_off`] is `false` at compile time.
+//! This requires the feature `broken`, which only `cargo xtask faults --off` enables; in every other
+//! build [`is_off`] is a constant `false`.
 
 use derive_more::{Display, FromStr};
 
-/// Names the mechanism that is off, in builds with the feature `broken`.
+/// Environment variable that names the disabled mechanism, in builds with the feature `broken`.
 pub const OFF_ENV: &str = "SILLPIN_OFF";
 
-/// A mechanism that can be turned off.
+/// A mechanism that can be disabled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, FromStr)]
 pub enum Mechanism {
     /// The claim before a call that runs at most once.
     #[display("claim")]
     Claim,
-    /// Telling "unknown" apart from "not run".
+    /// The distinction between the outcomes "unknown" and "not run".
     #[display("outcome")]
     Outcome,
-    /// The check of the attempt that an answer belongs to.
+    /// The check that a response belongs to the current attempt.
     #[display("attempt")]
     Attempt,
-    /// Adopting accepted bundles.
+    /// The adoption of accepted bundles.
     #[display("adopt")]
     Adopt,
-    /// The slots of a weight store.
+    /// The limit on concurrent loads from a weight store.
     #[display("slots")]
     Slots,
 }
 
 impl Mechanism {
-    /// All of them.
+    /// All mechanisms.
     pub const ALL: [Mechanism; 5] = [
         Self::Claim,
         Self::Outcome,
@@ -39,13 +40,13 @@
     ];
 }
 
-/// Whether a mechanism is turned off.
+/// Returns whether a mechanism is disabled.
 #[cfg(not(feature = "broken"))]
 pub const fn is_off(_: Mechanism) -> bool {
     false
 }
 
-/// Whether a mechanism is turned off.
+/// Returns whether a mechanism is disabled.
 #[cfg(feature = "broken")]
 pub fn is_off(mechanism: Mechanism) -> bool {
     let off = std::env::var(OFF_ENV);
--- a/crates/sillpin-core/src/target.rs
+++ b/crates/sillpin-core/src/target.rs
@@ -1,4 +1,4 @@
-//! What is known of the targets and boxes: the box list and the targets' own load reports.
+//! Targets and boxes: their entries in the platform's box list, and the load reports of targets.
 
 use crate::ids::{BoxId, ModelId, PoolId, TargetId, WeightVersion, ZoneId};
 use crate::newtype::word_type;
@@ -7,99 +7,99 @@
 use std::net::SocketAddr;
 
 word_type! {
-    /// What a target does.
+    /// Kind of a target.
     pub enum TargetKind {
-        /// A model engine (a runner).
+        /// A model engine, also called a runner.
         #[display("engine")]
         Engine,
-        /// A plain service.
+        /// A service that runs no model.
         #[display("service")]
         Service,
-        /// A store of kept blocks.
+        /// A store box, which stores KV cache blocks.
         #[display("store")]
         Store,
-        /// A store of weights.
+        /// A weight store.
         #[display("weights")]
         Weights,
     }
 }
 
 word_type! {
-    /// Whether new work may go somewhere.
+    /// Whether a box or target accepts new work.
     pub enum Presence {
-        /// It takes work.
+        /// It accepts new work.
         #[display("live")]
         Live,
-        /// It finishes what it has and takes no new work.
+        /// It finishes its current work and accepts no more.
         #[display("leaving")]
         Leaving,
     }
 }
 
-/// A target as the box list gives it.
+/// Entry of a target in the box list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetEntry {
-    /// Its name.
+    /// Id of the target.
     pub id: TargetId,
-    /// What it does.
+    /// Kind of the target.
     pub kind: TargetKind,
-    /// The pool it belongs to.
+    /// Pool of the target.
     pub pool: PoolId,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Where it listens.
+    /// Address on which it listens.
     pub addr: SocketAddr,
-    /// Whether the list has it live or leaving.
+    /// Its presence according to the box list.
     pub presence: Presence,
-    /// The model it serves, if it is an engine.
+    /// Model that it serves, if it is an engine.
     pub model: Option<ModelId>,
-    /// Rate of its link, if the list knows it.
+    /// Rate of its network link, if the list contains it.
     pub link_rate: Option<BytesPerSec>,
 }
 
-/// An entry box as the box list gives it.
+/// Entry of a box in the box list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxEntry {
-    /// Its name.
+    /// Id of the box.
     pub id: BoxId,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Where its keeper listens for peers.
+    /// Address on which its keeper listens for peers.
     pub peer_addr: SocketAddr,
-    /// Whether the list has it live or leaving.
+    /// Its presence according to the box list.
     pub presence: Presence,
 }
 
 /// The platform's list of boxes and targets.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxList {
-    /// Entry boxes.
+    /// The boxes.
     pub boxes: Vec<BoxEntry>,
-    /// Targets of every kind.
+    /// The targets of all kinds.
     pub targets: Vec<TargetEntry>,
 }
 
-/// A target's own report of its load; it lags behind the truth.
+/// A target's report of its load. It may be outdated when it arrives.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Counts the target's reports; a higher one is newer.
+    /// Sequence number of the report; a higher one is newer.
     pub sequence: u64,
-    /// Whether the target itself says that it is leaving.
+    /// Presence according to the target itself.
     pub presence: Presence,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that it runs at once, or 0 if that is not limited.
+    /// Maximum number of requests that it runs concurrently, or 0 if unlimited.
     pub slots: u32,
-    /// Requests waiting.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Prompt tokens of waiting requests that are still to be computed.
+    /// Prompt tokens that queued requests still have to compute.
     pub waiting_tokens: Tokens,
-    /// Weight version the target serves, if it is an engine.
+    /// Weight version that the target serves, if it is an engine.
     pub version: Option<WeightVersion>,
     /// Measured time to compute one block of a prompt, in microseconds.
     pub block_micros: u64,
-    /// Blocks its cache can hold, if it is an engine.
+    /// Capacity of its cache in blocks, if it is an engine.
     pub cache_blocks: u32,
-    /// Part of its capacity in use, if it is a store.
+    /// Used share of its capacity, if it is a store.
     pub fill: Share,
 }
--- a/crates/sillpin-core/src/units.rs
+++ b/crates/sillpin-core/src/units.rs
@@ -25,7 +25,7 @@
 );
 
 impl BytesPerSec {
-    /// Time to move `size` at this rate; `None` when the rate is zero.
+    /// Returns the time to transfer `size` at this rate; `None` if the rate is zero.
     pub fn time_for(self, size: Bytes) -> Option<Duration> {
         if self.0 == 0 {
             return None;
@@ -53,25 +53,25 @@
 #[display("{}.{:02}%", _0 / 100, _0 % 100)]
 pub struct Share(u16);
 
-/// A share above the whole, or text that is no share.
+/// Error for a share above 100%, or text that is not a share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
-#[display("invalid share: a whole number of hundredths of a percent from 0 to 10000")]
+#[display("invalid share: expected hundredths of a percent, a whole number from 0 to 10000")]
 pub struct InvalidShare;
 
 impl Share {
-    /// Hundredths of a percent in the whole.
+    /// Hundredths of a percent in 100%.
     pub const WHOLE_UNITS: u16 = 10_000;
-    /// All of it.
+    /// 100%.
     pub const WHOLE: Share = Share(Self::WHOLE_UNITS);
-    /// None of it.
+    /// 0%.
     pub const NONE: Share = Share(0);
 
-    /// The share in hundredths of a percent.
+    /// Returns the share in hundredths of a percent.
     pub fn units(self) -> u16 {
         self.0
     }
 
-    /// The share as a fraction from 0 to 1.
+    /// Returns the share as a fraction from 0 to 1.
     pub fn fraction(self) -> f64 {
         f64::from(self.0) / f64::from(Self::WHOLE_UNITS)
     }
@@ -103,7 +103,7 @@
     }
 }
 
-/// Requests a second, in thousandths; written as a decimal number of requests a second.
+/// A request rate in thousandths of a request per second; displayed in requests per second.
 #[derive(
     Debug,
     Clone,
@@ -122,16 +122,16 @@
 #[display("{}", self.per_s())]
 pub struct RequestRate(u32);
 
-/// Text that is no number of requests a second: not decimal, below zero, or without end.
+/// Error for text that is not a valid rate: not a decimal number, negative, or not finite.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
-#[display("invalid rate: a decimal number of requests a second, zero or above")]
+#[display("invalid rate: expected a decimal number of requests per second, 0 or more")]
 pub struct InvalidRate;
 
 impl RequestRate {
-    /// Thousandths in one request a second.
+    /// Units in one request per second.
     const UNITS: f64 = 1000.0;
 
-    /// Requests a second.
+    /// Returns the rate in requests per second.
     pub fn per_s(self) -> f64 {
         f64::from(self.0) / Self::UNITS
     }
@@ -140,7 +140,7 @@
 impl TryFrom<f64> for RequestRate {
     type Error = InvalidRate;
 
-    /// A rate above what can be written, some millions a second, becomes the largest one.
+    /// Rates above the maximum, some millions per second, become the maximum.
     fn try_from(per_s: f64) -> Result<Self, InvalidRate> {
         if !per_s.is_finite() || per_s < 0.0 {
             return Err(InvalidRate);
--- a/crates/sillpin-platform/src/call.rs
+++ b/crates/sillpin-platform/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls of a platform's service over HTTP and JSON, whatever its paths and documents.
+//! HTTP and JSON calls of a platform's service, independent of its paths and documents.
 
 use crate::{PlatformError, PlatformFault};
 use hyper::{HeaderMap, Method, StatusCode};
@@ -12,35 +12,35 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Stands for no document.
+/// Request without a JSON body.
 pub const NO_BODY: Option<&()> = None;
 
-/// Step and outcome of calls.
+/// Step and outcome of a call.
 type Kind = (&'static str, &'static str);
 
-/// Calls of a service so far, by step and outcome; clones share them.
+/// Counts the calls of a service by step and outcome; shared by clones.
 #[derive(Debug, Clone, Default)]
 pub struct CallCounts {
     counts: Arc<Mutex<BTreeMap<Kind, Tally>>>,
 }
 
-/// Calls that ended alike.
+/// Totals of the calls with the same step and outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// How many.
+    /// Number of calls.
     pub calls: u64,
-    /// Bytes of their answers that arrived, those of answers that were given up midway included.
+    /// Bytes received in their responses, including incomplete ones.
     pub bytes: u64,
 }
 
-/// Calls of one step that ended alike.
+/// Totals of one step and outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallCount {
-    /// What was being done.
+    /// The operation.
     pub step: &'static str,
-    /// How the calls ended.
+    /// Name of the outcome.
     pub outcome: &'static str,
-    /// How many, and how much they brought.
+    /// Number of calls and bytes received.
     pub tally: Tally,
 }
 
@@ -52,7 +52,7 @@
         tally.bytes += bytes;
     }
 
-    /// All counts, in the order of steps.
+    /// Returns all counts, ordered by step and outcome.
     pub fn all(&self) -> Vec<CallCount> {
         let counts = self.counts.lock().unwrap_or_else(|e| e.into_inner());
         let count = |(&(step, outcome), &tally)| CallCount {
@@ -64,25 +64,27 @@
     }
 }
 
-/// Calls one service and turns what goes wrong into the platform's faults.
+/// Client of one service that maps errors to [`PlatformFault`] and counts its calls.
 #[derive(Clone)]
 pub struct Caller {
-    /// Connections.
+    /// HTTP client with its connections.
     pub client: Client,
-    /// The service.
+    /// Address of the service.
     pub addr: SocketAddr,
-    /// Longest wait for an answer to begin, beyond what a call asks the service to wait, and for each next part of it.
+    /// Longest wait for the first byte of a response, in addition to the call's own wait time, and
+    /// between its parts.
     pub timeout: Duration,
-    /// What each status other than 2xx means.
+    /// Maps a status other than 2xx to a fault.
     pub classify: fn(StatusCode) -> PlatformFault,
-    /// Counts the calls.
+    /// Counters of the calls.
     pub counts: CallCounts,
 }
 
-/// Outcome of a call whose caller did not wait for its end.
+/// Outcome of a call that was dropped before it ended.
 const ABANDONED: &str = "abandoned";
 
-/// Counts a call once it is over, also one that is dropped: the service has it all the same.
+/// Counts a call on drop, so that a call dropped before its end counts too: the service received it
+/// nevertheless.
 struct Counting<'a> {
     counts: &'a CallCounts,
     step: &'static str,
@@ -97,16 +99,16 @@
     }
 }
 
-/// A call that the service may answer late.
+/// Options of a call whose response the service may delay.
 pub struct Waiting<F = fn()> {
-    /// How long it may wait before it answers.
+    /// Longest time by which the service may delay the response.
     pub wait: Duration,
-    /// Called when its answer begins to arrive.
+    /// Called when the response begins to arrive.
     pub arriving: F,
 }
 
 impl Waiting {
-    /// The service answers at once.
+    /// Options of a call that the service handles immediately.
     pub fn none() -> Self {
         Self {
             wait: Duration::ZERO,
@@ -115,16 +117,16 @@
     }
 }
 
-/// An answer of the service.
+/// A response of the service.
 pub struct Answered<R> {
-    /// Its headers.
+    /// The response headers.
     pub head: HeaderMap,
-    /// Its document.
+    /// The decoded JSON document.
     pub doc: R,
 }
 
 impl Caller {
-    /// Calls the service.
+    /// Calls the service and decodes its JSON response.
     pub async fn call<T: Serialize, R: DeserializeOwned>(
         &self,
         step: &'static str,
@@ -136,7 +138,7 @@
             .await
     }
 
-    /// Calls the service, which may wait before it answers.
+    /// Like [`Caller::call`], for a call whose response the service may delay.
     pub async fn call_for<T: Serialize, R: DeserializeOwned>(
         &self,
         step: &'static str,
@@ -149,7 +151,7 @@
         Ok(answered.doc)
     }
 
-    /// The same for callers that read the answer's headers.
+    /// Like [`Caller::call_for`], but also returns the response headers.
     pub async fn answered<T: Serialize, R: DeserializeOwned>(
         &self,
         step: &'static str,
--- a/crates/sillpin-platform/src/http.rs
+++ b/crates/sillpin-platform/src/http.rs
@@ -1,4 +1,4 @@
-//! The platform's service over HTTP and JSON.
+//! Client of the stand-in's platform service, over HTTP and JSON.
 
 use crate::call::{CallCounts, Caller, NO_BODY, Waiting};
 use crate::{
@@ -11,17 +11,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest wait for an answer, beyond what a watch asks to wait.
+/// Time-out of a call, in addition to the wait time of a watch.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Body of a write.
+/// Body of a write request.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct PutBody {
     /// The new value.
     pub value: String,
-    /// The revision the key must have.
+    /// The revision that the key must have.
     pub expect: KvRevision,
-    /// The lease the key lives under.
+    /// The lease with which the key expires, if any.
     pub lease: Option<LeaseId>,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl HttpPlatform {
-    /// A client of the service at `addr`.
+    /// Creates a client of the service at `addr`.
     pub fn new(client: Client, addr: SocketAddr) -> Self {
         let caller = Caller {
             counts: CallCounts::default(),
--- a/crates/sillpin-platform/src/lib.rs
+++ b/crates/sillpin-platform/src/lib.rs
@@ -1,9 +1,9 @@
-//! The platform as sillpin sees it: a key-value service and the list of boxes and targets.
+//! Interface to the platform: its key-value service and its list of boxes and targets.
 //!
-//! [`Platform`] is the one interface; [`http`] is the adapter of the project's own stand-in, and [`call`] what
-//! adapters share. Another wire format costs one
-//! file. The service counts each call, and a waiting watch as one, so callers state in
-//! `docs/CAPACITY.md` how often they call.
+//! [`Platform`] is the only interface; [`http`] is the adapter for the project's own stand-in, and
+//! [`call`] is shared by all adapters. Another wire format needs one more adapter file. The service
+//! counts every call, and a waiting watch as one; `docs/CAPACITY.md` states how often each caller
+//! calls it.
 
 pub mod call;
 pub mod http;
@@ -19,43 +19,45 @@
 
 pub use http::HttpPlatform;
 
-/// Longest value the service holds, in bytes.
+/// Longest value that the service accepts, in bytes.
 pub const MAX_VALUE_LEN: usize = 1 << 20;
 
-/// Keys asked for in one page of a listing.
+/// Keys requested per page of a listing.
 const PAGE_LEN: usize = 500;
 
 number_type!(
-    /// Counts how often the service came back from a copy, and lost what was written since.
+    /// Number of times that the service was restored from a backup; each restore loses the writes
+    /// since that backup.
     StoreEra
 );
 
-/// A change of the service. Within an era each change takes the next number; a later era gives numbers out again, and all its changes come behind those
-/// of earlier ones. Zero: the key does not exist.
+/// Revision of a change in the service. Within an era each change takes the next number. A later
+/// era reuses numbers, and all its revisions compare greater than those of earlier eras. Zero: the
+/// key does not exist.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct KvRevision(pub u64);
 
-/// Bits of a revision that hold its number: a thousand changes a second for 30 years.
+/// Bits of a revision that hold its number, enough for a thousand changes per second for 30 years.
 const NUMBER_BITS: u32 = 40;
 
 impl KvRevision {
-    /// Expected by a write that creates its key.
+    /// Expected revision of a key that does not exist; a write with it creates the key.
     pub const ABSENT: KvRevision = KvRevision(0);
 
-    /// The change `number` of an era.
+    /// Returns the revision of the change `number` in `era`.
     pub fn in_era(era: StoreEra, number: u64) -> Self {
         Self(era.0 << NUMBER_BITS | number)
     }
 
-    /// The era that it belongs to.
+    /// Returns the era of the revision.
     pub fn era(self) -> StoreEra {
         StoreEra(self.0 >> NUMBER_BITS)
     }
 
-    /// Its number in its era.
+    /// Returns the number of the revision within its era.
     pub fn number(self) -> u64 {
         self.0 & ((1 << NUMBER_BITS) - 1)
     }
@@ -70,14 +72,15 @@
     }
 }
 
-/// A lease granted by the service.
+/// Id of a lease granted by the service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
 #[serde(from = "u64", into = "u64")]
 #[display("{id}")]
 pub struct LeaseId {
-    /// Its name.
+    /// Its number in the service.
     pub id: u64,
-    /// The era that it was granted in. In later ones it is over, also if the copy has it: what was written under it may be gone.
+    /// The era in which it was granted. It is invalid in later eras even if the restored backup
+    /// contains it, since keys written under it may be lost.
     pub era: StoreEra,
 }
 
@@ -94,63 +97,63 @@
     }
 }
 
-/// One key with its value.
+/// A key with its value and revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvEntry {
     /// The key.
     pub key: String,
     /// The value; `None` in a watch when the key was deleted.
     pub value: Option<String>,
-    /// The change that wrote it.
+    /// The revision that last changed it.
     pub revision: KvRevision,
 }
 
-/// What a watch saw.
+/// Result of a watch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchReply {
-    /// Keys changed since, each once, in its newest state.
+    /// Keys that changed, each once with its latest state.
     pub changed: Vec<KvEntry>,
-    /// Ask for changes after this one next time.
+    /// Revision after which the next watch continues.
     pub revision: KvRevision,
 }
 
-/// All keys below a prefix.
+/// All keys with a prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The keys, in order.
+    /// The entries, ordered by key.
     pub entries: Vec<KvEntry>,
-    /// A watch after this change misses nothing that the entries lack.
+    /// Revision from which a watch returns every change that the entries don't include.
     pub revision: KvRevision,
 }
 
-/// What went wrong at the platform.
+/// Cause of a failed platform call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum PlatformFault {
-    /// It could not be reached; nothing took effect.
+    /// The platform could not be reached; nothing took effect.
     #[display("out of reach")]
     Unreachable,
-    /// It refused for now (rate or outage); nothing took effect.
-    #[display("refused for now")]
+    /// The platform refused temporarily (rate limit or outage); nothing took effect.
+    #[display("temporarily refused")]
     Refused,
-    /// The answer was lost: a write may have taken effect.
-    #[display("answer lost")]
+    /// The response was lost: a write may have taken effect.
+    #[display("response lost")]
     AnswerLost,
-    /// A write's expectation did not hold; nothing took effect.
-    #[display("changed by somebody else")]
+    /// A key did not have the expected revision; nothing took effect.
+    #[display("changed by another writer")]
     Conflict,
-    /// The lease does not exist (any more).
-    #[display("lease lapsed")]
+    /// The lease does not exist or has expired.
+    #[display("lease expired")]
     LeaseLapsed,
-    /// A watch asked for changes that the service no longer remembers: list the keys again.
-    #[display("history lost")]
+    /// The service no longer has the changes requested by a watch: list the keys again.
+    #[display("requested changes no longer available")]
     HistoryLost,
-    /// The service did not understand.
-    #[display("request not accepted")]
+    /// The service rejected the request, or its response was malformed.
+    #[display("request rejected")]
     Invalid,
 }
 
 impl PlatformFault {
-    /// Its name in metrics and logs.
+    /// Returns the name of the fault for metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             PlatformFault::Unreachable => "unreachable",
@@ -164,26 +167,26 @@
     }
 }
 
-/// A call of the platform that failed, with its step and peer.
+/// A failed call of the platform, with its step and peer.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{step} at platform {peer}: {fault}")]
 pub struct PlatformError {
-    /// What was being done.
+    /// The operation that failed.
     pub step: &'static str,
     /// The platform's address.
     pub peer: SocketAddr,
-    /// What went wrong.
+    /// The cause.
     #[error(not(source))]
     pub fault: PlatformFault,
 }
 
 /// The platform's key-value service and box list.
 pub trait Platform: Clone + Send + Sync + 'static {
-    /// The value of a key, if it exists.
+    /// Returns the entry of a key, or `None` if it does not exist.
     fn get(&self, key: &str)
     -> impl Future<Output = Result<Option<KvEntry>, PlatformError>> + Send;
 
-    /// Keys with a prefix, in order, at most `limit`, after `after`.
+    /// Returns at most `limit` keys with a prefix, in order, starting after the key `after`.
     fn list(
         &self,
         prefix: &str,
@@ -191,7 +194,7 @@
         limit: usize,
     ) -> impl Future<Output = Result<Vec<KvEntry>, PlatformError>> + Send;
 
-    /// All keys with a prefix, and where a watch goes on from them.
+    /// Returns all keys with a prefix, and the revision from which a watch continues.
     fn snapshot(
         &self,
         prefix: &str,
@@ -207,20 +210,21 @@
                     break;
                 }
             }
-            // Changes after the newest entry are seen by the watch, possibly a second time.
+            // The watch returns all changes after the newest entry; some may be returned twice.
             let newest = entries.iter().map(|entry| entry.revision).max();
             let revision = newest.unwrap_or_default();
             Ok(Snapshot { entries, revision })
         }
     }
 
-    /// The same as it was a while ago, some seconds at the most, at a fraction of the price; a watch from there brings the rest.
+    /// Like [`Platform::snapshot`], but the result may be a few seconds old and costs the service much
+    /// less. A watch from its revision returns the later changes.
     fn glance(&self, prefix: &str) -> impl Future<Output = Result<Snapshot, PlatformError>> + Send {
         self.snapshot(prefix)
     }
 
-    /// Writes a key if its revision is `expect` ([`KvRevision::ABSENT`]: create), under a lease if
-    /// one is given.
+    /// Writes a key if its revision is `expect`, under a lease if one is given. With
+    /// [`KvRevision::ABSENT`] the key is created.
     fn put(
         &self,
         key: &str,
@@ -236,17 +240,17 @@
         expect: KvRevision,
     ) -> impl Future<Output = Result<(), PlatformError>> + Send;
 
-    /// Asks for a lease; its keys vanish when it lapses.
+    /// Grants a lease; keys written under it are deleted when it expires.
     fn grant_lease(
         &self,
         ttl: Duration,
     ) -> impl Future<Output = Result<LeaseId, PlatformError>> + Send;
 
-    /// Renews a lease for its whole time.
+    /// Renews a lease for its full time to live.
     fn renew_lease(&self, lease: LeaseId)
     -> impl Future<Output = Result<(), PlatformError>> + Send;
 
-    /// Waits up to `wait` for changes below `prefix` after `after`.
+    /// Waits up to `wait` for changes after `after` to keys with a prefix.
     fn watch(
         &self,
         prefix: &str,
@@ -254,8 +258,8 @@
         wait: Duration,
     ) -> impl Future<Output = Result<WatchReply, PlatformError>> + Send;
 
-    /// Like [`Platform::watch`]. `arriving` is called when the answer begins to arrive: a large one takes a while over a thin
-    /// link.
+    /// Like [`Platform::watch`], but calls `arriving` when the response begins to arrive, since a large
+    /// one takes time over a slow link.
     fn watch_arriving(
         &self,
         prefix: &str,
@@ -271,8 +275,8 @@
     }
 }
 
-/// A platform that also keeps a list of boxes and targets.
+/// A platform that also provides a list of boxes and targets.
 pub trait BoxLister: Platform {
-    /// The list of boxes and targets.
+    /// Returns the list of boxes and targets.
     fn box_list(&self) -> impl Future<Output = Result<BoxList, PlatformError>> + Send;
 }
--- a/crates/sillpin-rpc/src/claims.rs
+++ b/crates/sillpin-rpc/src/claims.rs
@@ -1,8 +1,9 @@
 //! Claims of calls that run at most once.
 //!
-//! The claim, created if absent in the platform's service, is the only right to send; a call that
-//! was sent is never sent again. A claim that was not used is released by a tombstone, not by
-//! deletion, so that the late effect of a lost write cannot claim the key for nobody.
+//! A call may be sent only by the request that created its claim in the platform's service, and is
+//! never sent again after that. An unused claim is released by writing a tombstone rather than by
+//! deleting it: if a write whose response was lost takes effect late, it cannot recreate the claim
+//! for a request that no longer exists.
 
 use serde::{Deserialize, Serialize};
 use sillpin_core::{BoxId, OrgId, Outcome, RequestId};
@@ -10,7 +11,7 @@
 /// Prefix of claims in the platform's service.
 pub const CLAIM_PREFIX: &str = "once/";
 
-/// Names a call: the organisation and the hash of its idempotency key.
+/// Identifies a call by its organisation and the hash of its idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClaimKey {
     /// The organisation.
@@ -20,26 +21,26 @@
 }
 
 impl ClaimKey {
-    /// The key in the platform's service.
+    /// Returns the claim's key in the platform's service.
     pub fn path(&self) -> String {
         format!("{CLAIM_PREFIX}{}/{}", self.org, self.key_hash)
     }
 }
 
-/// What stands under a claim's key.
+/// Value stored under a claim's key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
-    /// The request that claims; also the token by which a lost answer is settled.
+    /// The claiming request; after a lost response it shows whether the write took effect.
     pub request: RequestId,
-    /// The box that claims.
+    /// The claiming box.
     pub by: BoxId,
     /// BLAKE3 of the call's method, path and body, in hexadecimal.
     pub digest: String,
-    /// How far it has come.
+    /// State of the claim.
     pub state: ClaimState,
 }
 
-/// How far a claim has come.
+/// State of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClaimState {
@@ -47,41 +48,41 @@
     Claimed,
     /// The call was carried out.
     Ran,
-    /// The call was not sent and the key is free.
+    /// The call was not sent; the key may be claimed again.
     Released,
 }
 
-/// Asks for a claim.
+/// Request for a claim.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ClaimRequest {
     /// The call.
     pub key: ClaimKey,
-    /// The request.
+    /// The claiming request.
     pub request: RequestId,
     /// BLAKE3 of the call's method, path and body, in hexadecimal.
     pub digest: String,
 }
 
-/// The answer to [`ClaimRequest`].
+/// Response to a [`ClaimRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimReply {
     /// The call may be sent, once.
     Granted,
-    /// Another request holds the claim; what may be said of the call.
+    /// Another request holds the claim; contains the outcome of its call.
     Taken(Outcome),
     /// The key was used for a different call.
     OtherCall,
-    /// The platform did not settle it in time; the call must not be sent.
+    /// The platform did not confirm the claim in time; the call must not be sent.
     Unavailable,
 }
 
-/// Tells what became of a claim.
+/// Report of the outcome of a claimed call.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ClaimEnd {
     /// The call.
     pub key: ClaimKey,
-    /// The request.
+    /// The claiming request.
     pub request: RequestId,
-    /// Whether it was carried out. [`Outcome::NotRun`] releases the claim.
+    /// Whether the call was carried out. [`Outcome::NotRun`] releases the claim.
     pub outcome: Outcome,
 }
--- a/crates/sillpin-rpc/src/entry_link.rs
+++ b/crates/sillpin-rpc/src/entry_link.rs
@@ -1,4 +1,4 @@
-//! What an entry asks of the keeper of its box.
+//! The RPC interface of a keeper for the entry of its box.
 
 use crate::arms::ArmFigures;
 use crate::claims::{ClaimEnd, ClaimReply, ClaimRequest};
@@ -11,34 +11,34 @@
 use sillpin_core::{ArmName, BlockName, Incarnation, Revision, TargetId};
 use sillpin_policy::guard::Breach;
 
-/// A target as a keeper sees it.
+/// A keeper's view of a target.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TargetView {
     /// Its entry in the box list.
     pub entry: TargetEntry,
-    /// Its load and reachability.
+    /// Its load and reachability, if any keeper has read them.
     pub state: Option<TargetState>,
-    /// Whether any source says that it leaves.
+    /// Whether any source reports that it is leaving.
     pub leaving: bool,
 }
 
-/// What an entry knows already.
+/// Position up to which an entry has received a keeper's changes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Known {
-    /// The keeper's life that the stamp belongs to.
+    /// Incarnation of the keeper that issued the stamp.
     pub incarnation: Incarnation,
-    /// The newest change known.
+    /// Number of the last change received.
     pub stamp: u64,
 }
 
-/// What changed since.
+/// Changes since a given position.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetUpdate {
-    /// Send this with the next question.
+    /// Position for the next call.
     pub known: Known,
-    /// Whether `targets` lists all targets, so that others are gone.
+    /// Whether `targets` contains all targets, so that any other target no longer exists.
     pub complete: bool,
-    /// Targets that changed.
+    /// Changed targets.
     pub targets: Vec<TargetView>,
     /// The bundle in force, if it changed.
     pub bundle: Option<Accepted>,
@@ -48,25 +48,25 @@
     pub stopped_arms: Option<Vec<ArmName>>,
 }
 
-/// The service that a keeper offers to the entry of its box.
+/// Service of a keeper for the entry of its box.
 #[tarpc::service]
 pub trait EntryLink {
-    /// What changed since `known`, waiting up to `wait_ms` for something.
+    /// Returns the changes since `known`, waiting up to `wait_ms` for the first one.
     async fn fleet(known: Known, wait_ms: u64) -> FleetUpdate;
-    /// Hints for the blocks of a prompt, within `deadline_ms`.
+    /// Returns hints for the blocks of a prompt within `deadline_ms`.
     async fn find_blocks(blocks: Vec<BlockName>, deadline_ms: u64) -> BlockHints;
-    /// Prompts were answered.
+    /// Reports prompts that were answered.
     async fn used(prompts: Vec<PromptUse>);
     /// Claims a call that runs at most once.
     async fn claim(req: ClaimRequest) -> ClaimReply;
-    /// Tells what became of a claim.
+    /// Reports the outcome of a claimed call.
     async fn end_claim(end: ClaimEnd);
-    /// Hands over decision records.
+    /// Transfers decision records to the keeper.
     async fn record(records: Vec<DecisionRecord>);
-    /// A guard stops an arm.
+    /// Stops an arm whose guard detected a breach.
     async fn stop_arm(revision: Revision, arm: ArmName, breach: Breach);
-    /// What the arms have measured so far; replaces what was said before.
+    /// Reports the measurements of the arms so far, replacing earlier reports.
     async fn arms(figures: Vec<ArmFigures>);
-    /// A target refused connections or broke them.
+    /// Reports a target that refused or broke connections.
     async fn suspect(target: TargetId);
 }
--- a/crates/sillpin-rpc/src/gossip.rs
+++ b/crates/sillpin-rpc/src/gossip.rs
@@ -1,7 +1,7 @@
-//! The state that keepers spread among each other, as versioned items.
+//! The state that keepers replicate among each other by gossip, as versioned items.
 //!
-//! An item with a higher version replaces one with a lower. Keepers compare digests and send only
-//! what the other lacks.
+//! An item with a higher version replaces one with a lower version. Keepers compare digests and send
+//! only items that the peer lacks.
 
 use serde::{Deserialize, Serialize};
 use sillpin_bundle::Accepted;
@@ -11,114 +11,114 @@
 use std::net::SocketAddr;
 
 number_type!(
-    /// Counts the states of one item; the higher is newer.
+    /// Version of an item; the higher is newer.
     ItemVersion
 );
 
-/// Names an item.
+/// Identifies an item.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ItemKey {
     /// A box and its heartbeat.
     Box(BoxId),
-    /// A target's load.
+    /// Load and reachability of a target.
     Target(TargetId),
-    /// The list of boxes and targets.
+    /// The platform's list of boxes and targets.
     BoxList,
     /// The bundle in force.
     Bundle,
     /// Organisations and their keys.
     Organisations,
-    /// An arm that its guard stopped in a zone.
+    /// An arm stopped by its guard in an availability zone.
     StoppedArm(ZoneId, ArmName),
 }
 
-/// A box, as its own keeper describes it. The item's version is its heartbeat.
+/// State of a box, written by its own keeper. The item's version is the heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxState {
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Where its keeper listens for peers.
+    /// Address on which its keeper listens for peers.
     pub peer_addr: SocketAddr,
-    /// The life of the keeper.
+    /// Incarnation of the keeper.
     pub incarnation: Incarnation,
-    /// The revision in force there.
+    /// Revision of the bundle in force on the box.
     pub revision: Revision,
-    /// Whether it stops.
+    /// Whether the box is stopping.
     pub leaving: bool,
 }
 
-/// A target, as one of its readers found it.
+/// State of a target, written by one of the keepers that read its load.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TargetState {
-    /// Its newest load report, if it ever gave one.
+    /// Its latest load report, if it has sent any.
     pub load: Option<LoadReport>,
-    /// Whether it answered the last calls.
+    /// Whether it responded to the last calls.
     pub reachable: bool,
 }
 
-/// An organisation and the hashes of its keys.
+/// An organisation and the hashes of its API keys.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Organisation {
     /// The organisation.
     pub id: OrgId,
-    /// BLAKE3 of each of its keys, in hexadecimal.
+    /// BLAKE3 of each of its API keys, in hexadecimal.
     pub key_hashes: Vec<String>,
 }
 
-/// Key of the organisations in the platform's service.
+/// Key of the list of organisations in the platform's service.
 pub const ORGANISATIONS_KEY: &str = "organisations";
 
-/// An arm that its guard stopped.
+/// An arm stopped by its guard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoppedArm {
-    /// The revision whose arm it is.
+    /// Revision of the bundle that contains the arm.
     pub revision: Revision,
-    /// Why.
+    /// The breach that the guard detected.
     pub breach: Breach,
 }
 
-/// The state of an item.
+/// Value of an item.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ItemValue {
-    /// Of [`ItemKey::Box`].
+    /// Value of [`ItemKey::Box`].
     Box(BoxState),
-    /// Of [`ItemKey::Target`].
+    /// Value of [`ItemKey::Target`].
     Target(TargetState),
-    /// Of [`ItemKey::BoxList`].
+    /// Value of [`ItemKey::BoxList`].
     BoxList(BoxList),
-    /// Of [`ItemKey::Bundle`]; the item's version is its revision.
+    /// Value of [`ItemKey::Bundle`]; the item's version is the bundle's revision.
     Bundle(Box<Accepted>),
-    /// Of [`ItemKey::Organisations`].
+    /// Value of [`ItemKey::Organisations`].
     Organisations(Vec<Organisation>),
-    /// Of [`ItemKey::StoppedArm`].
+    /// Value of [`ItemKey::StoppedArm`].
     StoppedArm(StoppedArm),
 }
 
 /// A versioned item.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Item {
-    /// Its name.
+    /// Key of the item.
     pub key: ItemKey,
-    /// Its version.
+    /// Version of the value.
     pub version: ItemVersion,
-    /// Its state.
+    /// The value.
     pub value: ItemValue,
 }
 
-/// One of several equal parts of the foreign targets, by hash of their names.
+/// One of several equal partitions of the targets of other zones, by hash of the item key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Slice {
-    /// Which part.
+    /// Index of the partition.
     pub index: u64,
-    /// Parts in all.
+    /// Number of partitions.
     pub count: u64,
 }
 
 impl Slice {
-    /// All in one part.
+    /// The only partition, which contains all targets.
     pub const WHOLE: Slice = Slice { index: 0, count: 1 };
 
-    /// Whether an item with this hash belongs to the part.
+    /// Returns whether an item with this hash belongs to the partition.
     pub fn has(&self, hash: u64) -> bool {
         hash % self.count.max(1) == self.index
     }
@@ -130,22 +130,22 @@
     }
 }
 
-/// Which items a keeper knows, by hash of their names.
+/// Versions of the items that a keeper holds, by hash of the item key.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Digest {
-    /// Zone of the keeper that asks: heartbeats stay in their zone.
+    /// Zone of the sender; heartbeats are only exchanged within a zone.
     pub zone: Option<ZoneId>,
-    /// The part of the targets of other zones that this digest is about.
+    /// The partition of the targets of other zones that this digest covers.
     pub foreign: Slice,
-    /// Hash of each item's name and its version, sorted.
+    /// Hash of the key and version of each item, sorted by hash.
     pub versions: Vec<(u64, ItemVersion)>,
 }
 
-/// The answer to a digest.
+/// Response to a digest.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Exchange {
-    /// Items that the asker lacks or has in an older version.
+    /// Items that the sender of the digest lacks or holds in an older version.
     pub newer: Vec<Item>,
-    /// Hashes of items that the asker has newer.
+    /// Key hashes of items that the sender of the digest holds in a newer version.
     pub wanted: Vec<u64>,
 }
--- a/crates/sillpin-rpc/src/lib.rs
+++ b/crates/sillpin-rpc/src/lib.rs
@@ -1,13 +1,13 @@
-//! What sillpin's own processes say to each other, by `tarpc` over TCP.
+//! RPC interfaces between sillpin's processes, by `tarpc` over TCP.
 //!
-//! - [`entry_link`]: an entry and the keeper of its box,
-//! - [`peer_link`]: keepers among each other, and the command line with a keeper,
-//! - [`gossip`]: the state that keepers spread,
-//! - [`directory`]: hints of who holds which blocks,
+//! - [`entry_link`]: calls from an entry to the keeper of its box,
+//! - [`peer_link`]: calls between keepers, and from the command line to a keeper,
+//! - [`gossip`]: the state that keepers replicate by gossip,
+//! - [`directory`]: hints about which targets hold which blocks,
 //! - [`claims`]: claims of calls that run at most once,
-//! - [`arms`]: what each arm of a rollout measured,
+//! - [`arms`]: measurements of the arms of a rollout,
 //! - [`records`]: decision records, for `sillpin explain`,
-//! - [`transport`]: connecting and listening.
+//! - [`transport`]: client and server connections.
 
 pub mod arms;
 pub mod claims;
--- a/crates/sillpin-telemetry/src/lib.rs
+++ b/crates/sillpin-telemetry/src/lib.rs
@@ -1,10 +1,10 @@
-//! What the system shows of itself: numbered log events, metrics and traces.
+//! Telemetry: numbered log events, metrics and traces.
 //!
-//! - [`events`]: the catalogue of log events (`docs/EVENTS.md` is held to it by a test),
-//! - [`logs`]: loggers in JSON or for a terminal,
-//! - [`metrics`]: a meter with a Prometheus page,
-//! - [`program`]: all of them set up for a program, and its stop,
-//! - [`traces`]: spans, one a hop, to a collector over OTLP.
+//! - [`events`]: the catalogue of log events (a test compares it with `docs/EVENTS.md`),
+//! - [`logs`]: loggers with JSON or terminal output,
+//! - [`metrics`]: metrics in the Prometheus format,
+//! - [`program`]: telemetry setup and signal handling of a program,
+//! - [`traces`]: tracing spans, exported over OTLP.
 
 pub mod events;
 pub mod logs;
--- a/crates/sillpin-telemetry/src/logs.rs
+++ b/crates/sillpin-telemetry/src/logs.rs
@@ -1,34 +1,34 @@
-//! Loggers: one JSON document a line, or lines for a terminal.
+//! Loggers that write one JSON document per line, or lines for a terminal.
 
 use derive_more::{Display, FromStr};
 use slog::{Drain, Level, LevelFilter, Logger, o};
 use slog_async::{Async, AsyncGuard, OverflowStrategy};
 use std::io;
 
-/// Records that may wait for the writer; more are dropped and counted by the library.
+/// Length of the queue of the writer thread; the library drops and counts further records.
 const QUEUE_LEN: usize = 4_096;
 
-/// Words accepted for a log's form.
+/// Accepted values of the setting `format`.
 pub const FORMATS: &[&str] = &["json", "terminal"];
 
-/// Words accepted for a log's level.
+/// Accepted values of the setting `level`.
 pub const LEVELS: &[&str] = &["debug", "info", "warning", "error"];
 
-/// Form of the log.
+/// Output format of the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, FromStr)]
 pub enum Format {
-    /// One JSON document a line.
+    /// One JSON document per line.
     Json,
     /// Lines for a terminal.
     Terminal,
 }
 
-/// Where a log goes.
+/// Destination of the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Output {
     /// Standard output.
     Stdout,
-    /// Standard error, for programs that answer on standard output.
+    /// Standard error, for programs that use standard output for other purposes.
     Stderr,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// A logger that writes in a thread of its own, and the guard that writes out what waits when it is
+/// Creates a logger that writes in a separate thread, and a guard that flushes the queue when
 /// dropped.
 pub fn logger(
     output: Output,
@@ -83,7 +83,7 @@
     (Logger::root(drain, o!("program" => program)), guard)
 }
 
-/// A logger that writes nothing.
+/// Creates a logger that discards all records.
 pub fn discard() -> Logger {
     Logger::root(slog::Discard, o!())
 }
--- a/crates/sillpin-telemetry/src/metrics.rs
+++ b/crates/sillpin-telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics by OpenTelemetry, read on a Prometheus page.
+//! OpenTelemetry metrics, exported in the Prometheus format.
 
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Meter, MeterProvider};
@@ -8,26 +8,26 @@
 use prometheus::{Encoder, Registry, TextEncoder};
 use std::collections::HashSet;
 
-/// Values of one label that are kept apart; further ones count as [`OTHER`].
+/// Maximum number of distinct values of a label; further ones are replaced by [`OTHER`].
 pub const MAX_LABEL_VALUES: usize = 1_000;
 
-/// Stands for label values beyond the bound.
+/// Replaces label values beyond [`MAX_LABEL_VALUES`].
 pub const OTHER: &str = "other";
 
-/// Bounds of histograms of times, in seconds.
+/// Bucket bounds of duration histograms, in seconds.
 pub const TIME_BOUNDS: &[f64] = &[
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.071, 0.1, 0.15, 0.25, 0.5, 0.75, 1.0, 1.5, 2.5, 5.0,
     10.0, 30.0,
 ];
 
-/// A program's metrics.
+/// Metrics of a program.
 pub struct Metrics {
     provider: SdkMeterProvider,
     registry: Registry,
 }
 
 impl Metrics {
-    /// Metrics of `program` on `box_id`.
+    /// Creates the metrics of `program` on `box_id`.
     pub fn new(program: &'static str, box_id: &str) -> Result<Self, OTelSdkError> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -44,12 +44,12 @@
         Ok(Self { provider, registry })
     }
 
-    /// A meter to make instruments with.
+    /// Returns a meter, which creates instruments.
     pub fn meter(&self) -> Meter {
         self.provider.meter("sillpin")
     }
 
-    /// The page that Prometheus reads.
+    /// Returns all metrics in the Prometheus text format.
     pub fn page(&self) -> Vec<u8> {
         let mut page = Vec::new();
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut page);
@@ -57,14 +57,14 @@
     }
 }
 
-/// Keeps the values of a label within [`MAX_LABEL_VALUES`].
+/// Limits the number of distinct values of a label to [`MAX_LABEL_VALUES`].
 #[derive(Debug, Default)]
 pub struct LabelSet {
     seen: HashSet<String>,
 }
 
 impl LabelSet {
-    /// `value`, or [`OTHER`] when too many others were seen before it.
+    /// Returns `value`, or [`OTHER`] if the limit was reached before `value` first occurred.
     pub fn bound<'a>(&mut self, value: &'a str) -> &'a str {
         if self.seen.contains(value) {
             return value;
--- a/crates/sillpin-telemetry/src/program.rs
+++ b/crates/sillpin-telemetry/src/program.rs
@@ -1,4 +1,4 @@
-//! What a program shows of itself, set up in one place, and its stop.
+//! Sets up the telemetry of a program and handles its signals.
 
 use crate::logs::{self, Format, Output};
 use crate::metrics::Metrics;
@@ -12,7 +12,7 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio_util::sync::CancellationToken;
 
-/// Settings of traces, the same for every program.
+/// Settings section for traces, common to all programs.
 pub const TRACES_SECTION: Section = Section {
     name: "telemetry",
     keys: &[Key::optional(
@@ -23,7 +23,7 @@
     )],
 };
 
-/// Settings of the log, the same for every program.
+/// Settings section for the log, common to all programs.
 pub const LOG_SECTION: Section = Section {
     name: "log",
     keys: &[
@@ -42,30 +42,31 @@
     ],
 };
 
-/// What a program shows of itself.
+/// Log, metrics and traces of a program.
 pub struct Telemetry {
-    /// Log.
+    /// Root logger.
     pub log: Logger,
     /// Metrics.
     pub metrics: Metrics,
-    /// Spans.
+    /// Tracer.
     pub traces: Traces,
 }
 
-/// Whose telemetry it is and where it goes.
+/// Identity of a program for its telemetry.
 pub struct Identity<'a> {
-    /// The program.
+    /// Name of the program.
     pub program: &'static str,
-    /// Its box.
+    /// Id of its box.
     pub box_id: &'a str,
     /// Its availability zone.
     pub zone: &'a str,
-    /// Collector of traces.
+    /// Address of the OTLP collector for traces, if any.
     pub collector: Option<SocketAddr>,
 }
 
 impl Telemetry {
-    /// Sets up log, metrics and traces, within the runtime; the guard writes out the log's rest.
+    /// Sets up log, metrics and traces; must be called within a tokio runtime. The guard flushes the
+    /// log on drop.
     pub fn start(
         me: &Identity<'_>,
         format: Format,
@@ -74,7 +75,7 @@
         Self::start_with(me, format, level, Output::Stderr)
     }
 
-    /// Like [`Telemetry::start`], with the log as [`LOG_SECTION`] is set and written to `output`.
+    /// Like [`Telemetry::start`], with the log format and level from the [`LOG_SECTION`] settings.
     pub fn start_as_set(
         me: &Identity<'_>,
         loaded: &Loaded,
@@ -102,7 +103,7 @@
     }
 }
 
-/// Cancelled by the first SIGTERM; further ones change nothing.
+/// Returns a token that the first SIGTERM cancels; further ones are ignored.
 pub fn stop_on_sigterm() -> io::Result<CancellationToken> {
     let stop = CancellationToken::new();
     let mut term = signal(SignalKind::terminate())?;
@@ -115,7 +116,7 @@
     Ok(stop)
 }
 
-/// A stream of SIGHUPs, which would end the process if nobody listened.
+/// Returns a stream of SIGHUP signals; without a handler, SIGHUP ends the process.
 pub fn hangups() -> io::Result<Signal> {
     signal(SignalKind::hangup())
 }
--- a/crates/sillpin-telemetry/src/traces.rs
+++ b/crates/sillpin-telemetry/src/traces.rs
@@ -1,4 +1,4 @@
-//! Spans, one a hop, sent to a collector over OTLP/HTTP; and the `traceparent` header.
+//! Tracing spans, one per hop, exported over OTLP/HTTP, and the `traceparent` header.
 
 use opentelemetry::trace::{
     Span, SpanContext, SpanId, SpanKind, TraceContextExt, TraceFlags, TraceId, TraceState, Tracer,
@@ -12,21 +12,21 @@
 use opentelemetry_sdk::trace::{SdkTracer, SdkTracerProvider};
 use std::net::SocketAddr;
 
-/// Name of the header that carries a trace from hop to hop.
+/// Name of the header that propagates the trace context between hops.
 pub const TRACEPARENT: &str = "traceparent";
 
-/// A program's traces.
+/// Tracer of a program.
 #[derive(Clone)]
 pub struct Traces {
     provider: SdkTracerProvider,
     tracer: SdkTracer,
 }
 
-/// A span under way.
+/// A span that has not ended.
 pub type ActiveSpan = opentelemetry_sdk::trace::Span;
 
 impl Traces {
-    /// Traces of `program` on `box_id`, sent to `collector` if one is given.
+    /// Creates the tracer of `program` on `box_id`. Spans are exported to `collector`, if one is given.
     pub fn new(
         program: &'static str,
         box_id: &str,
@@ -50,7 +50,7 @@
         Ok(Self { provider, tracer })
     }
 
-    /// Begins the span of a hop, below `parent` if there is one.
+    /// Starts the span of a hop, as a child of `parent` if there is one.
     pub fn span(
         &self,
         name: &'static str,
@@ -65,13 +65,13 @@
         self.tracer.build_with_context(builder, &context)
     }
 
-    /// Sends what waits and ends.
+    /// Exports the remaining spans and stops the exporter.
     pub fn shutdown(&self) {
         let _ = self.provider.shutdown();
     }
 }
 
-/// Reads a `traceparent` header (W3C Trace Context, version 00).
+/// Parses a `traceparent` header (W3C Trace Context, version 00).
 pub fn parse_traceparent(text: &str) -> Option<SpanContext> {
     let mut parts = text.split('-');
     let (version, trace, span, flags) =
@@ -93,7 +93,7 @@
     context.is_valid().then_some(context)
 }
 
-/// The `traceparent` header of a span.
+/// Formats the `traceparent` header of a span.
 pub fn traceparent(span: &ActiveSpan) -> String {
     let context = span.span_context();
     let flags = context.trace_flags().to_u8();
