--- a/crates/sillpin-box/src/main.rs
+++ b/crates/sillpin-box/src/main.rs
@@ -1,4 +1,4 @@
-//! `sillpin-box`: a whole box of sillpin in one process, for platforms that publish routes and targets.
+//! `sillpin-box`: all functions of a box in one process, for platforms that publish routes and targets.
 
 use clap::Command;
 use sillpin_gateway::ops::{self, Adapter};
@@ -18,7 +18,7 @@
 const PROGRAM: &str = "sillpin-box";
 
 fn main() -> ExitCode {
-    let command = Command::new(PROGRAM).about("A box of sillpin on a platform");
+    let command = Command::new(PROGRAM).about("Runs a sillpin box on a platform");
     program::run_reloading(command, SCHEMA, start)
 }
 
@@ -48,7 +48,7 @@
         counts,
         control: TargetCalls::new(client),
     };
-    // Where the box listens stands in its first log line.
+    // The callback is not needed: the first log record contains the addresses of the listeners.
     ops::run(settings, telemetry, adapter, stop_on_sigterm()?, |_| ()).await?;
     Ok(())
 }
--- a/crates/sillpin-box/tests/program.rs
+++ b/crates/sillpin-box/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program's arguments.
+//! Command-line arguments of `sillpin-box`.
 
 #[path = "../../sillpin-settings/tests/support/program.rs"]
 mod program;
--- a/crates/sillpin-http/src/body.rs
+++ b/crates/sillpin-http/src/body.rs
@@ -1,4 +1,4 @@
-//! One body type for requests and answers: whole, streamed through a channel, or passed on.
+//! Body type for requests and responses: in memory, streamed through a channel, or forwarded.
 
 use bytes::{Bytes, BytesMut};
 use derive_more::{Display, Error};
@@ -12,32 +12,32 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Frames that may wait in a streamed body before its writer has to wait (back-pressure).
+/// Number of chunks queued in a streamed body before its writer must wait.
 const CHANNEL_FRAMES: usize = 16;
 
-/// A body of a request or an answer.
+/// Body of a request or response.
 pub enum Body {
-    /// All of it is there.
+    /// Complete, in memory.
     Full(Full<Bytes>),
-    /// It is being written by another task.
+    /// Written by another task.
     Channel(mpsc::Receiver<io::Result<Bytes>>),
-    /// It is passed on from a peer, with back-pressure.
+    /// Forwarded from a peer, with back-pressure.
     Incoming(Incoming),
 }
 
 impl Body {
-    /// A body with no bytes.
+    /// Returns an empty body.
     pub fn empty() -> Self {
         Self::full(Bytes::new())
     }
 
-    /// A body whose bytes are all there.
+    /// Returns a body with the given bytes.
     pub fn full(bytes: impl Into<Bytes>) -> Self {
         Self::Full(Full::new(bytes.into()))
     }
 
-    /// A body and the end that writes it. Dropping the sender ends the body cleanly;
-    /// [`BodySender::abort`] ends it so that the reader sees that it was cut.
+    /// Returns a streamed body and its sender. Dropping the sender ends the body normally;
+    /// [`BodySender::abort`] ends it with an error for the reader.
     pub fn channel() -> (BodySender, Self) {
         let (tx, rx) = mpsc::channel(CHANNEL_FRAMES);
         (BodySender { tx }, Self::Channel(rx))
@@ -79,55 +79,55 @@
     }
 }
 
-/// The writing end of a streamed body.
+/// Sender of a streamed body.
 pub struct BodySender {
     tx: mpsc::Sender<io::Result<Bytes>>,
 }
 
-/// The reader of a streamed body has gone.
+/// Error for a write to a body whose reader was dropped.
 #[derive(Debug, Clone, Copy, Display, Error)]
-#[display("the reader of the body has gone")]
+#[display("the body's reader was dropped")]
 pub struct ReaderGone;
 
 impl BodySender {
-    /// Writes one chunk, waiting for the reader when it is slow.
+    /// Writes a chunk; waits while the queue is full.
     pub async fn send(&self, chunk: impl Into<Bytes>) -> Result<(), ReaderGone> {
         let sent = self.tx.send(Ok(chunk.into())).await;
         sent.map_err(|_| ReaderGone)
     }
 
-    /// Resolves when the reader has gone.
+    /// Returns when the reader has been dropped.
     pub async fn closed(&self) {
         self.tx.closed().await;
     }
 
-    /// Ends the body so that the reader sees that it was cut.
+    /// Ends the body with an error, so that the reader does not treat it as complete.
     pub async fn abort(self, why: &'static str) {
         let _ = self.tx.send(Err(io::Error::other(why))).await;
     }
 }
 
-/// Why a body could not be read whole.
+/// Error for a body that could not be read completely.
 #[derive(Debug, Display, Error)]
 pub enum ReadError {
-    /// It is longer than the limit.
+    /// The body is longer than the limit.
     #[display("body is longer than {limit} bytes")]
     TooLong {
         /// The limit in bytes.
         limit: usize,
     },
-    /// The connection broke, or the sender was cut off.
-    #[display("body was cut off")]
+    /// The connection broke, or the sender aborted the body.
+    #[display("body is incomplete")]
     Cut,
-    /// It stopped arriving.
+    /// No data arrived within the idle timeout, or the body took too long in total.
     #[display("body stopped arriving")]
     Silent,
-    /// It is not the JSON document that was expected.
+    /// The body is not the expected JSON document.
     #[display("body is not the expected JSON: {_0}")]
     Json(serde_json::Error),
 }
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a complete body of at most `limit` bytes.
 pub async fn read_limited<B>(body: B, limit: usize) -> Result<Bytes, ReadError>
 where
     B: HttpBody<Data = Bytes>,
@@ -141,15 +141,16 @@
     }
 }
 
-/// Longest time for a whole body: a peer that sends a byte now and then is not waited for without end. Four megabytes take
-/// 3.4 s over 10 Mbit/s.
+/// Longest time for reading a complete body, which bounds the wait for a peer that sends a few bytes
+/// at a time. Four megabytes take 3.4 s over 10 Mbit/s.
 const LONGEST_READING: Duration = Duration::from_secs(20);
 
-/// Reads a whole body of at most `limit` bytes for as long as it goes on arriving: it is given up after `silence` without a byte,
-/// not after a time for the whole. What arrives is added to `arrived`.
+/// Reads a complete body of at most `limit` bytes and adds the received bytes to `arrived`. The read
+/// fails after an idle time of `silence`; the total time is bounded by [`LONGEST_READING`] only.
 ///
-/// A limit on the whole is a limit on size divided by the link's rate: over 10 Mbit/s a configuration of 0.85 MB took 0.9 s, was given up
-/// after 0.8 s and asked for again without end, with 5.9 MB thrown away on one box in 24 s.
+/// A short limit on the total time would limit the size by the link's rate: over 10 Mbit/s, a
+/// configuration of 0.85 MB took 0.9 s, was cancelled after 0.8 s and requested again indefinitely,
+/// which discarded 5.9 MB on one box in 24 s.
 async fn read_while_arriving(
     body: Incoming,
     limit: usize,
@@ -197,7 +198,7 @@
     serde_json::from_slice(&text).map_err(ReadError::Json)
 }
 
-/// Reads a whole body of at most `limit` bytes as a JSON document.
+/// Reads a complete body of at most `limit` bytes as a JSON document.
 pub async fn read_json<T, B>(body: B, limit: usize) -> Result<T, ReadError>
 where
     T: DeserializeOwned,
--- a/crates/sillpin-http/src/client.rs
+++ b/crates/sillpin-http/src/client.rs
@@ -1,9 +1,10 @@
-//! A pooled HTTP/1.1 client whose errors say how far the send got.
+//! An HTTP client with a connection pool, whose errors state whether the peer may have received the
+//! request.
 //!
-//! What may be told to a caller about a failed request hangs on whether its bytes can have reached
-//! the peer, so [`CallError`] carries [`Sent`] beside step and peer. The library takes a request that
-//! met an idle connection just closed by the peer to another connection, but only when it gets the
-//! request back unsent; nothing of which a byte left is ever sent again here.
+//! The outcome that may be reported to a caller depends on this, so [`CallError`] contains [`Sent`]
+//! besides step and peer. If the peer closes an idle connection just as a request is sent over it, the
+//! library retries on another connection, but only if it gets the request back unsent. A request of
+//! which any byte was sent is never sent again here.
 
 use crate::body::{Body, ReadError, read_json_while_arriving};
 use derive_more::{Display, Error};
@@ -18,47 +19,47 @@
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
 
-/// Time to open a connection before the peer counts as out of reach.
+/// Time-out for opening a connection, after which the peer is treated as unreachable.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long an unused connection is kept.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Idle connections kept for one peer.
+/// Maximum number of idle connections per peer.
 const MAX_IDLE_PER_PEER: usize = 64;
 
-/// Longest JSON answer read.
+/// Maximum length of a JSON response, in bytes.
 const MAX_JSON_LEN: usize = 4 << 20;
 
-/// Whether the peer can have received any of a request.
+/// Whether the peer may have received any part of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Sent {
-    /// No byte of it left this process.
+    /// No byte of it was sent.
     #[display("not sent")]
     No,
-    /// Some or all of it may have arrived.
+    /// Some or all of it may have been received.
     #[display("maybe sent")]
     Maybe,
 }
 
-/// What went wrong in a call.
+/// Cause of a failed call.
 #[derive(Debug, Display, Error)]
 pub enum CallFault {
     /// The connection could not be opened or broke.
     #[display("connection failed: {_0}")]
     Connection(#[error(not(source))] String),
-    /// No answer in time.
-    #[display("no answer within {} ms", _0.as_millis())]
+    /// No response within the time-out.
+    #[display("no response within {} ms", _0.as_millis())]
     Timeout(#[error(not(source))] Duration),
-    /// The peer answered with another status than asked for.
-    #[display("answered with status {status}")]
+    /// The peer responded with a status other than 2xx.
+    #[display("response has status {status}")]
     Status {
         /// The status.
         status: StatusCode,
-        /// The answer's headers.
+        /// The response headers.
         headers: Box<HeaderMap>,
     },
-    /// The answer's body could not be read.
+    /// The body of the response could not be read.
     #[display("answer unreadable: {_0}")]
     Answer(ReadError),
     /// The request could not be built.
@@ -66,23 +67,23 @@
     Request(hyper::http::Error),
 }
 
-/// A call that failed, with its step and peer.
+/// A failed call, with its step and peer.
 #[derive(Debug, Display, Error)]
 #[display("{step} at {peer}: {fault} ({sent})")]
 pub struct CallError {
-    /// What was being done.
+    /// The operation that failed.
     pub step: &'static str,
-    /// Who was asked.
+    /// Address of the peer.
     pub peer: SocketAddr,
-    /// Whether the peer can have received the request.
+    /// Whether the peer may have received the request.
     pub sent: Sent,
-    /// What went wrong.
+    /// The cause.
     #[error(source)]
     pub fault: CallFault,
 }
 
 impl CallError {
-    /// The status that the peer answered with, if it answered.
+    /// Returns the status if the peer responded with a status other than 2xx.
     pub fn status(&self) -> Option<StatusCode> {
         match &self.fault {
             CallFault::Status { status, .. } => Some(*status),
@@ -90,7 +91,7 @@
         }
     }
 
-    /// A header of the answer with another status, as text.
+    /// Returns a header of a response with a status other than 2xx, as text.
     pub fn header(&self, name: &str) -> Option<&str> {
         match &self.fault {
             CallFault::Status { headers, .. } => headers.get(name)?.to_str().ok(),
@@ -99,7 +100,7 @@
     }
 }
 
-/// A pool of connections to many peers; clones share it.
+/// HTTP client with a connection pool, shared by clones.
 #[derive(Clone)]
 pub struct Client {
     pool: legacy::Client<HttpConnector, Body>,
@@ -112,7 +113,7 @@
 }
 
 impl Client {
-    /// A client that speaks HTTP/2 without TLS, many requests over one connection to each peer.
+    /// Creates a client for HTTP/2 without TLS, with one connection per peer for concurrent requests.
     pub fn http2() -> Self {
         Self::build(true)
     }
@@ -131,7 +132,7 @@
         Self { pool }
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the head of the response.
     pub async fn send(
         &self,
         step: &'static str,
@@ -146,8 +147,8 @@
         })
     }
 
-    /// Sends `doc` as JSON and reads a JSON answer; any status but 2xx is an error. The call's time is that until the answer
-    /// begins, and between its parts.
+    /// Sends `doc` as JSON and reads a JSON response; any status other than 2xx is an error. The call's
+    /// time-out applies to the head of the response and to the idle time between its parts.
     pub async fn call_json<T: Serialize, R: DeserializeOwned>(
         &self,
         call: Call<'_>,
@@ -164,7 +165,7 @@
         answer.read_json(resp).await
     }
 
-    /// Sends `doc` as JSON and waits for the head of a 2xx answer; any other status is an error.
+    /// Sends `doc` as JSON and waits for the head of a 2xx response; any other status is an error.
     pub async fn call<T: Serialize>(
         &self,
         call: Call<'_>,
@@ -173,7 +174,7 @@
         self.call_with(call, HeaderMap::new(), doc).await
     }
 
-    /// Like [`Client::call`], with further headers.
+    /// Like [`Client::call`], with additional headers.
     pub async fn call_with<T: Serialize>(
         &self,
         call: Call<'_>,
@@ -207,20 +208,20 @@
     }
 }
 
-/// An answer that has begun.
+/// Reader of a response whose head has arrived.
 pub struct Answer<'a> {
-    /// What is being done, for errors.
+    /// The operation, for errors.
     pub step: &'static str,
-    /// Who answers.
+    /// Address of the peer.
     pub peer: SocketAddr,
-    /// Longest wait for each next part.
+    /// Longest wait for the next part of the body.
     pub silence: Duration,
-    /// Bytes of it that have arrived.
+    /// Counter of the received bytes of the body.
     pub arrived: &'a AtomicU64,
 }
 
 impl Answer<'_> {
-    /// Reads it as a JSON document.
+    /// Reads the body as a JSON document.
     pub async fn read_json<R: DeserializeOwned>(
         self,
         resp: Response<Incoming>,
@@ -236,17 +237,17 @@
     }
 }
 
-/// One call of a peer.
+/// Parameters of a call.
 pub struct Call<'a> {
-    /// What is being done, for errors.
+    /// The operation, for errors.
     pub step: &'static str,
-    /// Who is asked.
+    /// Address of the peer.
     pub peer: SocketAddr,
     /// Method.
     pub method: Method,
     /// Path and query.
     pub path: &'a str,
-    /// Longest wait for the head of the answer.
+    /// Longest wait for the head of the response.
     pub timeout: Duration,
 }
 
--- a/crates/sillpin-http/src/lib.rs
+++ b/crates/sillpin-http/src/lib.rs
@@ -1,9 +1,9 @@
-//! The few pieces of HTTP that every program of sillpin needs, over `hyper`.
+//! HTTP client, server and body types for sillpin's programs, based on `hyper`.
 //!
-//! - [`body`]: one body type without dynamic dispatch,
-//! - [`client`]: a pooled client whose errors say how far the send got,
-//! - [`lines`]: lines and JSON documents out of a streamed body,
-//! - [`server`]: a listener that drains.
+//! - [`body`]: a body type without dynamic dispatch,
+//! - [`client`]: a client with a connection pool, whose errors state whether the request may have been received,
+//! - [`lines`]: readers of lines and of JSON documents from a streamed body,
+//! - [`server`]: a server that finishes open requests when stopped.
 
 pub mod body;
 pub mod client;
@@ -21,7 +21,7 @@
 /// Media type of JSON.
 pub const JSON_MEDIA_TYPE: &str = "application/json";
 
-/// An answer with a JSON document.
+/// Returns a response with a JSON document.
 pub fn json_response<T: Serialize>(status: StatusCode, doc: &T) -> Response<Body> {
     let text = serde_json::to_vec(doc).unwrap_or_default();
     let mut resp = Response::new(Body::full(text));
@@ -31,7 +31,7 @@
     resp
 }
 
-/// An answer without a body.
+/// Returns a response without a body.
 pub fn empty_response(status: StatusCode) -> Response<Body> {
     let mut resp = Response::new(Body::empty());
     *resp.status_mut() = status;
--- a/crates/sillpin-http/src/lines.rs
+++ b/crates/sillpin-http/src/lines.rs
@@ -1,4 +1,4 @@
-//! Lines out of a streamed body, and JSON documents one a line.
+//! Readers of lines, and of JSON documents with one per line, from a streamed body.
 
 use bytes::{Buf, Bytes, BytesMut};
 use derive_more::{Display, Error};
@@ -6,31 +6,31 @@
 use hyper::body::Incoming;
 use serde::de::DeserializeOwned;
 
-/// Longest line accepted, in bytes.
+/// Maximum length of a line, in bytes.
 pub const MAX_LINE_LEN: usize = 1 << 20;
 
-/// Why the next line could not be read.
+/// Error for a line that could not be read.
 #[derive(Debug, Display, Error)]
 pub enum LineError {
     /// The connection broke, or the body ended within a line.
-    #[display("stream was cut")]
+    #[display("stream ended early")]
     Cut,
-    /// A line is too long.
+    /// The line is longer than [`MAX_LINE_LEN`].
     #[display("line is longer than {MAX_LINE_LEN} bytes")]
     TooLong,
-    /// A line is not the expected document.
+    /// The line is not the expected JSON document.
     #[display("line is not the expected JSON: {_0}")]
     Json(serde_json::Error),
 }
 
-/// Reads lines out of a body. Dropping it before the end closes the connection.
+/// Reads lines from a body. Dropping it before the end closes the connection.
 pub struct Lines {
     body: Incoming,
     buf: BytesMut,
 }
 
 impl Lines {
-    /// Reads from `body`.
+    /// Creates a reader of `body`.
     pub fn new(body: Incoming) -> Self {
         Self {
             body,
@@ -38,8 +38,8 @@
         }
     }
 
-    /// The next line without its end; `None` at the end of the body. Cancelling the call loses
-    /// nothing.
+    /// Returns the next line without its line feed, or `None` at the end of the body. Cancelling the
+    /// call loses no data.
     pub async fn next(&mut self) -> Result<Option<BytesMut>, LineError> {
         loop {
             if let Some(line) = self.take_line() {
@@ -71,19 +71,19 @@
     }
 }
 
-/// Reads documents out of a body, one a line.
+/// Reads JSON documents from a body, one per line.
 pub struct JsonLines {
     lines: Lines,
 }
 
 impl JsonLines {
-    /// Reads from `body`.
+    /// Creates a reader of `body`.
     pub fn new(body: Incoming) -> Self {
         let lines = Lines::new(body);
         Self { lines }
     }
 
-    /// The next document; `None` at the end of the body. Cancelling the call loses nothing.
+    /// Returns the next document, or `None` at the end of the body. Cancelling the call loses no data.
     pub async fn next<T: DeserializeOwned>(&mut self) -> Result<Option<T>, LineError> {
         let Some(line) = self.lines.next().await? else {
             return Ok(None);
--- a/crates/sillpin-http/src/server.rs
+++ b/crates/sillpin-http/src/server.rs
@@ -1,5 +1,5 @@
-//! A listener for HTTP/1.1 and HTTP/2 without TLS that drains: after the stop it lets every open
-//! request finish.
+//! A server for HTTP/1.1 and HTTP/2 without TLS that drains: when stopped, it finishes all open
+//! requests.
 
 use crate::body::Body;
 use derive_more::{Display, Error};
@@ -18,10 +18,10 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-/// Limits on what a peer may send before its request reaches a handler.
+/// Limits on request heads, applied before a request reaches the handler.
 #[derive(Debug, Clone, Copy)]
 pub struct HeadLimits {
-    /// Longest head of a request, in bytes.
+    /// Maximum length of a request head, in bytes.
     pub max_len: usize,
     /// Longest time for the head to arrive.
     pub timeout: Duration,
@@ -36,18 +36,18 @@
     }
 }
 
-/// A listener that could not be opened.
+/// Error for a listener that could not be opened.
 #[derive(Debug, Display, Error)]
 #[display("cannot listen at {addr}")]
 pub struct BindError {
     /// The address.
     pub addr: SocketAddr,
-    /// Why.
+    /// The cause.
     #[error(source)]
     pub cause: io::Error,
 }
 
-/// Opens a listener at `addr`, port 0 for any; gives it with the address that it got.
+/// Opens a listener and returns it with its local address. With port 0 the kernel chooses the port.
 pub async fn listen(addr: SocketAddr) -> Result<(TcpListener, SocketAddr), BindError> {
     let failed = |cause| BindError { addr, cause };
     let listener = TcpListener::bind(addr).await.map_err(failed)?;
@@ -55,13 +55,13 @@
     Ok((listener, at))
 }
 
-/// hyper refuses smaller buffers.
+/// Smallest buffer size that hyper accepts.
 const MIN_HEAD_BUF: usize = 8 << 10;
 
-/// Wait after a failed accept, such as for want of file descriptors.
+/// Pause after a failed accept, for example when no file descriptor is available.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// A bound listener.
+/// A server with its bound listener.
 pub struct Server<L = fn() -> HeadLimits> {
     listener: TcpListener,
     limits: L,
@@ -69,13 +69,13 @@
 }
 
 impl Server {
-    /// Binds to `addr`; port 0 lets the kernel choose.
+    /// Binds to `addr`; with port 0 the kernel chooses the port.
     pub async fn bind(addr: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(addr).await?;
         Ok(Self::on(listener))
     }
 
-    /// Serves the connections of an open listener.
+    /// Creates a server for an open listener.
     pub fn on(listener: TcpListener) -> Self {
         Self {
             listener,
@@ -86,7 +86,7 @@
 }
 
 impl<L: Fn() -> HeadLimits> Server<L> {
-    /// Asks `limits` at each new connection for its limits on request heads.
+    /// Calls `limits` for each new connection to get its limits on request heads.
     pub fn limits_from<M: Fn() -> HeadLimits>(self, limits: M) -> Server<M> {
         Server {
             listener: self.listener,
@@ -100,18 +100,19 @@
         self.limits_from(move || limits)
     }
 
-    /// Speaks HTTP/1.1 only.
+    /// Restricts the server to HTTP/1.1.
     pub fn http1_only(mut self) -> Self {
         self.http1_only = true;
         self
     }
 
-    /// The address bound to.
+    /// Returns the local address of the listener.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Serves until `stop`, then closes the listener, lets every open request finish and returns.
+    /// Serves until `stop` is cancelled, then closes the listener, finishes all open requests and
+    /// returns.
     pub async fn run<H, F>(self, stop: CancellationToken, handler: H)
     where
         H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
--- a/crates/sillpin-rpc/src/arms.rs
+++ b/crates/sillpin-rpc/src/arms.rs
@@ -1,12 +1,12 @@
-//! What each arm of a rollout measured in a box, as sums that can be added up over boxes.
+//! Measurements of the arms of a rollout on a box, as sums that can be merged across boxes.
 
 use serde::{Deserialize, Serialize};
 use sillpin_core::{ArmName, BoxId, Revision, ZoneId};
 
-/// Sums over pairs of a part and its whole, enough for a ratio and its standard error.
+/// Sums over (part, whole) pairs, from which a ratio and its standard error are computed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct RatioSums {
-    /// Pairs.
+    /// Number of pairs.
     pub count: u64,
     /// Sum of the parts.
     pub part: f64,
@@ -16,7 +16,7 @@
     pub part_squared: f64,
     /// Sum of the wholes' squares.
     pub whole_squared: f64,
-    /// Sum of the products.
+    /// Sum of the products of part and whole.
     pub product: f64,
 }
 
@@ -31,7 +31,7 @@
         self.product += part * whole;
     }
 
-    /// Adds the sums of others.
+    /// Adds the sums of other pairs.
     pub fn join(&mut self, other: &RatioSums) {
         self.count += other.count;
         self.part += other.part;
@@ -41,7 +41,7 @@
         self.product += other.product;
     }
 
-    /// Parts over wholes.
+    /// Returns the sum of the parts divided by the sum of the wholes, or 0 without wholes.
     pub fn ratio(&self) -> f64 {
         if self.whole == 0.0 {
             0.0
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Standard error of the ratio, by linearisation.
+    /// Returns the standard error of the ratio, by linearisation.
     pub fn standard_error(&self) -> f64 {
         if self.count < 2 || self.whole == 0.0 {
             return f64::INFINITY;
@@ -64,23 +64,23 @@
     }
 }
 
-/// What an arm measured in a box since its revision came into force there.
+/// Measurements of an arm on a box since its revision came into force there.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ArmFigures {
     /// The box.
     pub by: BoxId,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// The revision.
+    /// Revision of the bundle.
     pub revision: Revision,
     /// The arm.
     pub arm: ArmName,
-    /// Times to first token in microseconds, each with how often it was seen.
+    /// Times to first token in microseconds, each with its number of occurrences.
     pub first_tokens: Vec<(u64, u64)>,
-    /// Requests that got no whole answer.
+    /// Number of requests without a complete response.
     pub failed: u64,
-    /// Prompt tokens computed, over all.
+    /// Computed prompt tokens as a part of all prompt tokens.
     pub computed: RatioSums,
-    /// Bytes fetched from stores, for each request.
+    /// Bytes fetched from stores per request.
     pub link_bytes: RatioSums,
 }
--- a/crates/sillpin-rpc/src/directory.rs
+++ b/crates/sillpin-rpc/src/directory.rs
@@ -1,45 +1,49 @@
-//! Hints of who holds which blocks. A hint that is wrong costs time, never safety: engines check
-//! their own cache, and stores and readers check seal, generation and checksum.
+//! Hints about which targets hold which blocks.
+//!
+//! The hints for a prompt are held by the keepers that own its root, the prompt's first block. A wrong
+//! hint costs time but not correctness: engines check their own cache, and stores and readers check
+//! seal, generation and checksum.
 
 use serde::{Deserialize, Serialize};
 use sillpin_core::{ArmName, BlockName, Bytes, BytesPerSec, Generation, TargetId};
 use std::net::SocketAddr;
 
-/// An object in a store box, without its name.
+/// A published object in a store box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptObject {
     /// The block.
     pub block: BlockName,
-    /// Which writing of it.
+    /// Generation of the object.
     pub generation: Generation,
     /// The store box.
     pub store: TargetId,
-    /// Where the store box listens.
+    /// Address of the store box.
     pub addr: SocketAddr,
     /// Length of its content.
     pub len: Bytes,
     /// BLAKE3 of its content, in hexadecimal.
     pub checksum: String,
-    /// Rate of the store's link, if known.
+    /// Rate of the store's network link, if known.
     pub link_rate: Option<BytesPerSec>,
 }
 
-/// What the directory knows of a prompt's blocks.
+/// The directory's hints for the blocks of a prompt.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BlockHints {
-    /// Engines and how many leading blocks each holds.
+    /// Engines with the number of leading blocks that each holds.
     pub holders: Vec<(TargetId, u32)>,
-    /// Kept objects of leading blocks, in order.
+    /// Stored objects of the leading blocks, in order.
     pub kept: Vec<KeptObject>,
 }
 
 impl BlockHints {
-    /// Whether nothing is known.
+    /// Returns whether there are no hints.
     pub fn is_empty(&self) -> bool {
         self.holders.is_empty() && self.kept.is_empty()
     }
 
-    /// Joins what two owners know: the longer prefix wins.
+    /// Merges the hints of two owners. For each target, and for the stored objects, the longer prefix
+    /// is used.
     pub fn join(mut self, other: BlockHints) -> Self {
         for (target, blocks) in other.holders {
             match self.holders.iter_mut().find(|(t, _)| *t == target) {
@@ -54,47 +58,47 @@
     }
 }
 
-/// A change of what an engine holds of the prompts below a root.
+/// A change of the blocks that an engine holds of the prompts with a given root.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderChange {
-    /// First block of the prompts.
+    /// The root: first block of the prompts.
     pub root: BlockName,
     /// The engine.
     pub target: TargetId,
-    /// Blocks it holds now.
+    /// Blocks added to its cache.
     pub stored: Vec<BlockName>,
-    /// Blocks it holds no more.
+    /// Blocks removed from its cache.
     pub removed: Vec<BlockName>,
 }
 
-/// A prompt was answered.
+/// A prompt that an engine answered.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptUse {
     /// Names of its whole blocks; the first is its root.
     pub blocks: Vec<BlockName>,
-    /// The engine that answered.
+    /// The engine.
     pub target: TargetId,
-    /// Where the engine listens.
+    /// Address of the engine.
     pub addr: SocketAddr,
-    /// The arm of the rollout that the prompt belongs to.
+    /// Arm of the rollout to which the prompt belongs.
     pub arm: ArmName,
 }
 
-/// News for the owners of a root.
+/// An update for the owners of a root.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DirectoryNews {
-    /// An engine's cache changed.
+    /// The cache of an engine changed.
     Holder(HolderChange),
-    /// A prompt was answered.
+    /// An engine answered a prompt.
     Used(PromptUse),
-    /// Objects were written, sealed and published.
+    /// Objects were written and sealed, and are published.
     Kept {
         /// First block of the prompt.
         root: BlockName,
         /// The objects.
         objects: Vec<KeptObject>,
     },
-    /// Objects are to be freed and must not be handed out any more.
+    /// Objects are about to be freed and must no longer be returned as hints.
     Unpublished {
         /// First block of the prompt.
         root: BlockName,
@@ -104,7 +108,7 @@
 }
 
 impl DirectoryNews {
-    /// The root that the news is about.
+    /// Returns the root of the prompts that the update concerns, if any.
     pub fn root(&self) -> Option<BlockName> {
         match self {
             DirectoryNews::Holder(change) => Some(change.root),
--- a/crates/sillpin-rpc/src/peer_link.rs
+++ b/crates/sillpin-rpc/src/peer_link.rs
@@ -1,4 +1,4 @@
-//! What keepers say to each other, and what the command line asks of a keeper.
+//! The RPC interface of a keeper for other keepers and the command line.
 
 use crate::arms::ArmFigures;
 use crate::directory::{BlockHints, DirectoryNews};
@@ -9,63 +9,63 @@
 use sillpin_core::{ArmName, BlockName, BoxId, RequestId, Revision, ZoneId};
 use sillpin_policy::guard::Breach;
 
-/// A box as a keeper sees it.
+/// A keeper's view of a box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxStatus {
     /// The box.
     pub id: BoxId,
-    /// What it says of itself.
+    /// State written by its own keeper.
     pub state: BoxState,
-    /// Since its last heartbeat arrived, in milliseconds.
+    /// Time since its last heartbeat arrived, in milliseconds.
     pub heartbeat_age_ms: u64,
-    /// Whether it counts as live.
+    /// Whether it is considered live.
     pub live: bool,
 }
 
-/// What a keeper sees of the fleet.
+/// A keeper's view of the fleet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FleetStatus {
-    /// The box that answers.
+    /// The box of the keeper.
     pub by: BoxId,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// The revision in force there.
+    /// Revision of the bundle in force on it.
     pub revision: Revision,
     /// Name of the bundle in force.
     pub bundle: Option<String>,
-    /// Digest of the bundle in force, shortened.
+    /// Abbreviated digest of the bundle in force.
     pub digest: Option<String>,
-    /// Boxes.
+    /// Known boxes.
     pub boxes: Vec<BoxStatus>,
-    /// Targets.
+    /// Known targets.
     pub targets: Vec<TargetView>,
-    /// Arms that guards stopped.
+    /// Arms stopped by their guards, with zone and breach.
     pub stopped_arms: Vec<(ZoneId, ArmName, Breach)>,
-    /// Since the platform last answered, in milliseconds.
+    /// Time since the last response of the platform, in milliseconds.
     pub platform_age_ms: Option<u64>,
-    /// Since the box list was last read or heard of, in milliseconds.
+    /// Time since the box list was last read or received, in milliseconds.
     pub box_list_age_ms: Option<u64>,
-    /// Prompts in this box's part of the directory.
+    /// Number of prompts in this box's part of the directory.
     pub directory_prompts: u64,
-    /// Blocks in this box's part of the directory.
+    /// Number of blocks in this box's part of the directory.
     pub directory_blocks: u64,
 }
 
-/// The service that keepers offer to each other and to operators.
+/// Service of a keeper for other keepers and operators.
 #[tarpc::service]
 pub trait PeerLink {
-    /// Compares what both know.
+    /// Compares item versions; returns newer items, and the hashes of items that this keeper lacks.
     async fn exchange(digest: Digest) -> Exchange;
-    /// Takes items that were asked for.
+    /// Transfers items that an exchange requested.
     async fn push(items: Vec<Item>);
-    /// Hints for the blocks of a prompt whose root this keeper owns.
+    /// Returns hints for the blocks of a prompt that this keeper owns in the directory.
     async fn look_up(blocks: Vec<BlockName>) -> BlockHints;
-    /// News for the owners of roots.
+    /// Transfers updates to the directory owners of the prompts concerned.
     async fn learn(news: Vec<DirectoryNews>);
-    /// What this keeper sees of the fleet.
+    /// Returns this keeper's view of the fleet.
     async fn status() -> FleetStatus;
-    /// The decision record of a request, if this box took it.
+    /// Returns the decision record of a request, if this box received it.
     async fn explain(request: RequestId) -> Option<DecisionRecord>;
-    /// What the arms of the bundle in force measured in this box.
+    /// Returns the measurements of the arms of the bundle in force on this box.
     async fn arms() -> Vec<ArmFigures>;
 }
--- a/crates/sillpin-rpc/src/records.rs
+++ b/crates/sillpin-rpc/src/records.rs
@@ -1,4 +1,4 @@
-//! Decision records: why a request went where it went.
+//! Decision records: the candidates, attempts and outcome of a request, for `sillpin explain`.
 
 use serde::{Deserialize, Serialize};
 use sillpin_core::{
@@ -7,66 +7,66 @@
 };
 use sillpin_policy::placement::Reason;
 
-/// One candidate of a decision.
+/// A candidate of a placement decision.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CandidateRecord {
     /// The target.
     pub target: TargetId,
-    /// Why it was a candidate.
+    /// Why the target was a candidate.
     pub reason: Reason,
-    /// Wait before it would begin, in microseconds.
+    /// Estimated queueing time, in microseconds.
     pub wait_us: u64,
-    /// Time to compute, in microseconds.
+    /// Estimated prefill time, in microseconds.
     pub compute_us: u64,
-    /// Time to fetch kept blocks, in microseconds.
+    /// Estimated time to fetch stored blocks, in microseconds.
     pub fetch_us: u64,
-    /// Leading blocks that it holds, as hinted.
+    /// Number of leading blocks that it holds, according to the hints.
     pub held: u32,
-    /// Blocks to fetch.
+    /// Number of blocks to fetch.
     pub fetched: u32,
-    /// Weighted cost; the lowest wins.
+    /// Weighted cost; the lowest is chosen.
     pub cost: f64,
 }
 
-/// One attempt and its decision.
+/// An attempt and its placement decision.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AttemptRecord {
-    /// The target chosen.
+    /// The chosen target.
     pub target: TargetId,
     /// Weight version that the attempt is pinned to, if the target is an engine.
     pub version: Option<WeightVersion>,
-    /// Candidates, the best first.
+    /// Candidates, best first.
     pub candidates: Vec<CandidateRecord>,
-    /// What became of it.
+    /// Result of the attempt.
     pub result: String,
 }
 
-/// One request.
+/// The decisions and the outcome of a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DecisionRecord {
     /// The request.
     pub request: RequestId,
-    /// The box that took it.
+    /// The box that received it.
     pub by: BoxId,
     /// The box's availability zone.
     pub zone: ZoneId,
     /// The organisation.
     pub org: OrgId,
-    /// The pool it went to.
+    /// The pool that served it.
     pub pool: Option<PoolId>,
-    /// The model it asked for.
+    /// The requested model.
     pub model: Option<ModelId>,
-    /// Its class.
+    /// Its priority class.
     pub class: PriorityClass,
-    /// The bundle's revision.
+    /// Revision of the bundle in force.
     pub revision: Revision,
-    /// The arm.
+    /// Arm of the rollout.
     pub arm: ArmName,
-    /// Blocks of its prompt.
+    /// Number of whole blocks of its prompt.
     pub blocks: u32,
-    /// Its attempts.
+    /// Its attempts, in order.
     pub attempts: Vec<AttemptRecord>,
-    /// What became of it.
+    /// Whether it was carried out.
     pub outcome: Outcome,
     /// Time to first token in microseconds, if there was one.
     pub first_token_us: Option<u64>,
--- a/crates/sillpin-rpc/src/transport.rs
+++ b/crates/sillpin-rpc/src/transport.rs
@@ -1,4 +1,4 @@
-//! Connections of `tarpc` over TCP, with frames of bounded length.
+//! `tarpc` connections over TCP, with a limit on the frame length.
 
 use futures::{Stream, StreamExt};
 use std::future::Future;
@@ -12,26 +12,26 @@
 use tokio_util::codec::LengthDelimitedCodec;
 use tokio_util::sync::CancellationToken;
 
-/// Longest frame: the largest document and what surrounds it.
+/// Maximum frame length, enough for the largest document and its envelope.
 pub const MAX_FRAME_LEN: usize = 4 << 20;
 
-/// Time to open a connection before the peer counts as out of reach.
+/// Time-out for opening a connection, after which the peer is treated as unreachable.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Wait after a failed accept.
+/// Pause after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Calls of one connection that may be under way.
+/// Maximum number of concurrent calls on one connection.
 const MAX_CALLS: usize = 1_024;
 
-/// The context of a call that must be answered within `timeout`.
+/// Returns the context of a call with a deadline after `timeout`.
 pub fn within(timeout: Duration) -> Context {
     let mut context = Context::current();
     context.deadline = Instant::now() + timeout;
     context
 }
 
-/// A connection's transport.
+/// Transport of a connection.
 pub type Tcp<Item, SinkItem> = Transport<TcpStream, Item, SinkItem, Bincode<Item, SinkItem>>;
 
 /// Opens a connection to `peer`.
@@ -47,7 +47,7 @@
     Ok(transport)
 }
 
-/// Hands the transport of every connection of `listener` to `handler`, until `stop`.
+/// Accepts connections of `listener` until `stop` is cancelled and runs `handler` for each.
 pub async fn serve<Item, SinkItem, H, F>(listener: TcpListener, stop: CancellationToken, handler: H)
 where
     Item: for<'de> serde::Deserialize<'de>,
@@ -79,7 +79,7 @@
     }
 }
 
-/// Answers the requests of one connection, many at once.
+/// Handles the requests of one connection concurrently.
 pub async fn answer<F: Future<Output = ()>>(requests: impl Stream<Item = F>) {
     requests
         .for_each_concurrent(MAX_CALLS, |answering| answering)
--- a/crates/sillpin-settings/src/args.rs
+++ b/crates/sillpin-settings/src/args.rs
@@ -1,10 +1,10 @@
-//! The arguments that every program with settings takes.
+//! Command-line arguments common to all programs with settings.
 
 use crate::load::Sources;
 use crate::{Fault, Faults, Loaded, Schema, load};
 use clap::{Arg, ArgAction, ArgMatches, Command};
 
-/// Names the settings file when `--config` does not.
+/// Environment variable with the path of the settings file, used without `--config`.
 pub const CONFIG_ENV: &str = "SILLPIN_CONFIG";
 
 /// Adds `--config`, `--set`, `--check` and `--print-settings`.
@@ -16,38 +16,38 @@
                 .env(CONFIG_ENV)
                 .required(true)
                 .value_name("FILE")
-                .help("Settings in INI"),
+                .help("Settings file in INI format"),
         )
         .arg(
             Arg::new("set")
                 .long("set")
                 .action(ArgAction::Append)
                 .value_name("SECTION.KEY=VALUE")
-                .help("Set one value, above file and environment"),
+                .help("Set a value, overriding file and environment"),
         )
         .arg(
             Arg::new("check")
                 .long("check")
                 .action(ArgAction::SetTrue)
-                .help("Check the settings, print every fault, and end"),
+                .help("Check the settings, print all faults, and exit"),
         )
         .arg(
             Arg::new("print-settings")
                 .long("print-settings")
                 .action(ArgAction::SetTrue)
-                .help("Print the effective settings with their sources, and end"),
+                .help("Print the effective settings with their sources, and exit"),
         )
 }
 
-/// What the arguments ask for.
+/// Action that the arguments request.
 pub enum Asked {
-    /// Run with these settings.
+    /// Run the program with these settings.
     Run(Loaded),
-    /// Print this and end.
+    /// Print this text and exit.
     Print(String),
 }
 
-/// Reads the settings that the arguments name.
+/// Reads the settings and determines the requested action.
 pub fn read(schema: Schema, args: &ArgMatches) -> Result<Asked, Faults> {
     let loaded = load_settings(schema, args)?;
     if args.get_flag("print-settings") {
@@ -65,7 +65,7 @@
     file.cloned().unwrap_or_default()
 }
 
-/// Reads and checks the settings that the arguments name.
+/// Reads and checks the settings from the file, flags and environment that the arguments specify.
 pub fn load_settings(schema: Schema, args: &ArgMatches) -> Result<Loaded, Faults> {
     let file = settings_file(args);
     let text = std::fs::read_to_string(&file).map_err(|e| {
--- a/crates/sillpin-settings/src/file.rs
+++ b/crates/sillpin-settings/src/file.rs
@@ -1,22 +1,22 @@
-//! The values of an INI file with their lines.
+//! Reads the values of an INI file with their line numbers.
 
 use crate::{Fault, Schema};
 use ini::Ini;
 use std::collections::BTreeMap;
 
-/// Longest file read, in bytes.
+/// Maximum length of the file, in bytes.
 const MAX_FILE_LEN: usize = 1 << 20;
 
 /// Section and key.
 pub(crate) type Path = (String, String);
 
-/// A value and the line where it stands.
+/// A value with its line number.
 pub(crate) struct Value {
     pub(crate) text: String,
     pub(crate) line: usize,
 }
 
-/// Reads the values of `text`, which came from `file`; keys that `schema` does not know are faults.
+/// Parses the values in `text`, the contents of `file`. Keys that are not in `schema` are faults.
 pub(crate) fn parse(
     file: &str,
     text: &str,
@@ -78,7 +78,7 @@
     ))
 }
 
-/// Lines on which each key stands. The library keeps no line numbers.
+/// Returns the line numbers of each key, which the library does not provide.
 fn lines_of(text: &str) -> BTreeMap<Path, Vec<usize>> {
     let mut lines: BTreeMap<Path, Vec<usize>> = BTreeMap::new();
     let mut section = String::new();
--- a/crates/sillpin-settings/src/lib.rs
+++ b/crates/sillpin-settings/src/lib.rs
@@ -1,9 +1,9 @@
-//! Settings in INI, the same checker for every program.
+//! Settings of all programs, read from INI files and checked against a schema.
 //!
-//! A program declares its sections and keys as a [`Schema`]. [`load`] takes each value from, in
-//! order, the command line (`--set section.key=value`), the environment
-//! (`SILLPIN_SECTION_KEY`), the file and the default, and reports every fault at once with file,
-//! line, key and what is accepted. A key that the schema does not know is a fault.
+//! A program declares its sections and keys as a [`Schema`]. [`load`] takes each value from, in order
+//! of precedence, the command line (`--set section.key=value`), the environment
+//! (`SILLPIN_SECTION_KEY`), the file and the default. It reports all faults together, with file, line,
+//! key and accepted values. A key that is not in the schema is a fault.
 
 pub mod args;
 mod file;
@@ -14,7 +14,7 @@
 
 pub use load::{Loaded, Origin, Sources, env_name, load};
 
-/// What a value must look like.
+/// Type of a value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Kind {
     /// Any text.
@@ -26,18 +26,18 @@
     /// An IP address and port.
     #[display("an IP address and port, such as 127.0.0.1:8080")]
     Addr,
-    /// Several of them.
+    /// IP addresses and ports.
     #[display("IP addresses and ports, separated by commas")]
     AddrList,
-    /// Several words.
+    /// A list of words.
     #[display("words, separated by commas")]
     List,
-    /// A whole number within bounds.
+    /// A whole number within a range.
     #[display("a whole number from {min} to {max}")]
     Number {
-        /// Lowest.
+        /// Smallest accepted value.
         min: u64,
-        /// Highest.
+        /// Largest accepted value.
         max: u64,
     },
     /// An IP address.
@@ -46,31 +46,31 @@
     /// A number from 0 to 1.
     #[display("a number from 0 to 1")]
     Fraction,
-    /// A number from 0, with or without a fraction.
-    #[display("a number from 0, such as 2 or 0.5")]
+    /// A decimal number, 0 or more.
+    #[display("a number of 0 or more, such as 2 or 0.5")]
     Decimal,
-    /// One of several words.
+    /// One of the given words.
     #[display("one of {}", _0.join(", "))]
     OneOf(&'static [&'static str]),
 }
 
-/// A key of a section.
+/// Declaration of a key.
 #[derive(Debug, Clone, Copy)]
 pub struct Key {
-    /// Its name.
+    /// Name of the key.
     pub name: &'static str,
-    /// What its value must look like.
+    /// Type of the value.
     pub kind: Kind,
-    /// Its value when not given; `None`: it must be given.
+    /// Default value; `None` if the key is required.
     pub default: Option<&'static str>,
-    /// Whether its value is masked when printed.
+    /// Whether the value is masked when printed.
     pub secret: bool,
-    /// What it does.
+    /// Description, for `docs/SETTINGS.md`.
     pub help: &'static str,
 }
 
 impl Key {
-    /// A key that must be given.
+    /// Declares a required key.
     pub const fn required(name: &'static str, kind: Kind, help: &'static str) -> Self {
         Self {
             name,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// A key with a default.
+    /// Declares a key with a default.
     pub const fn optional(
         name: &'static str,
         kind: Kind,
@@ -97,36 +97,36 @@
         }
     }
 
-    /// The same key, masked when printed.
+    /// Marks the key as secret, so that its value is masked when printed.
     pub const fn secret(mut self) -> Self {
         self.secret = true;
         self
     }
 }
 
-/// A section of a file.
+/// Declaration of a section.
 #[derive(Debug, Clone, Copy)]
 pub struct Section {
-    /// Its name.
+    /// Name of the section.
     pub name: &'static str,
-    /// Its keys.
+    /// Keys of the section.
     pub keys: &'static [Key],
 }
 
-/// All that a program reads.
+/// All sections of a program.
 pub type Schema = &'static [Section];
 
-/// One fault of the settings.
+/// A fault in the settings.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{place}: {what}")]
 pub struct Fault {
-    /// Where: file and line, environment name, flag or key.
+    /// Location: file and line, environment variable, flag or key.
     pub place: String,
-    /// What is wrong and what is accepted.
+    /// Description of the fault, with the accepted values.
     pub what: String,
 }
 
-/// All faults of the settings.
+/// All faults in the settings.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("settings have {} fault(s)\n{}", _0.len(), join(_0))]
 pub struct Faults(#[error(not(source))] pub Vec<Fault>);
--- a/crates/sillpin-settings/src/load.rs
+++ b/crates/sillpin-settings/src/load.rs
@@ -1,4 +1,4 @@
-//! Values from all sources, checked.
+//! Combines and checks the values from all sources.
 
 use crate::file::{self, Path};
 use crate::{Fault, Faults, Key, Kind, Schema, Section};
@@ -7,16 +7,16 @@
 use std::net::{IpAddr, SocketAddr};
 use std::str::FromStr;
 
-/// Prefix of names in the environment.
+/// Prefix of the environment variables.
 pub const ENV_PREFIX: &str = "SILLPIN";
 
 /// Shown in place of a secret.
 const MASK: &str = "********";
 
-/// Where a value came from.
+/// Source of a value.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum Origin {
-    /// The file, at a line.
+    /// The file, with the line number.
     #[display("file, line {_0}")]
     File(usize),
     /// The environment.
@@ -41,15 +41,15 @@
     values: BTreeMap<Path, Value>,
 }
 
-/// What [`load`] reads from.
+/// Sources that [`load`] reads.
 pub struct Sources<'a> {
-    /// Name of the file, for faults.
+    /// Name of the settings file, for faults.
     pub file: &'a str,
-    /// Its text.
+    /// Contents of the settings file.
     pub text: &'a str,
     /// `section.key=value`, from the command line.
     pub flags: &'a [String],
-    /// Looks a name up in the environment.
+    /// Returns the value of an environment variable.
     pub env: &'a dyn Fn(&str) -> Option<String>,
 }
 
@@ -101,7 +101,7 @@
     Some((default.to_owned(), Origin::Default))
 }
 
-/// Name of a key in the environment.
+/// Returns the environment variable of a key.
 pub fn env_name(section: &Section, key: &Key) -> String {
     let name = format!("{ENV_PREFIX}_{}_{}", section.name, key.name);
     name.to_ascii_uppercase().replace('-', "_")
@@ -179,8 +179,8 @@
 }
 
 impl Loaded {
-    /// The value of a key that the schema declares, as `T`. Fails if the key is unknown or its
-    /// text is no `T`.
+    /// Returns the value of a key as `T`. Fails if the schema does not declare the key, or its value
+    /// cannot be parsed as `T`.
     pub fn get<T: FromStr>(&self, section: &str, key: &str) -> Result<T, Faults> {
         let path = (section.to_owned(), key.to_owned());
         let value = self.values.get(&path);
@@ -193,7 +193,7 @@
         })
     }
 
-    /// The values of a key that lists several, separated by commas.
+    /// Returns the values of a key with a comma-separated list.
     pub fn list<T: FromStr>(&self, section: &str, key: &str) -> Result<Vec<T>, Faults> {
         let text: String = self.get(section, key)?;
         let words = text.split(',').map(str::trim).filter(|w| !w.is_empty());
@@ -209,7 +209,7 @@
             .collect()
     }
 
-    /// Keys whose values differ from those of `before`, as `section.key`.
+    /// Returns the keys whose values differ from those in `before`, as `section.key`.
     pub fn changed_since(&self, before: &Loaded) -> Vec<String> {
         let differs = |path: &Path, value: &Value| {
             before.values.get(path).map(|old| &old.text) != Some(&value.text)
@@ -223,7 +223,7 @@
             .collect()
     }
 
-    /// All values with their sources, secrets masked, as an INI file.
+    /// Formats all values with their sources as an INI file; secrets are masked.
     pub fn render(&self) -> String {
         let mut text = String::new();
         let mut last = "";
--- a/crates/sillpin-settings/src/program.rs
+++ b/crates/sillpin-settings/src/program.rs
@@ -1,4 +1,4 @@
-//! What the `main` of every program does: arguments, settings, errors with their causes.
+//! Common `main` function of the programs: arguments, settings, and error output.
 
 use crate::args::{Asked, load_settings, read, with_settings};
 use crate::{Faults, Loaded, Schema};
@@ -6,7 +6,7 @@
 use std::error::Error;
 use std::process::ExitCode;
 
-/// Runs a program that reads settings: `start` gets them checked.
+/// Runs a program: reads and checks its settings, and passes them to `start`.
 pub fn run(
     command: Command,
     schema: Schema,
@@ -15,7 +15,7 @@
     run_reloading(command, schema, |loaded, _| start(&loaded))
 }
 
-/// Reads a program's settings again while it runs.
+/// Reloads a program's settings while it runs.
 #[derive(Debug, Clone)]
 pub struct Reloader {
     schema: Schema,
@@ -23,13 +23,13 @@
 }
 
 impl Reloader {
-    /// The settings as they are now.
+    /// Reads and checks the current settings.
     pub fn read(&self) -> Result<Loaded, Faults> {
         load_settings(self.schema, &self.matches)
     }
 }
 
-/// Like [`run`], for a program that reads its settings again while it runs.
+/// Like [`run`], for a program that can reload its settings while it runs.
 pub fn run_reloading(
     command: Command,
     schema: Schema,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Prints an error and what caused it.
+/// Prints an error and its causes to standard error.
 pub fn print_error(e: &dyn Error) {
     eprintln!("error: {e}");
     let mut cause = e.source();
--- a/crates/sillpin-settings/tests/settings.rs
+++ b/crates/sillpin-settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The checker names every fault with file, line, key and what is accepted.
+//! Faults are reported with file, line, key and accepted values; sources override each other in order.
 
 use sillpin_settings::{Faults, Key, Kind, Loaded, Schema, Section, Sources, load};
 
--- a/crates/sillpin-settings/tests/support/program.rs
+++ b/crates/sillpin-settings/tests/support/program.rs
@@ -1,10 +1,10 @@
-//! Runs a program with a settings file; the tests of the programs include this file.
+//! Runs a program with a settings file; included by the tests of several programs.
 
 use std::path::Path;
 use std::process::Command;
 
-/// Runs the program at `exe` with `text` as its settings: whether it succeeded, its standard output and its standard
-/// error, where the file is called `box.ini`.
+/// Runs the program at `exe` with `text` as its settings file. Returns whether it succeeded, its
+/// standard output and its standard error, in which the path of the file is replaced by `box.ini`.
 pub fn run(exe: &str, text: &str, args: &[&str]) -> (bool, String, String) {
     let name = Path::new(exe).file_name().unwrap().display();
     let dir = std::env::temp_dir().join(format!("{name}-{}", std::process::id()));
--- a/crates/sillpin-targets/src/engine.rs
+++ b/crates/sillpin-targets/src/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines: runs, loads, cache events and orders.
+//! Interface to model engines: runs, load reports, cache events and orders.
 
 use crate::store::ObjectRef;
 use derive_more::{Display, Error};
@@ -12,181 +12,182 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// One run, as ordered at an engine.
+/// Order to run a prompt at an engine.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RunOrder {
-    /// This sending; the engine echoes it with everything it answers.
+    /// The attempt; the engine repeats it in every document of the response.
     pub attempt: AttemptId,
     /// Model to run.
     pub model: ModelId,
-    /// Weight version that the run is pinned to; an engine that serves another refuses.
+    /// Weight version that the run is pinned to; an engine that serves another version refuses it.
     pub version: WeightVersion,
-    /// Adapter beside the model, if any.
+    /// Adapter to use with the model, if any.
     pub adapter: Option<AdapterId>,
     /// Names of the prompt's whole blocks.
     pub blocks: Vec<BlockName>,
     /// The prompt.
     pub prompt: String,
-    /// Text already delivered to the caller by an earlier attempt, to be continued from.
+    /// Text that earlier attempts delivered to the caller, which the run continues.
     pub delivered: String,
-    /// Tokens in `delivered`.
+    /// Number of tokens in `delivered`.
     pub start_index: u32,
-    /// Tokens to generate in all, `start_index` included.
+    /// Maximum number of generated tokens, including those in `delivered`.
     pub max_tokens: u32,
     /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Kept blocks to fetch before computing.
+    /// Stored blocks to fetch before the prefill.
     pub imports: Vec<ObjectRef>,
-    /// Further fields of the caller's request, such as sampling parameters, passed on as they are.
+    /// Other fields of the caller's request, such as sampling parameters, forwarded unchanged.
     #[serde(default)]
     pub parameters: serde_json::Map<String, serde_json::Value>,
 }
 
-/// What an engine says at a run's end.
+/// Counts that an engine reports at the end of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunSummary {
-    /// Tokens generated in all, `start_index` included.
+    /// Number of generated tokens, including those that earlier attempts delivered.
     pub tokens: u32,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: Tokens,
-    /// Tokens of the prompt found in the engine's cache.
+    /// Prompt tokens found in the engine's cache.
     pub cached_tokens: Tokens,
-    /// Tokens of the prompt fetched from stores.
+    /// Prompt tokens fetched from stores.
     pub imported_tokens: Tokens,
     /// Bytes fetched from stores.
     pub imported_bytes: u64,
 }
 
-/// One document of a run's answer.
+/// A document of a run's response stream.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunEvent {
     /// A generated token.
     Token {
-        /// The attempt it answers.
+        /// The attempt to which it belongs.
         attempt: AttemptId,
-        /// Its position, from 0.
+        /// Position of the token, starting with 0.
         index: u32,
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
-    /// The run's end: without it an answer is not whole.
+    /// The end mark; a response without it is incomplete.
     End {
-        /// The attempt it answers.
+        /// The attempt to which it belongs.
         attempt: AttemptId,
-        /// Counts to check the answer against.
+        /// Counts, against which the response is checked.
         summary: RunSummary,
     },
 }
 
-/// What went wrong at an engine.
+/// Cause of a failed engine call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum EngineFault {
-    /// It could not be reached.
+    /// The engine could not be reached.
     #[display("out of reach")]
     Unreachable,
-    /// It refused the work: leaving, full, or of another weight version.
+    /// The engine refused the order: it is leaving, is full, or serves another weight version.
     #[display("refused")]
     Refused,
-    /// It refused the work because it serves another weight version.
+    /// The engine refused the order because it serves the given weight version.
     #[display("serves weight version {_0}")]
     OtherVersion(WeightVersion),
-    /// It answered for another attempt.
-    #[display("answer of another attempt")]
+    /// The response belongs to another attempt.
+    #[display("response to another attempt")]
     Crossed,
-    /// The answer broke off.
-    #[display("answer broke off")]
+    /// The response ended early.
+    #[display("response incomplete")]
     Cut,
-    /// The answer's end does not fit what came before.
-    #[display("answer does not add up")]
+    /// The token indexes or the counts in the end mark don't match the received tokens.
+    #[display("response inconsistent")]
     Mismatch,
-    /// Nothing came for too long.
-    #[display("nothing came in time")]
+    /// The engine did not respond in time.
+    #[display("timed out")]
     Timeout,
 }
 
-/// A call of an engine that failed, with its step, peer and outcome.
+/// A failed call of an engine, with its step, peer and outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{step} at engine {peer}: {fault} ({outcome})")]
 pub struct EngineError {
-    /// What was being done.
+    /// The operation that failed.
     pub step: &'static str,
     /// The engine's address.
     pub peer: SocketAddr,
-    /// What went wrong.
+    /// The cause.
     #[error(not(source))]
     pub fault: EngineFault,
-    /// Whether the engine carried the order out.
+    /// Whether the engine carried out the order.
     pub outcome: Outcome,
 }
 
 /// A change of an engine's cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheChange {
-    /// First block of the prompt that brought the block in.
+    /// First block of the prompt for which the block was cached.
     pub root: BlockName,
     /// The block.
     pub block: BlockName,
-    /// Whether it is cached now, or no more.
+    /// Whether it was stored in the cache (otherwise, removed).
     pub stored: bool,
 }
 
-/// Cache events after a given one. A first sequence above the one asked for means a gap.
+/// Cache events after a requested sequence number. If the first number is not the next one, events
+/// were lost.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
     /// Events with their sequence numbers, in order.
     pub events: Vec<(u64, CacheChange)>,
-    /// Life of the engine the numbers belong to.
+    /// Incarnation of the engine to which the sequence numbers belong.
     pub epoch: u64,
-    /// Ask for events after this one next time.
+    /// Sequence number after which the next read continues.
     pub sequence: u64,
 }
 
 /// An order to write blocks to a store box.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ExportOrder {
-    /// First block of the prompt, written into the seals.
+    /// First block of the prompt, recorded in the seals.
     pub root: BlockName,
-    /// Blocks to write, each with the generation of its writing.
+    /// Blocks to write, each with the generation of the new object.
     pub blocks: Vec<(BlockName, Generation)>,
     /// The store box.
     pub store: TargetId,
-    /// Where the store box listens.
+    /// Address of the store box.
     pub addr: SocketAddr,
 }
 
-/// Objects that an export wrote and sealed.
+/// Result of an export.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Exported {
-    /// The objects, ready to publish.
+    /// The written and sealed objects, ready to be published.
     pub objects: Vec<ObjectRef>,
 }
 
 /// An order to load a weight version.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LoadOrder {
-    /// Engines that check refuse an order below the highest fence seen.
+    /// Fencing token; engines that check it refuse an order below the highest fence seen.
     pub fence: Fence,
     /// Model to load.
     pub model: ModelId,
     /// Version to load.
     pub version: WeightVersion,
-    /// Weight store to load from.
+    /// Address of the weight store to load from.
     pub weights: SocketAddr,
 }
 
-/// A run's answer as it comes.
+/// Response stream of a run.
 pub trait RunStream: Send {
-    /// The next event; `None` after the end mark.
+    /// Returns the next event, or `None` after the end mark.
     fn next(&mut self) -> impl Future<Output = Result<Option<RunEvent>, EngineError>> + Send;
 }
 
 /// A model engine.
 pub trait Engine: Clone + Send + Sync + 'static {
-    /// How this engine streams.
+    /// Response stream of this engine's runs.
     type Stream: RunStream;
 
-    /// Starts a run; resolves when the engine has accepted it.
+    /// Starts a run; returns when the engine has accepted it.
     fn run(
         &self,
         peer: SocketAddr,
@@ -194,7 +195,7 @@
         timeout: Duration,
     ) -> impl Future<Output = Result<Self::Stream, EngineError>> + Send;
 
-    /// Takes up a run's answer again at the token `cursor`.
+    /// Resumes the response stream of a run at the token `cursor`.
     fn resume(
         &self,
         peer: SocketAddr,
@@ -210,13 +211,13 @@
         attempt: AttemptId,
     ) -> impl Future<Output = Result<(), EngineError>> + Send;
 
-    /// The engine's report of its load.
+    /// Reads the engine's load report.
     fn load(
         &self,
         peer: SocketAddr,
     ) -> impl Future<Output = Result<LoadReport, EngineError>> + Send;
 
-    /// Cache events after `sequence` of `epoch`, waiting up to `wait` for one.
+    /// Reads cache events after `sequence` of `epoch`, waiting up to `wait` for the first.
     fn cache_events(
         &self,
         peer: SocketAddr,
@@ -225,14 +226,14 @@
         wait: Duration,
     ) -> impl Future<Output = Result<CacheEvents, EngineError>> + Send;
 
-    /// Writes blocks to a store box.
+    /// Orders the engine to write blocks to a store box.
     fn export(
         &self,
         peer: SocketAddr,
         order: &ExportOrder,
     ) -> impl Future<Output = Result<Exported, EngineError>> + Send;
 
-    /// Loads a weight version.
+    /// Orders the engine to load a weight version.
     fn load_weights(
         &self,
         peer: SocketAddr,
--- a/crates/sillpin-targets/src/engine_http.rs
+++ b/crates/sillpin-targets/src/engine_http.rs
@@ -1,4 +1,4 @@
-//! Model engines over HTTP: JSON in, JSON documents one a line out.
+//! Client of model engines over HTTP: requests in JSON, response streams with one JSON document per line.
 
 use crate::engine::{
     CacheEvents, Engine, EngineError, EngineFault, ExportOrder, Exported, LoadOrder, RunEvent,
@@ -15,25 +15,25 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest wait for a load report or a cancellation.
+/// Time-out of load reports, cancellations and (in addition to their wait time) cache events.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Longest wait for an export or a load of weights.
+/// Time-out of exports and weight loads.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Names the weight version that an engine serves, when it refuses a run of another one.
+/// Header with the weight version that an engine serves, sent when it refuses a run of another one.
 pub const VERSION_HEADER: &str = "sillpin-weight-version";
 
 const NO_BODY: Option<&()> = None;
 
-/// Client of engines; one serves for all of them.
+/// Client of all engines.
 #[derive(Clone, Default)]
 pub struct HttpEngine {
     client: Client,
 }
 
 impl HttpEngine {
-    /// Speaks through `client`.
+    /// Creates a client that sends its requests through `client`.
     pub fn new(client: Client) -> Self {
         Self { client }
     }
@@ -67,7 +67,7 @@
     }
 }
 
-/// What a failed call means. A refusal's status is the engine's own word that it did not begin.
+/// Converts a failed call. With a refusal status, the engine states that it did not start the run.
 fn classify(e: &CallError) -> EngineError {
     let (fault, outcome) = match (&e.fault, e.sent) {
         (CallFault::Status { status, .. }, _) => classify_refusal(e, *status),
@@ -106,8 +106,9 @@
     (EngineFault::Cut, Outcome::Unknown)
 }
 
-/// A run's answer over HTTP. It checks that every document answers the attempt it was opened for,
-/// and that the tokens and the end mark add up; a document that does not closes the connection.
+/// Response stream of a run over HTTP. It checks that every document belongs to the requested attempt
+/// and that the token indexes and the end mark are consistent; otherwise it returns an error, and
+/// dropping it closes the connection.
 pub struct HttpRun {
     lines: JsonLines,
     peer: SocketAddr,
--- a/crates/sillpin-targets/src/lib.rs
+++ b/crates/sillpin-targets/src/lib.rs
@@ -1,9 +1,9 @@
-//! The targets as sillpin sees them: one small trait a kind, one HTTP adapter file each.
+//! Interfaces to the targets: a trait and an HTTP adapter per kind of target.
 //!
-//! - [`engine`]: model engines; [`engine_http`] is their adapter,
-//! - [`store`]: store boxes and the objects in them; [`store_http`] is their adapter.
+//! - [`engine`]: model engines, with the adapter [`engine_http`],
+//! - [`store`]: store boxes and their objects, with the adapter [`store_http`].
 //!
-//! Plain services are spoken to in the callers' own HTTP, which `sillpin-entry` passes on.
+//! Plain services need no adapter: `sillpin-entry` forwards the callers' HTTP requests to them.
 
 pub mod engine;
 pub mod engine_http;
--- a/crates/sillpin-targets/src/store.rs
+++ b/crates/sillpin-targets/src/store.rs
@@ -1,8 +1,8 @@
-//! Objects in store boxes.
+//! Interface to store boxes and their objects.
 //!
-//! An object is one writing of one block: its name is block name and generation, and a generation
-//! is never reused for the same block. It is written, then sealed with length and checksum, and
-//! only then published in the directory of kept blocks.
+//! An object holds one block. It is identified by block name and generation; a generation is never
+//! reused for the same block. An object is written, then sealed with length and checksum, and only
+//! then published in the block directory.
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
@@ -11,16 +11,16 @@
 use std::future::Future;
 use std::net::SocketAddr;
 
-/// Where a published object is, and what its reader must find there.
+/// Reference to a published object, with the length and checksum that its reader verifies.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObjectRef {
-    /// The block it holds.
+    /// The block that it holds.
     pub block: BlockName,
-    /// Which writing of it.
+    /// Generation of the object.
     pub generation: Generation,
     /// The store box.
     pub store: TargetId,
-    /// Where the store box listens.
+    /// Address of the store box.
     pub addr: SocketAddr,
     /// Length of the content.
     pub len: Bytes,
@@ -28,35 +28,35 @@
     pub checksum: String,
 }
 
-/// What a writer declares when it seals an object.
+/// Properties of an object, declared by its writer when sealing it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Seal {
     /// Length of the content.
     pub len: Bytes,
     /// BLAKE3 of the content, in hexadecimal.
     pub checksum: String,
-    /// First block of the prompt, so that a lost directory can be rebuilt.
+    /// First block of the prompt, from which a lost directory can be rebuilt.
     pub root: BlockName,
 }
 
-/// A sealed object, as a store lists it.
+/// A sealed object in a store's listing.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SealedObject {
     /// The block.
     pub block: BlockName,
-    /// Which writing of it.
+    /// Generation of the object.
     pub generation: Generation,
-    /// What its writer declared.
+    /// The seal.
     pub seal: Seal,
 }
 
 /// A store box.
 pub trait Store: Clone + Send + Sync + 'static {
-    /// The store's report of its load and fill.
+    /// Reads the store's report of its load and used capacity.
     fn load(&self, peer: SocketAddr)
     -> impl Future<Output = Result<LoadReport, StoreError>> + Send;
 
-    /// Sealed objects behind `after` (block and generation), in order, at most `limit`.
+    /// Lists at most `limit` sealed objects, in order, starting after the object `after`.
     fn list(
         &self,
         peer: SocketAddr,
@@ -64,7 +64,7 @@
         limit: usize,
     ) -> impl Future<Output = Result<Vec<SealedObject>, StoreError>> + Send;
 
-    /// Frees an object. Only after nobody is handed a reference any more.
+    /// Frees an object. Its references must no longer be handed out.
     fn free(
         &self,
         peer: SocketAddr,
@@ -73,14 +73,14 @@
     ) -> impl Future<Output = Result<(), StoreError>> + Send;
 }
 
-/// A call of a store box that failed, with its step and peer.
+/// A failed call of a store box, with its step and peer.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{step} at store {peer}: {what}")]
 pub struct StoreError {
-    /// What was being done.
+    /// The operation that failed.
     pub step: &'static str,
     /// The store's address.
     pub peer: SocketAddr,
-    /// What went wrong.
+    /// The cause.
     pub what: String,
 }
--- a/crates/sillpin-targets/src/store_http.rs
+++ b/crates/sillpin-targets/src/store_http.rs
@@ -1,4 +1,4 @@
-//! Store boxes over HTTP and JSON.
+//! Client of store boxes over HTTP and JSON.
 
 use crate::store::{SealedObject, Store, StoreError};
 use hyper::Method;
@@ -13,14 +13,14 @@
 const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 const NO_BODY: Option<&()> = None;
 
-/// Client of store boxes; one serves for all of them.
+/// Client of all store boxes.
 #[derive(Clone, Default)]
 pub struct HttpStore {
     client: Client,
 }
 
 impl HttpStore {
-    /// Speaks through `client`.
+    /// Creates a client that sends its requests through `client`.
     pub fn new(client: Client) -> Self {
         Self { client }
     }
