--- a/crates/sillpin-telemetry/src/events.rs
+++ b/crates/sillpin-telemetry/src/events.rs
@@ -1,17 +1,17 @@
-//! The catalogue of log events. A code is never reused.
+//! The catalogue of log events. The code of a removed event is not reused.
 
 use slog::Level;
 
-/// A kind of log event.
+/// A log event.
 #[derive(Debug, Clone, Copy)]
 pub struct Event {
-    /// Its number.
+    /// Unique number of the event.
     pub code: u16,
-    /// How grave it is.
+    /// Severity.
     pub level: Level,
-    /// What happened.
+    /// Message of the log record.
     pub text: &'static str,
-    /// What an operator may do.
+    /// Recommended action for operators, for `docs/EVENTS.md`.
     pub advice: &'static str,
 }
 
@@ -27,184 +27,184 @@
             };
         )*
 
-        /// Every event, by code.
+        /// All events, in order of declaration.
         pub const CATALOGUE: &[Event] = &[$($name),*];
     };
 }
 
 catalogue! {
-    /// The entry listens.
+    /// The entry has opened its listeners.
     ENTRY_STARTED = 100, Info, "entry started", "Nothing to do.";
-    /// The entry has a bundle and takes requests.
+    /// The entry has a bundle and accepts requests.
     ENTRY_READY = 101, Info, "entry ready", "Nothing to do.";
-    /// The entry was told to stop.
-    ENTRY_DRAINING = 102, Info, "entry drains", "Wait: it ends when its last request has ended.";
-    /// The entry has ended.
+    /// The entry received a stop signal and finishes its open requests.
+    ENTRY_DRAINING = 102, Info, "entry draining", "Wait: the entry exits when its last request has ended.";
+    /// The entry has stopped.
     ENTRY_STOPPED = 103, Info, "entry stopped", "Nothing to do.";
-    /// The entry lost its keeper.
-    KEEPER_LOST = 104, Warning, "keeper out of reach", "Start the keeper again; the entry serves with its last snapshot.";
-    /// The entry has its keeper again.
-    KEEPER_BACK = 105, Info, "keeper back", "Nothing to do.";
-    /// A request ended.
-    REQUEST_DONE = 110, Debug, "request done", "Nothing to do.";
-    /// A request did not get its whole answer.
-    REQUEST_FAILED = 111, Info, "request failed", "Look at its decision with `sillpin explain`.";
-    /// An attempt at a target failed and another follows.
-    ATTEMPT_FAILED = 112, Info, "attempt failed", "Look at the target if one name recurs.";
-    /// A target answered for another attempt.
-    ANSWER_CROSSED = 113, Error, "answer of another attempt", "Take the target out: it mixes up answers.";
-    /// An arm was stopped by its guard.
-    ARM_STOPPED = 120, Warning, "arm stopped by its guard", "Compare the arms; accept a bundle without it.";
-    /// The keeper listens.
+    /// The entry cannot reach its keeper.
+    KEEPER_LOST = 104, Warning, "keeper unreachable", "Restart the keeper; until then the entry uses its last snapshot.";
+    /// The entry can reach its keeper again.
+    KEEPER_BACK = 105, Info, "keeper reachable again", "Nothing to do.";
+    /// A request ended with a complete response.
+    REQUEST_DONE = 110, Debug, "request completed", "Nothing to do.";
+    /// A request ended without a complete response.
+    REQUEST_FAILED = 111, Info, "request failed", "Look at its decision record with `sillpin explain`.";
+    /// An attempt at a target failed; another one may follow.
+    ATTEMPT_FAILED = 112, Info, "attempt failed", "Look at the target if the same one fails repeatedly.";
+    /// A target sent the response to another attempt.
+    ANSWER_CROSSED = 113, Error, "response belongs to another attempt", "Remove the target: it mixes up responses.";
+    /// The guard of an arm stopped it.
+    ARM_STOPPED = 120, Warning, "arm stopped by its guard", "Compare the arms; accept a bundle without this arm.";
+    /// The keeper has opened its listeners.
     KEEPER_STARTED = 200, Info, "keeper started", "Nothing to do.";
-    /// The keeper ended.
+    /// The keeper has stopped.
     KEEPER_STOPPED = 201, Info, "keeper stopped", "Nothing to do.";
     /// A bundle came into force.
     BUNDLE_IN_FORCE = 210, Info, "bundle in force", "Nothing to do.";
-    /// A revision was refused.
-    BUNDLE_REFUSED = 211, Error, "revision refused", "Find out who wrote it: it is not signed by a trusted key or not readable.";
-    /// The platform's service failed.
-    PLATFORM_FAILED = 220, Warning, "platform call failed", "Look at the platform; the fleet goes on with what it has.";
-    /// The platform's service answers again.
-    PLATFORM_BACK = 221, Info, "platform answers again", "Nothing to do.";
-    /// A box is dead or left.
-    BOX_GONE = 230, Warning, "box out of use", "Replace the box if it was not stopped on purpose.";
-    /// A box is there.
-    BOX_SEEN = 231, Info, "box in use", "Nothing to do.";
-    /// A target is out of reach.
-    TARGET_LOST = 232, Warning, "target out of reach", "Replace the target if it was not stopped on purpose.";
-    /// A target is back.
-    TARGET_BACK = 233, Info, "target back", "Nothing to do.";
-    /// A target leaves.
-    TARGET_LEAVING = 234, Info, "target leaves", "Nothing to do.";
-    /// Cache events were lost.
-    CACHE_EVENTS_LOST = 240, Debug, "cache events lost", "Nothing to do: answers correct the hints.";
+    /// A revision in the platform's store was refused.
+    BUNDLE_REFUSED = 211, Error, "revision refused", "Find out who wrote it: it is not readable or not signed by a trusted key.";
+    /// A call of the platform's service failed.
+    PLATFORM_FAILED = 220, Warning, "platform call failed", "Check the platform; the fleet continues with its current state.";
+    /// The platform's service responds again.
+    PLATFORM_BACK = 221, Info, "platform responds again", "Nothing to do.";
+    /// A box is leaving or no longer sends heartbeats.
+    BOX_GONE = 230, Warning, "box no longer live", "Replace the box if it was not stopped on purpose.";
+    /// A box is live.
+    BOX_SEEN = 231, Info, "box live", "Nothing to do.";
+    /// A keeper cannot read the load of a target.
+    TARGET_LOST = 232, Warning, "target unreachable", "Replace the target if it was not stopped on purpose.";
+    /// A keeper can read the load of a target again.
+    TARGET_BACK = 233, Info, "target reachable again", "Nothing to do.";
+    /// A target is leaving.
+    TARGET_LEAVING = 234, Info, "target leaving", "Nothing to do.";
+    /// Cache events of an engine were lost.
+    CACHE_EVENTS_LOST = 240, Debug, "cache events lost", "Nothing to do: responses correct the hints.";
     /// Blocks were written to a store.
-    BLOCKS_KEPT = 241, Debug, "blocks kept", "Nothing to do.";
+    BLOCKS_KEPT = 241, Debug, "blocks stored", "Nothing to do.";
     /// Blocks were freed in a store.
     BLOCKS_FREED = 242, Debug, "blocks freed", "Nothing to do.";
-    /// An export failed.
-    EXPORT_FAILED = 243, Info, "export failed", "Look at the store if one name recurs.";
-    /// A weight version is being loaded.
-    WEIGHTS_ORDERED = 250, Info, "load of weights ordered", "Nothing to do.";
-    /// A weight version was loaded.
+    /// An export of blocks to a store failed.
+    EXPORT_FAILED = 243, Info, "export failed", "Look at the store if the same one fails repeatedly.";
+    /// An engine was ordered to load a weight version.
+    WEIGHTS_ORDERED = 250, Info, "weight load ordered", "Nothing to do.";
+    /// An engine has loaded a weight version.
     WEIGHTS_LOADED = 251, Info, "weights loaded", "Nothing to do.";
-    /// A load failed.
-    WEIGHTS_FAILED = 252, Warning, "load of weights failed", "It is tried again; look at the weight store if it recurs.";
-    /// A claim was given up and released.
-    CLAIM_RELEASED = 260, Info, "claim released", "Nothing to do: its call was not run.";
-    /// The box listens.
+    /// A weight load failed.
+    WEIGHTS_FAILED = 252, Warning, "weight load failed", "It is retried; check the weight store if it recurs.";
+    /// A claim was abandoned and released.
+    CLAIM_RELEASED = 260, Info, "claim released", "Nothing to do: the claimed call was not run.";
+    /// The box has opened its listeners.
     BOX_STARTED = 300, Info, "box started", "Nothing to do.";
-    /// The box was told to stop.
-    BOX_DRAINING = 301, Info, "box drains", "Wait: it ends when its last request has ended.";
-    /// The box ended while requests were under way.
-    BOX_CUT_REQUESTS = 302, Error, "box ended before its last request", "Give boxes more time between SIGTERM and SIGKILL.";
-    /// The box has ended.
+    /// The box received a stop signal and finishes its open requests.
+    BOX_DRAINING = 301, Info, "box draining", "Wait: the box exits when its last request has ended.";
+    /// The box stopped while requests were open.
+    BOX_CUT_REQUESTS = 302, Error, "box stopped before its last request ended", "Allow boxes more time between SIGTERM and SIGKILL.";
+    /// The box has stopped.
     BOX_STOPPED = 303, Info, "box stopped", "Nothing to do.";
-    /// The settings were read again.
+    /// The settings were reloaded.
     SETTINGS_RELOADED = 304, Info, "settings reloaded", "Nothing to do; keys listed as waiting take effect at the next start.";
-    /// The settings were read again and are not acceptable.
-    SETTINGS_REFUSED = 305, Error, "settings not acceptable", "Correct the file; the box goes on with its last settings.";
-    /// The box was suspended: its steady clock stood still.
-    BOX_SUSPENDED = 306, Warning, "box was suspended", "Look at the machine if it recurs; what the box knew counts as older by that time.";
+    /// The settings were reloaded but contain faults.
+    SETTINGS_REFUSED = 305, Error, "settings refused", "Correct the settings; the box continues with the previous ones.";
+    /// The box was suspended: its monotonic clock stood still.
+    BOX_SUSPENDED = 306, Warning, "box was suspended", "Check the machine if it recurs; the box adds this time to the age of its state.";
     /// A configuration came into force.
     CONFIG_IN_FORCE = 310, Info, "configuration in force", "Nothing to do.";
-    /// A published value cannot be read.
-    VALUE_UNREADABLE = 311, Error, "published value unreadable", "Look at who wrote it; a configuration stays as it was, a target is not used.";
-    /// Operators want other weights.
-    WEIGHTS_WANTED = 312, Info, "weights wanted", "Nothing to do.";
-    /// A target's entry says whether it takes work.
+    /// A published value cannot be decoded.
+    VALUE_UNREADABLE = 311, Error, "published value unreadable", "Find out who wrote it; the previous configuration stays in force, and an unreadable target is not used.";
+    /// Operators request other weights.
+    WEIGHTS_WANTED = 312, Info, "weights requested", "Nothing to do.";
+    /// The presence in a target's entry changed, or the entry is new.
     TARGET_LISTED = 313, Info, "target listed", "Nothing to do.";
-    /// A target's entry vanished while the store was away.
-    TARGET_LAPSED = 314, Warning, "target's entry lapsed", "Nothing to do: it is used until it is clear that the entry does not return.";
-    /// The store's copy has a target as one that takes requests which had left before.
-    TARGET_DOUBTED = 337, Info, "target of a copy not believed", "Nothing to do: it gets no requests until it has written its entry again.";
-    /// A target is gone.
-    TARGET_UNLISTED = 315, Info, "target gone", "Nothing to do.";
-    /// An engine serves other weights than its entry says.
-    TARGET_SERVES = 316, Info, "engine serves other weights", "Nothing to do.";
-    /// A target started again under its id.
-    TARGET_RESTARTED = 319, Info, "target restarted", "Nothing to do: what was known of its earlier life is forgotten.";
+    /// A target's entry disappeared while the store was unreachable.
+    TARGET_LAPSED = 314, Warning, "target's entry expired", "Nothing to do: the target is used until it is certain that its entry does not return.";
+    /// The restored backup of the store lists a target that has since left as ready.
+    TARGET_DOUBTED = 337, Info, "target's restored entry ignored", "Nothing to do: the target gets no requests until it writes its entry again.";
+    /// A target is no longer used.
+    TARGET_UNLISTED = 315, Info, "target removed", "Nothing to do.";
+    /// An engine serves other weights than its entry states.
+    TARGET_SERVES = 316, Info, "engine serves other weights than listed", "Nothing to do.";
+    /// A target restarted under the same id.
+    TARGET_RESTARTED = 319, Info, "target restarted", "Nothing to do: the state of its previous process is discarded.";
     /// Operators evacuate an availability zone.
-    EVACUATION_BEGAN = 307, Warning, "zone evacuated", "Nothing to do: no request goes to the zone's targets until the evacuation is taken back.";
-    /// An evacuation was taken back.
-    EVACUATION_ENDED = 308, Info, "zone's evacuation ended", "Nothing to do: the zone's targets take requests again.";
-    /// A target names a limit, or another one than before.
-    TARGET_LIMITED = 309, Warning, "target limits its requests", "Look at what the target lacks; requests beyond its limit go elsewhere or are refused.";
-    /// A target names no limit any more.
+    EVACUATION_BEGAN = 307, Warning, "zone evacuated", "Nothing to do: no requests go to the zone's targets until the evacuation is revoked.";
+    /// Operators revoked the evacuation of an availability zone.
+    EVACUATION_ENDED = 308, Info, "zone's evacuation ended", "Nothing to do: the zone's targets get requests again.";
+    /// A target set or changed its request limit.
+    TARGET_LIMITED = 309, Warning, "target limits its requests", "Look at what the target lacks; requests above its limit go to other targets or are refused.";
+    /// A target no longer sets a request limit.
     TARGET_UNLIMITED = 355, Info, "target's limit ended", "Nothing to do.";
-    /// A target names a limit that cannot be read.
-    LIMIT_UNREADABLE = 356, Error, "target's limit unreadable", "Look at the target: the limit is a decimal number; it gets few requests meanwhile.";
-    /// A target said in an answer that it leaves.
-    TARGET_LEAVES = 358, Info, "target says that it leaves", "Nothing to do: it gets no further requests from this box.";
-    /// A target turned a request away and said for how long it wants no other from this box.
-    TARGET_BACKS_OFF = 359, Info, "target wants no requests for a while", "Look at what the target lacks if it recurs.";
-    /// The platform's store came back from a copy and lost what was written since.
-    STORE_RESTORED = 325, Warning, "platform's store came back from a copy", "Look whether operators' last changes stand there again.";
+    /// A target sent a request limit that cannot be parsed.
+    LIMIT_UNREADABLE = 356, Error, "target's limit unreadable", "Correct the target: the limit must be a decimal number; the target gets few requests until then.";
+    /// A response of a target states that it is leaving.
+    TARGET_LEAVES = 358, Info, "target signalled that it is leaving", "Nothing to do: it gets no further requests from this box.";
+    /// A target refused a request and sent a time during which it accepts none from this box.
+    TARGET_BACKS_OFF = 359, Info, "target requested backoff", "Look at what the target lacks if it recurs.";
+    /// The platform's store was restored from a backup and lost later writes.
+    STORE_RESTORED = 325, Warning, "platform's store restored from a backup", "Check whether the operators' latest changes are still there.";
     /// A target cannot be reached.
     TARGET_UNREACHABLE = 317, Warning, "target unreachable", "Replace the target if it was not stopped on purpose.";
     /// A target can be reached again.
-    TARGET_REACHABLE = 318, Info, "target reachable", "Nothing to do.";
-    /// The platform's store does not answer.
-    STORE_LOST = 320, Warning, "platform's store lost", "Look at the store; the box goes on with what it and other boxes know.";
-    /// The platform's store answers again.
-    STORE_BACK = 321, Info, "platform's store back", "Nothing to do.";
-    /// Calls of the platform's store so far.
-    STORE_CALLS = 326, Info, "calls of the platform's store", "Nothing to do: the totals of this life of the box.";
-    /// Registration of the box failed.
-    REGISTRY_FAILED = 322, Warning, "registration failed", "Look at the store if it recurs.";
-    /// News between boxes failed.
-    GOSSIP_FAILED = 323, Warning, "news between boxes failed", "Check the boxes' UDP port.";
-    /// Another box did not answer.
-    PEER_FAILED = 324, Info, "box did not answer", "Look at that box if it recurs.";
-    /// Another box has known newer things for seconds.
-    BEHIND = 327, Warning, "newer knowledge elsewhere", "Compare E324 and E326 of this box: bytes that arrive and are given up mean a thin link.";
-    /// What another box knows was taken over.
-    COPIED = 328, Debug, "copied from a box", "Nothing to do.";
-    /// A store of kept KV cache does not answer.
-    KEPT_STORE_LOST = 330, Warning, "store of kept KV cache lost", "Look at that store; prompts are read anew meanwhile.";
-    /// A store of kept KV cache answers again.
-    KEPT_STORE_BACK = 331, Info, "store of kept KV cache back", "Nothing to do.";
-    /// What this box and others told each other since its start, by kind.
-    PEER_TRAFFIC = 336, Info, "traffic between boxes", "Nothing to do; compare with what the box's link carries.";
-    /// A store of kept KV cache was listed.
-    KEPT_STORE_LISTED = 332, Info, "store of kept KV cache listed", "Nothing to do.";
-    /// Events of a store were lost, or it restarted.
-    KEPT_STORE_GAP = 333, Info, "events of a store lost", "Nothing to do: the store is listed anew.";
-    /// Parts were freed in a store.
-    KEPT_FREED = 334, Info, "kept parts freed", "Nothing to do.";
-    /// A store did not free parts.
-    KEPT_NOT_FREED = 335, Warning, "kept parts not freed", "Nothing to do: it is tried again.";
-    /// A request goes to a target.
-    SENDING = 340, Info, "sending", "Nothing to do.";
-    /// A sending brought no whole answer.
-    SENDING_FAILED = 341, Info, "sending failed", "Look at the target if one name recurs.";
-    /// A stream is whole.
-    STREAM_WHOLE = 342, Info, "stream whole", "Nothing to do.";
-    /// A stream goes on at another target.
+    TARGET_REACHABLE = 318, Info, "target reachable again", "Nothing to do.";
+    /// The platform's store does not respond.
+    STORE_LOST = 320, Warning, "platform's store unreachable", "Check the store; the box continues with its own state and that of other boxes.";
+    /// The platform's store responds again.
+    STORE_BACK = 321, Info, "platform's store reachable again", "Nothing to do.";
+    /// Number of calls of the platform's store since the box started.
+    STORE_CALLS = 326, Info, "calls of the platform's store", "Nothing to do: these are the totals since the box started.";
+    /// The registration of the box in the platform's store failed.
+    REGISTRY_FAILED = 322, Warning, "registration failed", "Check the store if it recurs.";
+    /// Sending or receiving a datagram between boxes failed.
+    GOSSIP_FAILED = 323, Warning, "message between boxes failed", "Check the boxes' UDP port.";
+    /// A call of another box failed.
+    PEER_FAILED = 324, Info, "call of another box failed", "Look at that box if it recurs.";
+    /// Another box has had newer state for several seconds.
+    BEHIND = 327, Warning, "state outdated", "Compare E324 and E326 of this box: received bytes of failed calls indicate a slow link.";
+    /// State was transferred from another box.
+    COPIED = 328, Debug, "state copied from another box", "Nothing to do.";
+    /// A cache store does not respond.
+    KEPT_STORE_LOST = 330, Warning, "cache store unreachable", "Check that store; until then its parts are recomputed.";
+    /// A cache store responds again.
+    KEPT_STORE_BACK = 331, Info, "cache store reachable again", "Nothing to do.";
+    /// Traffic between this box and others since it started, by kind of message.
+    PEER_TRAFFIC = 336, Info, "traffic between boxes", "Nothing to do; compare with the capacity of the box's link.";
+    /// The contents of a cache store were listed.
+    KEPT_STORE_LISTED = 332, Info, "cache store listed", "Nothing to do.";
+    /// Events of a cache store were lost, or it restarted.
+    KEPT_STORE_GAP = 333, Info, "events of a cache store lost", "Nothing to do: the store is listed again.";
+    /// Stored parts were freed in a cache store.
+    KEPT_FREED = 334, Info, "stored parts freed", "Nothing to do.";
+    /// A cache store did not free stored parts.
+    KEPT_NOT_FREED = 335, Warning, "stored parts not freed", "Nothing to do: it is retried.";
+    /// A request is sent to a target.
+    SENDING = 340, Info, "attempt started", "Nothing to do.";
+    /// An attempt ended without a complete response.
+    SENDING_FAILED = 341, Info, "attempt failed", "Look at the target if the same one fails repeatedly.";
+    /// A stream was delivered completely.
+    STREAM_WHOLE = 342, Info, "stream complete", "Nothing to do.";
+    /// A stream continues at another target.
     STREAM_RESUMED = 343, Info, "stream resumed", "Nothing to do.";
-    /// The caller left.
-    CALLER_GONE = 344, Info, "caller gone", "Nothing to do.";
-    /// A plain request was answered.
+    /// The caller closed the connection.
+    CALLER_GONE = 344, Info, "caller disconnected", "Nothing to do.";
+    /// A request without a stream got its response.
     REQUEST_ANSWERED = 345, Info, "request answered", "Nothing to do.";
-    /// A target's process ended while it had a request.
-    TARGET_ENDED = 346, Warning, "target ended under a request", "Compare the prints: one that recurs belongs to a request that ends what runs it.";
-    /// A request is known to end the targets that run it.
-    REQUEST_FATAL = 347, Error, "request ends the targets that run it", "It is refused from now on: look for the print in E340 and tell its caller.";
-    /// What is known of such requests could not be kept in the platform's store, or read there.
-    FATAL_NOT_KEPT = 348, Warning, "requests that end targets not kept", "Look at the store if it recurs; boxes tell each other meanwhile.";
-    /// A request that is known to end targets was sent to none.
-    REQUEST_WITHHELD = 349, Info, "request withheld", "Look for E347 with its print, and tell its caller.";
-    /// A request was refused since no target could begin it in time.
-    OVERLOADED = 357, Info, "refused: overloaded", "Add targets if it recurs: queue_ms is the work ahead at the target that would have begun it soonest.";
-    /// The box holds the duty to order engines.
-    DUTY_TAKEN = 350, Info, "duty taken", "Nothing to do.";
-    /// The box lost the duty to order engines.
-    DUTY_LOST = 351, Warning, "duty lost", "Nothing to do: another box takes it.";
-    /// The duty could not be taken.
-    DUTY_NOT_TAKEN = 352, Info, "duty not taken", "Look at the store if it recurs.";
-    /// An engine does not say what it does.
+    /// A target's process ended while it ran a request.
+    TARGET_ENDED = 346, Warning, "target crashed while running a request", "Compare the fingerprints (`print`): a recurring one belongs to a request that crashes the targets that run it.";
+    /// A request is known to crash the targets that run it.
+    REQUEST_FATAL = 347, Error, "request crashes the targets that run it", "It is refused from now on: find its fingerprint (`print`) in E340 and inform its caller.";
+    /// The list of requests that crash targets could not be written to the platform's store, or read from it.
+    FATAL_NOT_KEPT = 348, Warning, "list of crashing requests not stored", "Check the store if it recurs; until then boxes send each other the list.";
+    /// A request that is known to crash targets was refused.
+    REQUEST_WITHHELD = 349, Info, "crashing request refused", "Find the E347 with its fingerprint (`print`) and inform its caller.";
+    /// A request was refused since no target could start it in time.
+    OVERLOADED = 357, Info, "refused: overloaded", "Add targets if it recurs: queue_ms is the queued work at the target that could have started it first.";
+    /// The box became the leader, which orders engines to load weights.
+    DUTY_TAKEN = 350, Info, "leadership acquired", "Nothing to do.";
+    /// The box lost the leadership.
+    DUTY_LOST = 351, Warning, "leadership lost", "Nothing to do: another box acquires it.";
+    /// The box could not acquire the leadership.
+    DUTY_NOT_TAKEN = 352, Info, "leadership not acquired", "Check the store if it recurs.";
+    /// The report of an engine could not be read.
     ENGINE_SILENT = 353, Warning, "engine's report missing", "Look at the engine if it recurs.";
-    /// Engines serve weights that were replaced; said by the holder of the duty.
-    WEIGHTS_OUTDATED = 354, Info, "engines serve replaced weights", "Nothing to do while the count falls; else look at the engines that E250, E252 and E353 name.";
+    /// Engines serve weights that were replaced; logged by the leader.
+    WEIGHTS_OUTDATED = 354, Info, "engines serve replaced weights", "Nothing to do while the count decreases; otherwise look at the engines in E250, E252 and E353.";
 }
--- a/crates/sillpin-telemetry/src/program.rs
+++ b/crates/sillpin-telemetry/src/program.rs
@@ -19,7 +19,7 @@
         "collector",
         Kind::AddrList,
         "",
-        "Collector of traces (OTLP over HTTP); empty: none",
+        "Address of the trace collector (OTLP over HTTP); empty: traces are not sent",
     )],
 };
 
@@ -31,13 +31,13 @@
             "format",
             Kind::OneOf(logs::FORMATS),
             "json",
-            "Form of the log",
+            "Output format of the log",
         ),
         Key::optional(
             "level",
             Kind::OneOf(logs::LEVELS),
             "info",
-            "Lowest level logged",
+            "Lowest level that is logged",
         ),
     ],
 };
