--- a/crates/sillpin-core/src/block.rs
+++ b/crates/sillpin-core/src/block.rs
@@ -4,7 +4,7 @@
 //! A name is a keyed hash over the [`PromptScope`] (organisation, model, adapter, weight version),
 //! the preceding hash, and the block's text. A prompt therefore cannot produce the name of another
 //! organisation's block or of a block of other weights, and look-ups need no filter for them. Two
-//! prompts with a common prefix share the names of its whole blocks, and no others.
+//! prompts with a common prefix share the names of its complete blocks, and no others.
 //!
 //! Sillpin has no tokenizer: a block is a fixed number of bytes of text, rounded down to a character
 //! boundary, and [`BYTES_PER_TOKEN`] converts bytes to an estimated number of tokens. The engine
@@ -136,8 +136,8 @@
         hasher.finalize()
     }
 
-    /// Returns the names of the whole blocks of `prompt`, in order. A partial last block has no
-    /// name, as engines cache whole blocks only.
+    /// Returns the names of the complete blocks of `prompt`, in order. A partial last block has no
+    /// name, as engines cache complete blocks only.
     pub fn block_names(&self, key: &BlockKey, prompt: &str) -> Vec<BlockName> {
         let mut before = self.root(key);
         let mut names = Vec::with_capacity(prompt.len() / BLOCK_BYTES);
--- a/crates/sillpin-rpc/src/directory.rs
+++ b/crates/sillpin-rpc/src/directory.rs
@@ -74,7 +74,7 @@
 /// A prompt that an engine answered.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptUse {
-    /// Names of its whole blocks; the first is its root.
+    /// Names of its complete blocks; the first is its root.
     pub blocks: Vec<BlockName>,
     /// The engine.
     pub target: TargetId,
--- a/crates/sillpin-rpc/src/records.rs
+++ b/crates/sillpin-rpc/src/records.rs
@@ -62,7 +62,7 @@
     pub revision: Revision,
     /// Arm of the rollout.
     pub arm: ArmName,
-    /// Number of whole blocks of its prompt.
+    /// Number of complete blocks of its prompt.
     pub blocks: u32,
     /// Its attempts, in order.
     pub attempts: Vec<AttemptRecord>,
--- a/crates/sillpin-settings/src/file.rs
+++ b/crates/sillpin-settings/src/file.rs
@@ -52,7 +52,7 @@
             if values.contains_key(&path) {
                 let again = lines.get(&path).and_then(|lines| lines.get(1));
                 let again = again.copied().unwrap_or(line);
-                faults.push(fault(again, format!("[{section}] {key} stands twice")));
+                faults.push(fault(again, format!("[{section}] {key} is set twice")));
                 continue;
             }
             let text = value.to_owned();
--- a/crates/sillpin-settings/tests/settings.rs
+++ b/crates/sillpin-settings/tests/settings.rs
@@ -41,7 +41,7 @@
         faults.to_string(),
         "settings have 6 fault(s)
   box.ini:4: unknown key colour in [box]; accepted: id, listen
-  box.ini:7: [fleet] lag stands twice
+  box.ini:7: [fleet] lag is set twice
   --set box.size=1: unknown; accepted: section.key=value of a known key
   box.ini:2: [box] id: \"Box One\" is not accepted; accepted: a name of a-z, 0-9, '.', '_' and '-'
   box.ini:3: [box] listen: \"nowhere\" is not accepted; accepted: an IP address and port, such as 127.0.0.1:8080
--- a/crates/sillpin-targets/src/engine.rs
+++ b/crates/sillpin-targets/src/engine.rs
@@ -23,7 +23,7 @@
     pub version: WeightVersion,
     /// Adapter to use with the model, if any.
     pub adapter: Option<AdapterId>,
-    /// Names of the prompt's whole blocks.
+    /// Names of the prompt's complete blocks.
     pub blocks: Vec<BlockName>,
     /// The prompt.
     pub prompt: String,
