--- a/crates/sillpin-entry/src/keeper_link.rs
+++ b/crates/sillpin-entry/src/keeper_link.rs
@@ -171,13 +171,13 @@
                 let client = EntryLinkClient::new(Config::default(), transport).spawn();
                 self.client.send_replace(Some(client.clone()));
                 if lost_since.take().is_some() {
-                    event!(self.log, events::KEEPER_BACK, "keeper" => %self.addr);
+                    event!(self.log, events::KEEPER_RECOVERED, "keeper" => %self.addr);
                 }
                 self.follow(client).await;
                 self.client.send_replace(None);
             }
             if lost_since.is_none() {
-                event!(self.log, events::KEEPER_LOST, "keeper" => %self.addr);
+                event!(self.log, events::KEEPER_UNREACHABLE, "keeper" => %self.addr);
                 lost_since = Some(Instant::now());
             }
             tokio::time::sleep(RECONNECT_PAUSE).await;
--- a/crates/sillpin-entry/src/runs/account.rs
+++ b/crates/sillpin-entry/src/runs/account.rs
@@ -35,7 +35,7 @@
         self.app.metrics.prompt_work(labels, prompt_work(&summary));
         self.record_pace();
         self.count_in_arm(Some(&summary));
-        event!(self.app.log, events::REQUEST_DONE, "request" => %self.call.request,
+        event!(self.app.log, events::REQUEST_COMPLETED, "request" => %self.call.request,
             "tokens" => summary.tokens, "cached" => %summary.cached_tokens);
         self.record(Outcome::Ran);
         let provenance = Provenance {
--- a/crates/sillpin-entry/src/runs/drive.rs
+++ b/crates/sillpin-entry/src/runs/drive.rs
@@ -241,7 +241,7 @@
         event!(self.app.log, events::ATTEMPT_FAILED, "request" => %self.call.request,
             "target" => %target, "error" => %e);
         if e.fault == EngineFault::Crossed {
-            event!(self.app.log, events::ANSWER_CROSSED, "target" => %target);
+            event!(self.app.log, events::RESPONSE_MISMATCHED, "target" => %target);
         }
         if matches!(e.fault, EngineFault::Unreachable | EngineFault::Cut) {
             self.app.keeper.tell(News::Suspect(target.clone()));
--- a/crates/sillpin-entry/src/services.rs
+++ b/crates/sillpin-entry/src/services.rs
@@ -291,7 +291,7 @@
 ) -> Result<Response<Body>, Failure> {
     let echoed = resp.headers().get(headers::ATTEMPT);
     if echoed.is_some_and(|echoed| echoed.as_bytes() != attempt.to_string().as_bytes()) {
-        event!(app.log, events::ANSWER_CROSSED, "target" => %target.entry.id);
+        event!(app.log, events::RESPONSE_MISMATCHED, "target" => %target.entry.id);
         return Err(Failure::unknown("the target answered for another call"));
     }
     let (mut parts, incoming) = resp.into_parts();
--- a/crates/sillpin-gateway/src/beliefs/fleet.rs
+++ b/crates/sillpin-gateway/src/beliefs/fleet.rs
@@ -426,7 +426,7 @@
         if !is_news {
             return;
         }
-        event!(self.log, events::WEIGHTS_WANTED,
+        event!(self.log, events::WEIGHTS_REQUESTED,
             "model" => model.as_str(), "version" => named.version.0, "source" => source.to_string(),
             "age_ms" => now.saturating_duration_since(named.since).as_millis(),
             "witnessed" => named.witnessed);
--- a/crates/sillpin-gateway/src/beliefs/fleet/targets.rs
+++ b/crates/sillpin-gateway/src/beliefs/fleet/targets.rs
@@ -70,7 +70,7 @@
         self.warms_up(&target.id, target.cold, now);
         self.departures.listed(&target, entry.revision.era(), now);
         if self.departures.hides(&target, now) {
-            event!(self.log, events::TARGET_DOUBTED, "target" => target.id.as_str(),
+            event!(self.log, events::RESTORED_ENTRY_IGNORED, "target" => target.id.as_str(),
                 "revision" => entry.revision.to_string(), "source" => source.to_string());
         }
         self.targets.insert(target.id.clone(), Arc::new(target));
@@ -104,7 +104,7 @@
         let ready = |t: &Arc<TargetEntry>| t.presence == Presence::Ready;
         let is_ready = self.targets.get(&id).is_some_and(ready);
         if let Some(until) = may_return.filter(|_| is_ready) {
-            event!(self.log, events::TARGET_LAPSED, "target" => id.as_str());
+            event!(self.log, events::TARGET_ENTRY_EXPIRED, "target" => id.as_str());
             self.lapsed.insert(id, until);
             return;
         }
@@ -132,7 +132,7 @@
         if known >= Some(found.version) || seen >= Some(found.version) {
             return;
         }
-        event!(self.log, events::TARGET_SERVES, "target" => target.as_str(),
+        event!(self.log, events::TARGET_WEIGHTS_DIFFER, "target" => target.as_str(),
             "model" => found.model.as_str(), "version" => found.version.0);
         self.seen.insert(target, found);
         self.targets_changed = true;
--- a/crates/sillpin-gateway/src/beliefs/reader.rs
+++ b/crates/sillpin-gateway/src/beliefs/reader.rs
@@ -129,7 +129,7 @@
             match read {
                 Ok(reading) => {
                     if failures > 0 {
-                        event!(self.log, events::STORE_BACK,
+                        event!(self.log, events::STORE_RECOVERED,
                             "prefix" => self.prefix, "failures" => failures);
                     }
                     failures = 0;
@@ -270,7 +270,7 @@
 
     async fn failed(&self, e: &PlatformError, failures: u32, turn: Turn) {
         if failures == 1 {
-            event!(self.log, events::STORE_LOST, "prefix" => self.prefix, "why" => e.to_string());
+            event!(self.log, events::STORE_UNREACHABLE, "prefix" => self.prefix, "why" => e.to_string());
         }
         if e.fault == PlatformFault::HistoryLost {
             return;
--- a/crates/sillpin-gateway/src/fatal/keep.rs
+++ b/crates/sillpin-gateway/src/fatal/keep.rs
@@ -189,7 +189,7 @@
     }
 
     async fn failed(&self, e: &PlatformError, backoff: &mut Duration) {
-        event!(self.log, events::FATAL_NOT_KEPT, "why" => e.to_string());
+        event!(self.log, events::FATAL_REQUESTS_NOT_STORED, "why" => e.to_string());
         tokio::time::sleep(*backoff).await;
         *backoff = (*backoff * 2).min(MAX_BACKOFF);
     }
--- a/crates/sillpin-gateway/src/fatal/witness.rs
+++ b/crates/sillpin-gateway/src/fatal/witness.rs
@@ -101,7 +101,7 @@
         let prints = under_way.iter().map(|broken| broken.print);
         self.fatal.ended(life, prints, began);
         for broken in under_way {
-            event!(self.log, events::TARGET_ENDED, "request" => broken.id,
+            event!(self.log, events::TARGET_CRASHED, "request" => broken.id,
                 "print" => broken.print.to_string(), "target" => target.id.as_str(),
                 "elapsed_ms" => began.elapsed().as_millis());
         }
--- a/crates/sillpin-gateway/src/front/drive.rs
+++ b/crates/sillpin-gateway/src/front/drive.rs
@@ -142,7 +142,7 @@
         }
         if let Some(left) = self.withheld_for(run) {
             self.metrics.sending("withheld");
-            event!(self.log, events::REQUEST_WITHHELD, "request" => &run.demand.id,
+            event!(self.log, events::FATAL_REQUEST_REFUSED, "request" => &run.demand.id,
                 "print" => run.print.to_string(), "for_ms" => left.as_millis());
             return Err(match progress.runs {
                 0 => GivenUp::Refused(Refusal::not_run(FATAL).come_back_after(left)),
@@ -194,7 +194,7 @@
         let limit = self
             .loads
             .words(|words| words.limits.rate(LifeHash::of(&chosen.target)));
-        event!(self.log, events::SENDING,
+        event!(self.log, events::ATTEMPT_STARTED,
             "request" => &run.demand.id, "print" => run.print.to_string(),
             "target" => chosen.target.id.as_str(),
             "addr" => chosen.target.addr.to_string(), "offer" => progress.offered.len(),
@@ -283,7 +283,7 @@
             }
         }
         if !matches!(ended, Ended::Answered(_) | Ended::Streaming(_)) {
-            event!(self.log, events::SENDING_FAILED,
+            event!(self.log, events::ATTEMPT_INCOMPLETE,
                 "request" => &run.demand.id, "target" => target.id.as_str(),
                 "outcome" => ended.name(), "why" => ended.why(),
                 "elapsed_ms" => run.arrival.elapsed().as_millis());
--- a/crates/sillpin-gateway/src/front/handler.rs
+++ b/crates/sillpin-gateway/src/front/handler.rs
@@ -109,7 +109,7 @@
     fn drop(&mut self) {
         if !self.answered {
             self.shared.metrics.request("", "caller-gone");
-            event!(self.shared.log, events::CALLER_GONE, "request" => self.id,
+            event!(self.shared.log, events::CALLER_DISCONNECTED, "request" => self.id,
                 "target" => "", "elapsed_ms" => self.started.elapsed().as_millis());
         }
     }
--- a/crates/sillpin-gateway/src/front/relay.rs
+++ b/crates/sillpin-gateway/src/front/relay.rs
@@ -74,7 +74,7 @@
                     self.fatal.record().served(run.print, Instant::now());
                     self.metrics.answered(run.arrival.elapsed());
                     self.metrics.request(&run.route.name, "answered");
-                    event!(self.log, events::STREAM_WHOLE, "request" => id,
+                    event!(self.log, events::STREAM_COMPLETE, "request" => id,
                         "target" => target.as_str(), "head_ms" => waited,
                         "whole_ms" => run.arrival.elapsed().as_millis());
                     return;
@@ -82,7 +82,7 @@
                 Pumped::CallerGone => {
                     self.fatal.sent(run.print, LifeHash::of(&entry)).end(true);
                     self.metrics.request(&run.route.name, "caller-gone");
-                    event!(self.log, events::CALLER_GONE, "request" => id,
+                    event!(self.log, events::CALLER_DISCONNECTED, "request" => id,
                         "target" => target.as_str(),
                         "elapsed_ms" => run.arrival.elapsed().as_millis());
                     return;
@@ -94,7 +94,7 @@
                 Pumped::Broken(why) => {
                     self.broke_off(&run, &entry);
                     self.loads.note_life(&target, life, Health::Failed);
-                    event!(self.log, events::SENDING_FAILED, "request" => id,
+                    event!(self.log, events::ATTEMPT_INCOMPLETE, "request" => id,
                         "target" => target.as_str(), "outcome" => "broken", "why" => &why,
                         "elapsed_ms" => run.arrival.elapsed().as_millis());
                     match self
--- a/crates/sillpin-gateway/src/kept/freer.rs
+++ b/crates/sillpin-gateway/src/kept/freer.rs
@@ -135,7 +135,7 @@
         let list = match self.control.kept_list(store.addr).await {
             Ok(list) => list,
             Err(e) => {
-                event!(self.log, events::KEPT_STORE_LOST,
+                event!(self.log, events::CACHE_STORE_UNREACHABLE,
                     "store" => store.addr.to_string(), "why" => &e.what);
                 return;
             }
@@ -180,9 +180,9 @@
             until,
         };
         match self.control.free(store.addr, &order).await {
-            Ok(()) => event!(self.log, events::KEPT_FREED, "store" => store.addr.to_string(),
+            Ok(()) => event!(self.log, events::PARTS_FREED, "store" => store.addr.to_string(),
                 "parts" => count, "epoch" => position.epoch, "why" => why),
-            Err(e) => event!(self.log, events::KEPT_NOT_FREED,
+            Err(e) => event!(self.log, events::PARTS_NOT_FREED,
                 "store" => store.addr.to_string(), "parts" => count, "why" => &e.what),
         }
     }
--- a/crates/sillpin-gateway/src/kept/reader.rs
+++ b/crates/sillpin-gateway/src/kept/reader.rs
@@ -244,7 +244,7 @@
             match self.read(asked).await {
                 Ok(()) => {
                     if !reachable {
-                        event!(self.log, events::KEPT_STORE_BACK, "store" => self.addr.to_string());
+                        event!(self.log, events::CACHE_STORE_RECOVERED, "store" => self.addr.to_string());
                     }
                     reachable = true;
                     if !self.should_ask_clock(readings) {
@@ -254,7 +254,7 @@
                 Err(e) => {
                     self.kept.lock().forget(self.addr);
                     if reachable {
-                        event!(self.log, events::KEPT_STORE_LOST,
+                        event!(self.log, events::CACHE_STORE_UNREACHABLE,
                             "store" => self.addr.to_string(), "why" => &e.what);
                     }
                     reachable = false;
@@ -326,7 +326,7 @@
         let position = self.kept.lock().position(self.addr);
         let Some(position) = position else {
             let list = self.control.kept_list(self.addr).await?;
-            event!(self.log, events::KEPT_STORE_LISTED, "store" => self.addr.to_string(),
+            event!(self.log, events::CACHE_STORE_LISTED, "store" => self.addr.to_string(),
                 "epoch" => list.epoch, "whole" => list.whole.len(), "partial" => list.partial.len());
             self.tell_listing(&list, asked);
             self.kept.lock().take_list(self.addr, list, asked);
@@ -358,7 +358,7 @@
             .lock()
             .take_news(self.addr, position.next, news, asked, Instant::now())
         {
-            event!(self.log, events::KEPT_STORE_GAP, "store" => self.addr.to_string(),
+            event!(self.log, events::CACHE_STORE_EVENTS_LOST, "store" => self.addr.to_string(),
                 "epoch_before" => position.epoch, "epoch" => epoch, "lost" => lost);
         }
         Ok(())
--- a/crates/sillpin-gateway/src/ops.rs
+++ b/crates/sillpin-gateway/src/ops.rs
@@ -253,7 +253,7 @@
     closed.cancel();
     let deadline = began + cfg.grace.saturating_sub(KILL_MARGIN);
     if tokio::time::timeout_at(deadline, serving).await.is_err() {
-        event!(log, events::BOX_CUT_REQUESTS, "after_ms" => began.elapsed().as_millis());
+        event!(log, events::BOX_STOPPED_EARLY, "after_ms" => began.elapsed().as_millis());
     }
 }
 
--- a/crates/sillpin-gateway/src/peers/asker.rs
+++ b/crates/sillpin-gateway/src/peers/asker.rs
@@ -244,7 +244,7 @@
 
     fn copied(&self) {
         self.asker.metrics.copied(self.what, "whole", self.arrived);
-        event!(self.asker.log, events::COPIED,
+        event!(self.asker.log, events::STATE_COPIED,
             "peer" => self.from.id.as_str(), "what" => self.what,
             "elapsed_ms" => self.began.elapsed().as_millis(), "bytes" => self.arrived);
     }
--- a/crates/sillpin-gateway/src/peers/ear.rs
+++ b/crates/sillpin-gateway/src/peers/ear.rs
@@ -301,7 +301,7 @@
     fn fell_behind(&self, topic: Topic, mine: Known, theirs: Extent, from: &BoxEntry) -> Behind {
         let behind = self.lag().behind(topic, mine, theirs, Instant::now());
         if behind.is_due {
-            event!(self.log, events::BEHIND,
+            event!(self.log, events::STATE_OUTDATED,
                 "what" => topic.name(), "for_ms" => behind.lasted.as_millis(),
                 "peer" => from.id.as_str(),
                 "revision" => mine.revision.to_string(), "theirs" => theirs.revision.to_string());
--- a/crates/sillpin-gateway/src/place/words/mod.rs
+++ b/crates/sillpin-gateway/src/place/words/mod.rs
@@ -132,8 +132,8 @@
 pub fn log_change(log: &Logger, target: &str, change: Change) {
     match change {
         Change::Limit(change) => log_limit(log, target, change, "answer"),
-        Change::Leaves => event!(log, events::TARGET_LEAVES, "target" => target),
-        Change::BacksOff { wait, is_readable } => event!(log, events::TARGET_BACKS_OFF,
+        Change::Leaves => event!(log, events::TARGET_SIGNALLED_LEAVING, "target" => target),
+        Change::BacksOff { wait, is_readable } => event!(log, events::TARGET_REQUESTED_BACKOFF,
             "target" => target, "wait_ms" => wait.as_millis(), "readable" => is_readable),
     }
 }
--- a/crates/sillpin-gateway/src/weights/duty.rs
+++ b/crates/sillpin-gateway/src/weights/duty.rs
@@ -204,7 +204,7 @@
             recorded: now,
         };
         tenure.renewed(asked);
-        event!(self.log, events::DUTY_TAKEN, "fence" => revision.0,
+        event!(self.log, events::LEADERSHIP_ACQUIRED, "fence" => revision.0,
             "ordered_by_others" => tenure.others.len(), "record_lost" => is_lost);
         Ok(tenure)
     }
@@ -320,13 +320,13 @@
                 true
             }
             Err(e) if e.fault == PlatformFault::LeaseLapsed => {
-                event!(self.log, events::DUTY_LOST, "fence" => tenure.fence.0, "why" => "lease lapsed");
+                event!(self.log, events::LEADERSHIP_LOST, "fence" => tenure.fence.0, "why" => "lease lapsed");
                 false
             }
             Err(e) => {
                 let over = tenure.orders_until + QUIET_END < self.awake.now();
                 if over {
-                    event!(self.log, events::DUTY_LOST,
+                    event!(self.log, events::LEADERSHIP_LOST,
                         "fence" => tenure.fence.0, "why" => e.to_string());
                 }
                 !over
@@ -339,7 +339,7 @@
         let revision = KvRevision(tenure.fence.0);
         if let Err(e) = self.platform.delete(DUTY_KEY, revision).await {
             // The lease lapses by itself.
-            event!(self.log, events::DUTY_LOST, "fence" => tenure.fence.0, "why" => e.to_string());
+            event!(self.log, events::LEADERSHIP_LOST, "fence" => tenure.fence.0, "why" => e.to_string());
         }
     }
 }
--- a/crates/sillpin-gateway/src/weights/load.rs
+++ b/crates/sillpin-gateway/src/weights/load.rs
@@ -256,7 +256,7 @@
         match report {
             Ok(report) => Some(report),
             Err(e) => {
-                event!(self.log, events::ENGINE_SILENT,
+                event!(self.log, events::ENGINE_REPORT_FAILED,
                     "target" => self.target.id.as_str(), "why" => e.to_string());
                 None
             }
--- a/crates/sillpin-gateway/src/weights/rollout.rs
+++ b/crates/sillpin-gateway/src/weights/rollout.rs
@@ -134,7 +134,7 @@
             match taken {
                 Ok(tenure) => self.hold(tenure).await,
                 Err(e) => {
-                    event!(self.log, events::DUTY_NOT_TAKEN, "why" => e.to_string());
+                    event!(self.log, events::LEADERSHIP_NOT_ACQUIRED, "why" => e.to_string());
                     let pause = RETRY.mul_f64(rand::rng().random_range(0.5..1.5));
                     tokio::time::sleep(pause).await;
                 }
@@ -282,7 +282,7 @@
         tenure.named = ages(&view.wanted, now);
         let ids: Vec<TargetId> = next.iter().map(|n| n.target.id.clone()).collect();
         if let Err(e) = self.duty.record(tenure, &ids).await {
-            event!(self.log, events::DUTY_LOST, "fence" => tenure.fence.0, "why" => e.to_string());
+            event!(self.log, events::LEADERSHIP_LOST, "fence" => tenure.fence.0, "why" => e.to_string());
             return false;
         }
         for outdated in next {
--- a/crates/sillpin-keeper/src/exports.rs
+++ b/crates/sillpin-keeper/src/exports.rs
@@ -115,7 +115,7 @@
             }
         };
         let written = exported.objects.iter().map(|o| o.len.0).sum();
-        event!(self.log, events::BLOCKS_KEPT, "blocks" => exported.objects.len(), "bytes" => written);
+        event!(self.log, events::BLOCKS_STORED, "blocks" => exported.objects.len(), "bytes" => written);
         let objects = exported
             .objects
             .into_iter()
--- a/crates/sillpin-keeper/src/fleet/task.rs
+++ b/crates/sillpin-keeper/src/fleet/task.rs
@@ -159,8 +159,8 @@
         for (id, live) in &is {
             let was_live = was.get(id).copied().unwrap_or(false);
             match (was_live, *live) {
-                (false, true) => event!(self.log, events::BOX_SEEN, "box" => id.as_str()),
-                (true, false) => event!(self.log, events::BOX_GONE, "box" => id.as_str()),
+                (false, true) => event!(self.log, events::BOX_UP, "box" => id.as_str()),
+                (true, false) => event!(self.log, events::BOX_DOWN, "box" => id.as_str()),
                 _ => {}
             }
         }
@@ -170,10 +170,10 @@
             let was_reachable = was.is_none_or(|t| t.reachable);
             let was_leaving = was.is_some_and(|t| t.leaving);
             if was_reachable && !target.reachable {
-                event!(self.log, events::TARGET_LOST, "target" => %id);
+                event!(self.log, events::TARGET_DOWN, "target" => %id);
             }
             if !was_reachable && target.reachable {
-                event!(self.log, events::TARGET_BACK, "target" => %id);
+                event!(self.log, events::TARGET_UP, "target" => %id);
             }
             if !was_leaving && target.leaving {
                 event!(self.log, events::TARGET_LEAVING, "target" => %id);
--- a/crates/sillpin-keeper/src/platform.rs
+++ b/crates/sillpin-keeper/src/platform.rs
@@ -147,7 +147,7 @@
             Ok(_) => {
                 self.fleet.tell(FleetMsg::PlatformAnswered).await;
                 if backoff.is_failing() {
-                    event!(self.log, events::PLATFORM_BACK);
+                    event!(self.log, events::PLATFORM_RECOVERED);
                 }
                 backoff.reset();
                 pause
--- a/crates/sillpin-telemetry/src/events.rs
+++ b/crates/sillpin-telemetry/src/events.rs
@@ -42,17 +42,17 @@
     /// The entry has stopped.
     ENTRY_STOPPED = 103, Info, "entry stopped", "Nothing to do.";
     /// The entry cannot reach its keeper.
-    KEEPER_LOST = 104, Warning, "keeper unreachable", "Restart the keeper; until then the entry uses its last snapshot.";
+    KEEPER_UNREACHABLE = 104, Warning, "keeper unreachable", "Restart the keeper; until then the entry uses its last snapshot.";
     /// The entry can reach its keeper again.
-    KEEPER_BACK = 105, Info, "keeper reachable again", "Nothing to do.";
+    KEEPER_RECOVERED = 105, Info, "keeper reachable again", "Nothing to do.";
     /// A request ended with a complete response.
-    REQUEST_DONE = 110, Debug, "request completed", "Nothing to do.";
+    REQUEST_COMPLETED = 110, Debug, "request completed", "Nothing to do.";
     /// A request ended without a complete response.
     REQUEST_FAILED = 111, Info, "request failed", "Look at its decision record with `sillpin explain`.";
     /// An attempt at a target failed; another one may follow.
     ATTEMPT_FAILED = 112, Info, "attempt failed", "Look at the target if the same one fails repeatedly.";
     /// A target sent the response to another attempt.
-    ANSWER_CROSSED = 113, Error, "response belongs to another attempt", "Remove the target: it mixes up responses.";
+    RESPONSE_MISMATCHED = 113, Error, "response belongs to another attempt", "Remove the target: it mixes up responses.";
     /// The guard of an arm stopped it.
     ARM_STOPPED = 120, Warning, "arm stopped by its guard", "Compare the arms; accept a bundle without this arm.";
     /// The keeper has opened its listeners.
@@ -66,21 +66,21 @@
     /// A call of the platform's service failed.
     PLATFORM_FAILED = 220, Warning, "platform call failed", "Check the platform; the fleet continues with its current state.";
     /// The platform's service responds again.
-    PLATFORM_BACK = 221, Info, "platform responds again", "Nothing to do.";
+    PLATFORM_RECOVERED = 221, Info, "platform responds again", "Nothing to do.";
     /// A box is leaving or no longer sends heartbeats.
-    BOX_GONE = 230, Warning, "box no longer live", "Replace the box if it was not stopped on purpose.";
+    BOX_DOWN = 230, Warning, "box no longer live", "Replace the box if it was not stopped on purpose.";
     /// A box is live.
-    BOX_SEEN = 231, Info, "box live", "Nothing to do.";
+    BOX_UP = 231, Info, "box live", "Nothing to do.";
     /// A keeper cannot read the load of a target.
-    TARGET_LOST = 232, Warning, "target unreachable", "Replace the target if it was not stopped on purpose.";
+    TARGET_DOWN = 232, Warning, "target unreachable", "Replace the target if it was not stopped on purpose.";
     /// A keeper can read the load of a target again.
-    TARGET_BACK = 233, Info, "target reachable again", "Nothing to do.";
+    TARGET_UP = 233, Info, "target reachable again", "Nothing to do.";
     /// A target is leaving.
     TARGET_LEAVING = 234, Info, "target leaving", "Nothing to do.";
     /// Cache events of an engine were lost.
     CACHE_EVENTS_LOST = 240, Debug, "cache events lost", "Nothing to do: responses correct the hints.";
     /// Blocks were written to a store.
-    BLOCKS_KEPT = 241, Debug, "blocks stored", "Nothing to do.";
+    BLOCKS_STORED = 241, Debug, "blocks stored", "Nothing to do.";
     /// Blocks were freed in a store.
     BLOCKS_FREED = 242, Debug, "blocks freed", "Nothing to do.";
     /// An export of blocks to a store failed.
@@ -98,7 +98,7 @@
     /// The box received a stop signal and finishes its open requests.
     BOX_DRAINING = 301, Info, "box draining", "Wait: the box exits when its last request has ended.";
     /// The box stopped while requests were open.
-    BOX_CUT_REQUESTS = 302, Error, "box stopped before its last request ended", "Allow boxes more time between SIGTERM and SIGKILL.";
+    BOX_STOPPED_EARLY = 302, Error, "box stopped before its last request ended", "Allow boxes more time between SIGTERM and SIGKILL.";
     /// The box has stopped.
     BOX_STOPPED = 303, Info, "box stopped", "Nothing to do.";
     /// The settings were reloaded.
@@ -112,17 +112,17 @@
     /// A published value cannot be decoded.
     VALUE_UNREADABLE = 311, Error, "published value unreadable", "Find out who wrote it; the previous configuration stays in force, and an unreadable target is not used.";
     /// Operators request other weights.
-    WEIGHTS_WANTED = 312, Info, "weights requested", "Nothing to do.";
+    WEIGHTS_REQUESTED = 312, Info, "weights requested", "Nothing to do.";
     /// The presence in a target's entry changed, or the entry is new.
     TARGET_LISTED = 313, Info, "target listed", "Nothing to do.";
     /// A target's entry disappeared while the store was unreachable.
-    TARGET_LAPSED = 314, Warning, "target's entry expired", "Nothing to do: the target is used until it is certain that its entry does not return.";
+    TARGET_ENTRY_EXPIRED = 314, Warning, "target's entry expired", "Nothing to do: the target is used until it is certain that its entry does not return.";
     /// The restored backup of the store lists a target that has since left as ready.
-    TARGET_DOUBTED = 337, Info, "target's restored entry ignored", "Nothing to do: the target gets no requests until it writes its entry again.";
+    RESTORED_ENTRY_IGNORED = 337, Info, "target's restored entry ignored", "Nothing to do: the target gets no requests until it writes its entry again.";
     /// A target is no longer used.
     TARGET_UNLISTED = 315, Info, "target removed", "Nothing to do.";
     /// An engine serves other weights than its entry states.
-    TARGET_SERVES = 316, Info, "engine serves other weights than listed", "Nothing to do.";
+    TARGET_WEIGHTS_DIFFER = 316, Info, "engine serves other weights than listed", "Nothing to do.";
     /// A target restarted under the same id.
     TARGET_RESTARTED = 319, Info, "target restarted", "Nothing to do: the state of its previous process is discarded.";
     /// Operators evacuate an availability zone.
@@ -136,9 +136,9 @@
     /// A target sent a request limit that cannot be parsed.
     LIMIT_UNREADABLE = 356, Error, "target's limit unreadable", "Correct the target: the limit must be a decimal number; the target gets few requests until then.";
     /// A response of a target states that it is leaving.
-    TARGET_LEAVES = 358, Info, "target signalled that it is leaving", "Nothing to do: it gets no further requests from this box.";
+    TARGET_SIGNALLED_LEAVING = 358, Info, "target signalled that it is leaving", "Nothing to do: it gets no further requests from this box.";
     /// A target refused a request and sent a time during which it accepts none from this box.
-    TARGET_BACKS_OFF = 359, Info, "target requested backoff", "Look at what the target lacks if it recurs.";
+    TARGET_REQUESTED_BACKOFF = 359, Info, "target requested backoff", "Look at what the target lacks if it recurs.";
     /// The platform's store was restored from a backup and lost later writes.
     STORE_RESTORED = 325, Warning, "platform's store restored from a backup", "Check whether the operators' latest changes are still there.";
     /// A target cannot be reached.
@@ -146,9 +146,9 @@
     /// A target can be reached again.
     TARGET_REACHABLE = 318, Info, "target reachable again", "Nothing to do.";
     /// The platform's store does not respond.
-    STORE_LOST = 320, Warning, "platform's store unreachable", "Check the store; the box continues with its own state and that of other boxes.";
+    STORE_UNREACHABLE = 320, Warning, "platform's store unreachable", "Check the store; the box continues with its own state and that of other boxes.";
     /// The platform's store responds again.
-    STORE_BACK = 321, Info, "platform's store reachable again", "Nothing to do.";
+    STORE_RECOVERED = 321, Info, "platform's store reachable again", "Nothing to do.";
     /// Number of calls of the platform's store since the box started.
     STORE_CALLS = 326, Info, "calls of the platform's store", "Nothing to do: these are the totals since the box started.";
     /// The registration of the box in the platform's store failed.
@@ -158,53 +158,53 @@
     /// A call of another box failed.
     PEER_FAILED = 324, Info, "call of another box failed", "Look at that box if it recurs.";
     /// Another box has had newer state for several seconds.
-    BEHIND = 327, Warning, "state outdated", "Compare E324 and E326 of this box: received bytes of failed calls indicate a slow link.";
+    STATE_OUTDATED = 327, Warning, "state outdated", "Compare E324 and E326 of this box: received bytes of failed calls indicate a slow link.";
     /// State was transferred from another box.
-    COPIED = 328, Debug, "state copied from another box", "Nothing to do.";
+    STATE_COPIED = 328, Debug, "state copied from another box", "Nothing to do.";
     /// A cache store does not respond.
-    KEPT_STORE_LOST = 330, Warning, "cache store unreachable", "Check that store; until then its parts are recomputed.";
+    CACHE_STORE_UNREACHABLE = 330, Warning, "cache store unreachable", "Check that store; until then its parts are recomputed.";
     /// A cache store responds again.
-    KEPT_STORE_BACK = 331, Info, "cache store reachable again", "Nothing to do.";
+    CACHE_STORE_RECOVERED = 331, Info, "cache store reachable again", "Nothing to do.";
     /// Traffic between this box and others since it started, by kind of message.
     PEER_TRAFFIC = 336, Info, "traffic between boxes", "Nothing to do; compare with the capacity of the box's link.";
     /// The contents of a cache store were listed.
-    KEPT_STORE_LISTED = 332, Info, "cache store listed", "Nothing to do.";
+    CACHE_STORE_LISTED = 332, Info, "cache store listed", "Nothing to do.";
     /// Events of a cache store were lost, or it restarted.
-    KEPT_STORE_GAP = 333, Info, "events of a cache store lost", "Nothing to do: the store is listed again.";
+    CACHE_STORE_EVENTS_LOST = 333, Info, "events of a cache store lost", "Nothing to do: the store is listed again.";
     /// Stored parts were freed in a cache store.
-    KEPT_FREED = 334, Info, "stored parts freed", "Nothing to do.";
+    PARTS_FREED = 334, Info, "stored parts freed", "Nothing to do.";
     /// A cache store did not free stored parts.
-    KEPT_NOT_FREED = 335, Warning, "stored parts not freed", "Nothing to do: it is retried.";
+    PARTS_NOT_FREED = 335, Warning, "stored parts not freed", "Nothing to do: it is retried.";
     /// A request is sent to a target.
-    SENDING = 340, Info, "attempt started", "Nothing to do.";
+    ATTEMPT_STARTED = 340, Info, "attempt started", "Nothing to do.";
     /// An attempt ended without a complete response.
-    SENDING_FAILED = 341, Info, "attempt failed", "Look at the target if the same one fails repeatedly.";
+    ATTEMPT_INCOMPLETE = 341, Info, "attempt failed", "Look at the target if the same one fails repeatedly.";
     /// A stream was delivered completely.
-    STREAM_WHOLE = 342, Info, "stream complete", "Nothing to do.";
+    STREAM_COMPLETE = 342, Info, "stream complete", "Nothing to do.";
     /// A stream continues at another target.
     STREAM_RESUMED = 343, Info, "stream resumed", "Nothing to do.";
     /// The caller closed the connection.
-    CALLER_GONE = 344, Info, "caller disconnected", "Nothing to do.";
+    CALLER_DISCONNECTED = 344, Info, "caller disconnected", "Nothing to do.";
     /// A request without a stream got its response.
     REQUEST_ANSWERED = 345, Info, "request answered", "Nothing to do.";
     /// A target's process ended while it ran a request.
-    TARGET_ENDED = 346, Warning, "target crashed while running a request", "Compare the fingerprints (`print`): a recurring one belongs to a request that crashes the targets that run it.";
+    TARGET_CRASHED = 346, Warning, "target crashed while running a request", "Compare the fingerprints (`print`): a recurring one belongs to a request that crashes the targets that run it.";
     /// A request is known to crash the targets that run it.
     REQUEST_FATAL = 347, Error, "request crashes the targets that run it", "It is refused from now on: find its fingerprint (`print`) in E340 and inform its caller.";
     /// The list of requests that crash targets could not be written to the platform's store, or read from it.
-    FATAL_NOT_KEPT = 348, Warning, "list of crashing requests not stored", "Check the store if it recurs; until then boxes send each other the list.";
+    FATAL_REQUESTS_NOT_STORED = 348, Warning, "list of crashing requests not stored", "Check the store if it recurs; until then boxes send each other the list.";
     /// A request that is known to crash targets was refused.
-    REQUEST_WITHHELD = 349, Info, "crashing request refused", "Find the E347 with its fingerprint (`print`) and inform its caller.";
+    FATAL_REQUEST_REFUSED = 349, Info, "crashing request refused", "Find the E347 with its fingerprint (`print`) and inform its caller.";
     /// A request was refused since no target could start it in time.
     OVERLOADED = 357, Info, "refused: overloaded", "Add targets if it recurs: queue_ms is the queued work at the target that could have started it first.";
     /// The box became the leader, which orders engines to load weights.
-    DUTY_TAKEN = 350, Info, "leadership acquired", "Nothing to do.";
+    LEADERSHIP_ACQUIRED = 350, Info, "leadership acquired", "Nothing to do.";
     /// The box lost the leadership.
-    DUTY_LOST = 351, Warning, "leadership lost", "Nothing to do: another box acquires it.";
+    LEADERSHIP_LOST = 351, Warning, "leadership lost", "Nothing to do: another box acquires it.";
     /// The box could not acquire the leadership.
-    DUTY_NOT_TAKEN = 352, Info, "leadership not acquired", "Check the store if it recurs.";
+    LEADERSHIP_NOT_ACQUIRED = 352, Info, "leadership not acquired", "Check the store if it recurs.";
     /// The report of an engine could not be read.
-    ENGINE_SILENT = 353, Warning, "engine's report missing", "Look at the engine if it recurs.";
+    ENGINE_REPORT_FAILED = 353, Warning, "engine's report missing", "Look at the engine if it recurs.";
     /// Engines serve weights that were replaced; logged by the leader.
     WEIGHTS_OUTDATED = 354, Info, "engines serve replaced weights", "Nothing to do while the count decreases; otherwise look at the engines in E250, E252 and E353.";
 }
