--- a/crates/sillpin-core/src/lib.rs
+++ b/crates/sillpin-core/src/lib.rs
@@ -9,14 +9,14 @@
 //! - [`run`]: priority classes of requests,
 //! - [`target`]: entries and load reports of targets and boxes,
 //! - [`outcome`]: outcomes of requests, and error responses,
-//! - [`sabotage`]: mechanisms that test builds can disable.
+//! - [`mechanisms`]: mechanisms that test builds can disable.
 
 pub mod block;
 pub mod ids;
 mod newtype;
 pub mod outcome;
 pub mod run;
-pub mod sabotage;
+pub mod mechanisms;
 pub mod target;
 pub mod units;
 
