--- a/crates/sillpin-http/src/body.rs
+++ b/crates/sillpin-http/src/body.rs
@@ -120,7 +120,7 @@
     #[display("body is incomplete")]
     Cut,
     /// No data arrived within the idle timeout, or the body took too long in total.
-    #[display("body stopped arriving")]
+    #[display("timed out while reading the body")]
     Silent,
     /// The body is not the expected JSON document.
     #[display("body is not the expected JSON: {_0}")]
--- a/crates/sillpin-http/src/client.rs
+++ b/crates/sillpin-http/src/client.rs
@@ -60,7 +60,7 @@
         headers: Box<HeaderMap>,
     },
     /// The body of the response could not be read.
-    #[display("answer unreadable: {_0}")]
+    #[display("cannot read the response: {_0}")]
     Answer(ReadError),
     /// The request could not be built.
     #[display("invalid request: {_0}")]
