--- a/crates/sillpin-gateway/src/beliefs/reader.rs
+++ b/crates/sillpin-gateway/src/beliefs/reader.rs
@@ -239,7 +239,7 @@
         let known = self.fleet.view().known(self.topic).revision.max(reached);
         if known == KvRevision::ABSENT {
             let _arriving = self.transfers.begin(self.topic);
-            let glanced = self.platform.glance(self.prefix).await;
+            let glanced = self.platform.stale_snapshot(self.prefix).await;
             return glanced.map(Reading::Glanced);
         }
         if whole {
@@ -257,7 +257,7 @@
         let arriving = || under_way = Some(self.transfers.begin(self.topic));
         let changes = self
             .platform
-            .watch_arriving(self.prefix, known, wait, arriving)
+            .watch_with_callback(self.prefix, known, wait, arriving)
             .await;
         changes.map(Reading::Changes)
     }
--- a/crates/sillpin-gateway/src/fatal/keep.rs
+++ b/crates/sillpin-gateway/src/fatal/keep.rs
@@ -94,7 +94,7 @@
     async fn restore(&self) {
         let mut backoff = MIN_BACKOFF;
         loop {
-            match self.platform.glance(FATAL_KEY).await {
+            match self.platform.stale_snapshot(FATAL_KEY).await {
                 Ok(snapshot) => {
                     let entry = snapshot.entries.iter().find(|entry| entry.key == FATAL_KEY);
                     let words = entry.map(|entry| self.read(entry)).unwrap_or_default();
--- a/crates/sillpin-gateway/src/metrics.rs
+++ b/crates/sillpin-gateway/src/metrics.rs
@@ -5,7 +5,7 @@
 use crate::place::words::Words;
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{AsyncInstrument, Counter, Histogram, Meter};
-use sillpin_platform::call::{CallCounts, Tally};
+use sillpin_platform::call::{CallCounts, CallTotals};
 use sillpin_telemetry::metrics::TIME_BOUNDS;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -182,7 +182,7 @@
 
 /// Counters of calls of the platform's store, and of what they brought.
 fn observe_calls(meter: &Meter, calls: CallCounts) {
-    let observe = |of: fn(Tally) -> u64| {
+    let observe = |of: fn(CallTotals) -> u64| {
         let calls = calls.clone();
         move |observer: &dyn AsyncInstrument<u64>| {
             for count in calls.all() {
@@ -190,18 +190,18 @@
                     KeyValue::new("step", count.step),
                     KeyValue::new("outcome", count.outcome),
                 ];
-                observer.observe(of(count.tally), &labels);
+                observer.observe(of(count.totals), &labels);
             }
         }
     };
     meter
         .u64_observable_counter("sillpin_store_calls")
         .with_description("Calls of the platform's store by step and outcome")
-        .with_callback(observe(|tally| tally.calls))
+        .with_callback(observe(|totals| totals.calls))
         .build();
     meter
         .u64_observable_counter("sillpin_store_bytes")
         .with_description("Bytes of the platform's store's answers by step and outcome")
-        .with_callback(observe(|tally| tally.bytes))
+        .with_callback(observe(|totals| totals.bytes))
         .build();
 }
--- a/crates/sillpin-gateway/src/ops.rs
+++ b/crates/sillpin-gateway/src/ops.rs
@@ -33,7 +33,7 @@
 use sillpin_http::server::{BindError, HeadLimits, listen};
 use sillpin_http::{Body, Server};
 use sillpin_platform::Platform;
-use sillpin_platform::call::{CallCount, CallCounts, Tally};
+use sillpin_platform::call::{CallCount, CallCounts, CallTotals};
 use sillpin_telemetry::metrics::Metrics;
 use sillpin_telemetry::{Telemetry, event, events};
 use slog::Logger;
@@ -407,7 +407,7 @@
     loop {
         every.tick().await;
         let of = |count: &CallCount| {
-            let Tally { calls, bytes } = count.tally;
+            let CallTotals { calls, bytes } = count.totals;
             format!("{} {}: {calls} ({bytes} bytes)", count.step, count.outcome)
         };
         let calls: Vec<String> = counts.all().iter().map(of).collect();
--- a/crates/sillpin-gateway/src/peers/registry.rs
+++ b/crates/sillpin-gateway/src/peers/registry.rs
@@ -102,7 +102,7 @@
         };
         let read = match how {
             Read::Not => return Ok(lease),
-            Read::Glance => self.platform.glance(BOX_PREFIX).await?,
+            Read::Glance => self.platform.stale_snapshot(BOX_PREFIX).await?,
             Read::Whole => self.platform.snapshot(BOX_PREFIX).await?,
         };
         let texts = read
--- a/crates/sillpin-gateway/tests/common/mod.rs
+++ b/crates/sillpin-gateway/tests/common/mod.rs
@@ -391,7 +391,7 @@
         }
     }
 
-    async fn watch_arriving(
+    async fn watch_with_callback(
         &self,
         prefix: &str,
         after: KvRevision,
--- a/crates/sillpin-platform/src/call.rs
+++ b/crates/sillpin-platform/src/call.rs
@@ -21,12 +21,12 @@
 /// Counts the calls of a service by step and outcome; shared by clones.
 #[derive(Debug, Clone, Default)]
 pub struct CallCounts {
-    counts: Arc<Mutex<BTreeMap<Kind, Tally>>>,
+    counts: Arc<Mutex<BTreeMap<Kind, CallTotals>>>,
 }
 
 /// Totals of the calls with the same step and outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct CallTotals {
     /// Number of calls.
     pub calls: u64,
     /// Bytes received in their responses, including incomplete ones.
@@ -41,24 +41,24 @@
     /// Name of the outcome.
     pub outcome: &'static str,
     /// Number of calls and bytes received.
-    pub tally: Tally,
+    pub totals: CallTotals,
 }
 
 impl CallCounts {
     fn count(&self, step: &'static str, outcome: &'static str, bytes: u64) {
         let mut counts = self.counts.lock().unwrap_or_else(|e| e.into_inner());
-        let tally = counts.entry((step, outcome)).or_default();
-        tally.calls += 1;
-        tally.bytes += bytes;
+        let totals = counts.entry((step, outcome)).or_default();
+        totals.calls += 1;
+        totals.bytes += bytes;
     }
 
     /// Returns all counts, ordered by step and outcome.
     pub fn all(&self) -> Vec<CallCount> {
         let counts = self.counts.lock().unwrap_or_else(|e| e.into_inner());
-        let count = |(&(step, outcome), &tally)| CallCount {
+        let count = |(&(step, outcome), &totals)| CallCount {
             step,
             outcome,
-            tally,
+            totals,
         };
         counts.iter().map(count).collect()
     }
--- a/crates/sillpin-platform/src/lib.rs
+++ b/crates/sillpin-platform/src/lib.rs
@@ -219,7 +219,7 @@
 
     /// Like [`Platform::snapshot`], but the result may be a few seconds old and costs the service much
     /// less. A watch from its revision returns the later changes.
-    fn glance(&self, prefix: &str) -> impl Future<Output = Result<Snapshot, PlatformError>> + Send {
+    fn stale_snapshot(&self, prefix: &str) -> impl Future<Output = Result<Snapshot, PlatformError>> + Send {
         self.snapshot(prefix)
     }
 
@@ -260,7 +260,7 @@
 
     /// Like [`Platform::watch`], but calls `arriving` when the response begins to arrive, since a large
     /// one takes time over a slow link.
-    fn watch_arriving(
+    fn watch_with_callback(
         &self,
         prefix: &str,
         after: KvRevision,
