--- a/crates/sillpin-cli/src/ops/compare.rs
+++ b/crates/sillpin-cli/src/ops/compare.rs
@@ -112,8 +112,8 @@
                 *sums.first_tokens.entry(*micros).or_default() += count;
             }
             sums.failed += figures.failed;
-            sums.computed.join(&figures.computed);
-            sums.link_bytes.join(&figures.link_bytes);
+            sums.computed.merge(&figures.computed);
+            sums.link_bytes.merge(&figures.link_bytes);
         }
         sums
     }
--- a/crates/sillpin-entry/src/keeper_link.rs
+++ b/crates/sillpin-entry/src/keeper_link.rs
@@ -11,7 +11,7 @@
 use sillpin_rpc::arms::ArmFigures;
 use sillpin_rpc::claims::{ClaimEnd, ClaimReply, ClaimRequest};
 use sillpin_rpc::directory::{BlockHints, PromptUse};
-use sillpin_rpc::entry_link::Known;
+use sillpin_rpc::entry_link::FleetPosition;
 use sillpin_rpc::records::DecisionRecord;
 use sillpin_rpc::transport::{connect, within};
 use sillpin_telemetry::{event, events};
@@ -75,7 +75,7 @@
         log,
         client: client_tx,
         snapshot: snapshot_tx,
-        known: Known::default(),
+        known: FleetPosition::default(),
     };
     tokio::spawn(follower.run());
     let link = KeeperLink { client, news };
@@ -132,22 +132,22 @@
 
     async fn send_batch(&self, batch: Vec<News>) {
         let Some(client) = self.client() else { return };
-        let (mut used, mut records) = (Vec::new(), Vec::new());
+        let (mut prompts_used, mut records) = (Vec::new(), Vec::new());
         for news in batch {
             let cx = within(CALL_TIMEOUT);
             match news {
-                News::Used(prompt) => used.push(prompt),
+                News::Used(prompt) => prompts_used.push(prompt),
                 News::Record(record) => records.push(*record),
                 News::StopArm(revision, arm, breach) => {
                     drop(client.stop_arm(cx, revision, arm, breach).await);
                 }
-                News::Suspect(target) => drop(client.suspect(cx, target).await),
+                News::Suspect(target) => drop(client.report_unreachable(cx, target).await),
                 News::EndClaim(end) => drop(client.end_claim(cx, end).await),
                 News::Arms(figures) => drop(client.arms(cx, figures).await),
             }
         }
-        if !used.is_empty() {
-            let _ = client.used(within(CALL_TIMEOUT), used).await;
+        if !prompts_used.is_empty() {
+            let _ = client.prompts_used(within(CALL_TIMEOUT), prompts_used).await;
         }
         if !records.is_empty() {
             let _ = client.record(within(CALL_TIMEOUT), records).await;
@@ -160,7 +160,7 @@
     log: Logger,
     client: watch::Sender<Option<EntryLinkClient>>,
     snapshot: watch::Sender<Arc<Snapshot>>,
-    known: Known,
+    known: FleetPosition,
 }
 
 impl Follower {
--- a/crates/sillpin-entry/src/place/placer.rs
+++ b/crates/sillpin-entry/src/place/placer.rs
@@ -7,7 +7,7 @@
 use rand::{SeedableRng, rng};
 use sillpin_core::{LoadReport, PoolId, TargetId, TargetKind, WeightVersion, ZoneId};
 use sillpin_policy::placement::{self, Candidate, Holding, Kept, Scored};
-use sillpin_rpc::directory::KeptObject;
+use sillpin_rpc::directory::StoredObject;
 use sillpin_rpc::records::CandidateRecord;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -218,7 +218,7 @@
     }
 }
 
-fn kept(objects: &[KeptObject]) -> Kept {
+fn kept(objects: &[StoredObject]) -> Kept {
     let Some(first) = objects.first() else {
         return Kept::default();
     };
--- a/crates/sillpin-entry/src/place/task.rs
+++ b/crates/sillpin-entry/src/place/task.rs
@@ -5,7 +5,7 @@
 use sillpin_core::{OrgId, PoolId, PriorityClass, TargetId, WeightVersion, ZoneId};
 use sillpin_policy::PolicySet;
 use sillpin_policy::admission::{Cost, FairQueue, Ticket};
-use sillpin_rpc::directory::{BlockHints, KeptObject};
+use sillpin_rpc::directory::{BlockHints, StoredObject};
 use sillpin_rpc::records::CandidateRecord;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -68,7 +68,7 @@
     /// Where the engine listens.
     pub addr: SocketAddr,
     /// Kept objects to fetch.
-    pub imports: Vec<KeptObject>,
+    pub imports: Vec<StoredObject>,
     /// Candidates, the best first.
     pub candidates: Vec<CandidateRecord>,
 }
--- a/crates/sillpin-entry/src/runs/send.rs
+++ b/crates/sillpin-entry/src/runs/send.rs
@@ -7,7 +7,7 @@
 use opentelemetry::KeyValue;
 use opentelemetry::trace::{Span, SpanKind};
 use sillpin_core::{AttemptId, Outcome};
-use sillpin_rpc::directory::KeptObject;
+use sillpin_rpc::directory::StoredObject;
 use sillpin_rpc::records::AttemptRecord;
 use sillpin_targets::{
     Engine, EngineError, EngineFault, ObjectRef, RunEvent, RunOrder, RunSummary,
@@ -159,7 +159,7 @@
     }
 }
 
-fn object(kept: &KeptObject) -> ObjectRef {
+fn object(kept: &StoredObject) -> ObjectRef {
     ObjectRef {
         block: kept.block,
         generation: kept.generation,
--- a/crates/sillpin-keeper/src/api/entry.rs
+++ b/crates/sillpin-keeper/src/api/entry.rs
@@ -13,8 +13,8 @@
 use sillpin_policy::guard::Breach;
 use sillpin_rpc::arms::ArmFigures;
 use sillpin_rpc::claims::{ClaimEnd, ClaimReply, ClaimRequest};
-use sillpin_rpc::directory::{BlockHints, DirectoryNews, PromptUse};
-use sillpin_rpc::entry_link::{EntryLink, FleetUpdate, Known};
+use sillpin_rpc::directory::{BlockHints, DirectoryUpdate, PromptUse};
+use sillpin_rpc::entry_link::{EntryLink, FleetUpdate, FleetPosition};
 use sillpin_rpc::records::DecisionRecord;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -68,7 +68,7 @@
 }
 
 impl<P: Platform> EntryLink for EntryApi<P> {
-    async fn fleet(self, _: Context, known: Known, wait_ms: u64) -> FleetUpdate {
+    async fn fleet(self, _: Context, known: FleetPosition, wait_ms: u64) -> FleetUpdate {
         let deadline = Instant::now() + Duration::from_millis(wait_ms).min(MAX_WAIT);
         let mut stamp = self.published.stamp.clone();
         loop {
@@ -100,7 +100,7 @@
         let mut hints = BlockHints::default();
         let deadline = Instant::now() + wait;
         while let Ok(Some(more)) = tokio::time::timeout_at(deadline, asked.next()).await {
-            hints = hints.join(more);
+            hints = hints.merge(more);
             if !hints.is_empty() {
                 break;
             }
@@ -108,9 +108,9 @@
         hints
     }
 
-    async fn used(self, _: Context, prompts: Vec<PromptUse>) {
+    async fn prompts_used(self, _: Context, prompts: Vec<PromptUse>) {
         for prompt in prompts {
-            self.router.send(DirectoryNews::Used(prompt)).await;
+            self.router.send(DirectoryUpdate::Used(prompt)).await;
         }
     }
 
@@ -135,7 +135,7 @@
         self.records.set_arms(figures).await;
     }
 
-    async fn suspect(self, _: Context, target: TargetId) {
+    async fn report_unreachable(self, _: Context, target: TargetId) {
         let msg = FleetMsg::Target(target, TargetReading::Failed);
         self.fleet.tell(msg).await;
     }
--- a/crates/sillpin-keeper/src/api/peer.rs
+++ b/crates/sillpin-keeper/src/api/peer.rs
@@ -5,7 +5,7 @@
 use crate::records::RecordsHandle;
 use sillpin_core::{BlockName, RequestId, Revision, ZoneId};
 use sillpin_rpc::arms::ArmFigures;
-use sillpin_rpc::directory::{BlockHints, DirectoryNews};
+use sillpin_rpc::directory::{BlockHints, DirectoryUpdate};
 use sillpin_rpc::gossip::{Digest, Exchange, Item};
 use sillpin_rpc::peer_link::{FleetStatus, PeerLink};
 use sillpin_rpc::records::DecisionRecord;
@@ -39,7 +39,7 @@
         asked.await.unwrap_or_default()
     }
 
-    async fn learn(self, _: Context, news: Vec<DirectoryNews>) {
+    async fn update_directory(self, _: Context, news: Vec<DirectoryUpdate>) {
         self.directory.tell(DirectoryMsg::Learn(news)).await;
     }
 
--- a/crates/sillpin-keeper/src/directory/table.rs
+++ b/crates/sillpin-keeper/src/directory/table.rs
@@ -3,7 +3,7 @@
 use sillpin_core::{BlockName, Generation, TargetId};
 use sillpin_policy::keeping::{KeepCandidate, ReturnGaps, should_keep, worth};
 use sillpin_policy::set::KeepingPolicy;
-use sillpin_rpc::directory::{BlockHints, HolderChange, KeptObject, PromptUse};
+use sillpin_rpc::directory::{BlockHints, HolderChange, StoredObject, PromptUse};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -40,7 +40,7 @@
 #[derive(Default)]
 struct Prompt {
     holders: HashMap<TargetId, HashSet<BlockName>>,
-    kept: HashMap<BlockName, KeptObject>,
+    kept: HashMap<BlockName, StoredObject>,
     exporting: HashSet<BlockName>,
     used: Option<Instant>,
 }
@@ -154,7 +154,7 @@
     }
 
     /// Objects were published. Of two of the same block the first stays.
-    pub fn kept(&mut self, root: BlockName, objects: Vec<KeptObject>, now: Instant) {
+    pub fn kept(&mut self, root: BlockName, objects: Vec<StoredObject>, now: Instant) {
         self.unpublished.retain(|_, at| now - *at < UNPUBLISHED_FOR);
         let prompt = self.prompts.entry(root).or_default();
         for object in objects {
@@ -224,7 +224,7 @@
     fn free_of(&self, root: &BlockName, store: &TargetId, most: usize) -> Option<FreeJob> {
         let prompt = self.prompts.get(root)?;
         let here = prompt.kept.values().filter(|o| o.store == *store);
-        let objects: Vec<&KeptObject> = here.take(most).collect();
+        let objects: Vec<&StoredObject> = here.take(most).collect();
         Some(FreeJob {
             root: *root,
             addr: objects.first()?.addr,
--- a/crates/sillpin-keeper/src/directory/task.rs
+++ b/crates/sillpin-keeper/src/directory/task.rs
@@ -5,7 +5,7 @@
 use crate::view::View;
 use sillpin_core::{ArmName, BlockName, BoxId, TargetId};
 use sillpin_policy::set::KeepingPolicy;
-use sillpin_rpc::directory::{BlockHints, DirectoryNews, PromptUse};
+use sillpin_rpc::directory::{BlockHints, DirectoryUpdate, PromptUse};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
@@ -24,7 +24,7 @@
 /// What can be said to and asked of the directory task.
 pub enum DirectoryMsg {
     /// News of owned roots.
-    Learn(Vec<DirectoryNews>),
+    Learn(Vec<DirectoryUpdate>),
     /// Asks for hints.
     LookUp(Vec<BlockName>, oneshot::Sender<BlockHints>),
     /// An export ended.
@@ -93,14 +93,14 @@
         }
     }
 
-    fn learn(&mut self, news: Vec<DirectoryNews>) {
+    fn learn(&mut self, news: Vec<DirectoryUpdate>) {
         let now = Instant::now();
         for news in news {
             match news {
-                DirectoryNews::Holder(change) => self.table.holder_changed(change),
-                DirectoryNews::Used(used) => self.used(used, now),
-                DirectoryNews::Kept { root, objects } => self.table.kept(root, objects, now),
-                DirectoryNews::Unpublished { root, objects } => {
+                DirectoryUpdate::Holder(change) => self.table.holder_changed(change),
+                DirectoryUpdate::Used(used) => self.used(used, now),
+                DirectoryUpdate::Kept { root, objects } => self.table.kept(root, objects, now),
+                DirectoryUpdate::Unpublished { root, objects } => {
                     self.table.unpublish(root, &objects, now);
                 }
             }
--- a/crates/sillpin-keeper/src/exports.rs
+++ b/crates/sillpin-keeper/src/exports.rs
@@ -15,7 +15,7 @@
 use sillpin_http::Client;
 use sillpin_policy::rendezvous::{self, CandidateHash};
 use sillpin_policy::set::KeepingPolicy;
-use sillpin_rpc::directory::{DirectoryNews, KeptObject};
+use sillpin_rpc::directory::{DirectoryUpdate, StoredObject};
 use sillpin_rpc::entry_link::TargetView;
 use sillpin_targets::{Engine, ExportOrder, HttpEngine, HttpStore, ObjectRef, Store};
 use sillpin_telemetry::traces::Traces;
@@ -123,7 +123,7 @@
             .collect();
         let root = job.root;
         self.router
-            .send(DirectoryNews::Kept { root, objects })
+            .send(DirectoryUpdate::Kept { root, objects })
             .await;
         written
     }
@@ -150,7 +150,7 @@
             .ask(|tx| DirectoryMsg::Free(id, share, tx))
             .await;
         for job in jobs.unwrap_or_default() {
-            let news = DirectoryNews::Unpublished {
+            let news = DirectoryUpdate::Unpublished {
                 root: job.root,
                 objects: job.objects.clone(),
             };
@@ -191,8 +191,8 @@
     best.first().map(|index| stores[*index])
 }
 
-fn kept(object: ObjectRef, store: &TargetInfo) -> KeptObject {
-    KeptObject {
+fn kept(object: ObjectRef, store: &TargetInfo) -> StoredObject {
+    StoredObject {
         block: object.block,
         generation: object.generation,
         store: object.store,
--- a/crates/sillpin-keeper/src/fleet/items.rs
+++ b/crates/sillpin-keeper/src/fleet/items.rs
@@ -2,7 +2,7 @@
 
 use sillpin_core::{TargetId, ZoneId};
 use sillpin_policy::rendezvous;
-use sillpin_rpc::gossip::{Digest, Exchange, Item, ItemKey, ItemValue, ItemVersion, Slice};
+use sillpin_rpc::gossip::{Digest, Exchange, Item, ItemKey, ItemValue, ItemVersion, TargetPartition};
 use std::collections::{HashMap, HashSet};
 use tokio::time::Instant;
 
@@ -28,16 +28,16 @@
     /// Whether they are of one zone: heartbeats stay in their zone.
     pub(super) same_zone: bool,
     /// The part of the foreign targets that is compared.
-    pub(super) foreign: Slice,
+    pub(super) foreign: TargetPartition,
     /// Targets of the own zone, which are always compared.
     pub(super) near: &'a HashSet<TargetId>,
 }
 
 impl Scope<'_> {
-    fn has(&self, key: &ItemKey, hash: u64) -> bool {
+    fn contains(&self, key: &ItemKey, hash: u64) -> bool {
         match key {
             ItemKey::Box(_) => self.same_zone,
-            ItemKey::Target(id) => self.near.contains(id) || self.foreign.has(hash),
+            ItemKey::Target(id) => self.near.contains(id) || self.foreign.contains(hash),
             _ => true,
         }
     }
@@ -99,7 +99,7 @@
         let known = self
             .by_key
             .iter()
-            .filter(|(key, stored)| scope.has(key, stored.hash));
+            .filter(|(key, stored)| scope.contains(key, stored.hash));
         let mut versions: Vec<_> = known.map(|(_, s)| (s.hash, s.version)).collect();
         versions.sort_unstable();
         Digest {
@@ -116,7 +116,7 @@
         let known = self
             .by_key
             .iter()
-            .filter(|(key, stored)| scope.has(key, stored.hash));
+            .filter(|(key, stored)| scope.contains(key, stored.hash));
         for (key, stored) in known {
             let version = theirs.get(&stored.hash);
             if version.is_none_or(|version| *version < stored.version) {
--- a/crates/sillpin-keeper/src/fleet/messages.rs
+++ b/crates/sillpin-keeper/src/fleet/messages.rs
@@ -4,7 +4,7 @@
 use sillpin_core::target::BoxList;
 use sillpin_core::{ArmName, LoadReport, Revision, TargetId, ZoneId};
 use sillpin_policy::guard::Breach;
-use sillpin_rpc::entry_link::{FleetUpdate, Known};
+use sillpin_rpc::entry_link::{FleetUpdate, FleetPosition};
 use sillpin_rpc::gossip::{Digest, Exchange, Item, ItemVersion, Organisation};
 use sillpin_rpc::peer_link::FleetStatus;
 use tokio::sync::{mpsc, oneshot};
@@ -44,7 +44,7 @@
     /// Asks for items by hash.
     Wanted(Vec<u64>, oneshot::Sender<Vec<Item>>),
     /// Asks what changed.
-    Update(Known, oneshot::Sender<FleetUpdate>),
+    Update(FleetPosition, oneshot::Sender<FleetUpdate>),
     /// Asks for the operators' view.
     Status(oneshot::Sender<FleetStatus>),
 }
--- a/crates/sillpin-keeper/src/fleet/table.rs
+++ b/crates/sillpin-keeper/src/fleet/table.rs
@@ -9,7 +9,7 @@
 use sillpin_core::{ArmName, BoxId, Incarnation, LoadReport, Revision, TargetId, ZoneId};
 use sillpin_policy::guard::Breach;
 use sillpin_rpc::gossip::{
-    BoxState, Digest, Exchange, Item, ItemKey, ItemValue, ItemVersion, Organisation, Slice,
+    BoxState, Digest, Exchange, Item, ItemKey, ItemValue, ItemVersion, Organisation, TargetPartition,
     StoppedArm, TargetState,
 };
 use std::collections::HashSet;
@@ -294,7 +294,7 @@
         let foreign = if same_zone {
             self.next_slice()
         } else {
-            Slice::WHOLE
+            TargetPartition::WHOLE
         };
         let scope = Scope {
             same_zone,
@@ -304,12 +304,12 @@
         self.items.digest(&self.me.zone, &scope)
     }
 
-    fn next_slice(&mut self) -> Slice {
+    fn next_slice(&mut self) -> TargetPartition {
         let targets = self.box_list().map_or(0, |list| list.targets.len());
         let foreign = targets.saturating_sub(self.near.len());
         let count = foreign.div_ceil(SLICE_LEN).max(1) as u64;
         self.rounds += 1;
-        Slice {
+        TargetPartition {
             index: self.rounds % count,
             count,
         }
--- a/crates/sillpin-keeper/src/fleet/views.rs
+++ b/crates/sillpin-keeper/src/fleet/views.rs
@@ -7,7 +7,7 @@
 use sillpin_core::{ArmName, BoxId, Presence, TargetId, ZoneId};
 use sillpin_policy::guard::Breach;
 use sillpin_policy::rendezvous::CandidateHash;
-use sillpin_rpc::entry_link::{FleetUpdate, Known, TargetView};
+use sillpin_rpc::entry_link::{FleetUpdate, FleetPosition, TargetView};
 use sillpin_rpc::gossip::{BoxState, ItemKey, ItemValue, Organisation, TargetState};
 use sillpin_rpc::peer_link::BoxStatus;
 use std::time::Duration;
@@ -144,7 +144,7 @@
     }
 
     /// What changed since `known`, for the entry.
-    pub fn update_since(&self, known: Known) -> FleetUpdate {
+    pub fn update_since(&self, known: FleetPosition) -> FleetUpdate {
         let since = if known.incarnation == self.me.incarnation {
             known.stamp
         } else {
@@ -156,7 +156,7 @@
         targets.retain(|t| complete || newer(&ItemKey::Target(t.entry.id.clone())));
         let stops_changed = newer(&ItemKey::Bundle) || self.stop_newer_than(since);
         FleetUpdate {
-            known: Known {
+            known: FleetPosition {
                 incarnation: self.me.incarnation,
                 stamp: self.items.stamp(),
             },
--- a/crates/sillpin-keeper/src/readers.rs
+++ b/crates/sillpin-keeper/src/readers.rs
@@ -12,7 +12,7 @@
 use sillpin_core::target::TargetEntry;
 use sillpin_core::{BlockName, Bytes, Generation, TargetId, TargetKind};
 use sillpin_http::Client;
-use sillpin_rpc::directory::{DirectoryNews, HolderChange, KeptObject};
+use sillpin_rpc::directory::{DirectoryUpdate, HolderChange, StoredObject};
 use sillpin_targets::{CacheEvents, Engine, HttpEngine, HttpStore, SealedObject, Store};
 use sillpin_telemetry::{event, events};
 use slog::Logger;
@@ -175,7 +175,7 @@
                 stored,
                 removed,
             };
-            self.router.send(DirectoryNews::Holder(change)).await;
+            self.router.send(DirectoryUpdate::Holder(change)).await;
         }
     }
 
@@ -195,14 +195,14 @@
         while let Ok(page) = store.list(entry.addr, after, LIST_PAGE).await {
             let Some(last) = page.last() else { return };
             after = Some((last.block, last.generation));
-            let mut by_root: HashMap<BlockName, Vec<KeptObject>> = HashMap::new();
+            let mut by_root: HashMap<BlockName, Vec<StoredObject>> = HashMap::new();
             for object in page {
                 let root = object.seal.root;
                 by_root.entry(root).or_default().push(kept(entry, object));
             }
             for (root, objects) in by_root {
                 self.router
-                    .send(DirectoryNews::Kept { root, objects })
+                    .send(DirectoryUpdate::Kept { root, objects })
                     .await;
             }
             tokio::time::sleep(LIST_PAUSE).await;
@@ -210,8 +210,8 @@
     }
 }
 
-fn kept(entry: &TargetEntry, object: SealedObject) -> KeptObject {
-    KeptObject {
+fn kept(entry: &TargetEntry, object: SealedObject) -> StoredObject {
+    StoredObject {
         block: object.block,
         generation: object.generation,
         store: entry.id.clone(),
--- a/crates/sillpin-keeper/src/router.rs
+++ b/crates/sillpin-keeper/src/router.rs
@@ -4,7 +4,7 @@
 use crate::fleet::Published;
 use crate::peers::Peers;
 use sillpin_core::BoxId;
-use sillpin_rpc::directory::DirectoryNews;
+use sillpin_rpc::directory::DirectoryUpdate;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,12 +22,12 @@
 /// Takes news for the owners of their roots.
 #[derive(Clone)]
 pub struct RouterHandle {
-    tx: mpsc::Sender<DirectoryNews>,
+    tx: mpsc::Sender<DirectoryUpdate>,
 }
 
 impl RouterHandle {
     /// Sends news; it may be lost on the way, as hints may.
-    pub async fn send(&self, news: DirectoryNews) {
+    pub async fn send(&self, news: DirectoryUpdate) {
         let _ = self.tx.send(news).await;
     }
 }
@@ -56,11 +56,11 @@
     published: Published,
     peers: Peers,
     directory: DirectoryHandle,
-    batches: HashMap<SocketAddr, Vec<DirectoryNews>>,
+    batches: HashMap<SocketAddr, Vec<DirectoryUpdate>>,
 }
 
 impl Router {
-    async fn run(mut self, mut rx: mpsc::Receiver<DirectoryNews>) {
+    async fn run(mut self, mut rx: mpsc::Receiver<DirectoryUpdate>) {
         let mut flush = tokio::time::interval(BATCH_EVERY);
         loop {
             tokio::select! {
@@ -73,7 +73,7 @@
         }
     }
 
-    async fn sort(&mut self, news: DirectoryNews) {
+    async fn sort(&mut self, news: DirectoryUpdate) {
         let Some(root) = news.root() else { return };
         let view = self.published.view.borrow().clone();
         for owner in view.owners(&root) {
@@ -96,7 +96,7 @@
             tokio::spawn(async move {
                 let step = "tell an owner";
                 let call = peers.call(step, peer, LEARN_TIMEOUT, |client, cx| async move {
-                    client.learn(cx, batch).await
+                    client.update_directory(cx, batch).await
                 });
                 let _ = call.await;
             });
--- a/crates/sillpin-rpc/src/arms.rs
+++ b/crates/sillpin-rpc/src/arms.rs
@@ -32,7 +32,7 @@
     }
 
     /// Adds the sums of other pairs.
-    pub fn join(&mut self, other: &RatioSums) {
+    pub fn merge(&mut self, other: &RatioSums) {
         self.count += other.count;
         self.part += other.part;
         self.whole += other.whole;
--- a/crates/sillpin-rpc/src/directory.rs
+++ b/crates/sillpin-rpc/src/directory.rs
@@ -10,7 +10,7 @@
 
 /// A published object in a store box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptObject {
+pub struct StoredObject {
     /// The block.
     pub block: BlockName,
     /// Generation of the object.
@@ -33,7 +33,7 @@
     /// Engines with the number of leading blocks that each holds.
     pub holders: Vec<(TargetId, u32)>,
     /// Stored objects of the leading blocks, in order.
-    pub kept: Vec<KeptObject>,
+    pub kept: Vec<StoredObject>,
 }
 
 impl BlockHints {
@@ -44,7 +44,7 @@
 
     /// Merges the hints of two owners. For each target, and for the stored objects, the longer prefix
     /// is used.
-    pub fn join(mut self, other: BlockHints) -> Self {
+    pub fn merge(mut self, other: BlockHints) -> Self {
         for (target, blocks) in other.holders {
             match self.holders.iter_mut().find(|(t, _)| *t == target) {
                 Some((_, known)) => *known = (*known).max(blocks),
@@ -86,7 +86,7 @@
 
 /// An update for the owners of a root.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum DirectoryNews {
+pub enum DirectoryUpdate {
     /// The cache of an engine changed.
     Holder(HolderChange),
     /// An engine answered a prompt.
@@ -96,7 +96,7 @@
         /// First block of the prompt.
         root: BlockName,
         /// The objects.
-        objects: Vec<KeptObject>,
+        objects: Vec<StoredObject>,
     },
     /// Objects are about to be freed and must no longer be returned as hints.
     Unpublished {
@@ -107,13 +107,13 @@
     },
 }
 
-impl DirectoryNews {
+impl DirectoryUpdate {
     /// Returns the root of the prompts that the update concerns, if any.
     pub fn root(&self) -> Option<BlockName> {
         match self {
-            DirectoryNews::Holder(change) => Some(change.root),
-            DirectoryNews::Used(used) => used.blocks.first().copied(),
-            DirectoryNews::Kept { root, .. } | DirectoryNews::Unpublished { root, .. } => {
+            DirectoryUpdate::Holder(change) => Some(change.root),
+            DirectoryUpdate::Used(used) => used.blocks.first().copied(),
+            DirectoryUpdate::Kept { root, .. } | DirectoryUpdate::Unpublished { root, .. } => {
                 Some(*root)
             }
         }
--- a/crates/sillpin-rpc/src/entry_link.rs
+++ b/crates/sillpin-rpc/src/entry_link.rs
@@ -24,7 +24,7 @@
 
 /// Position up to which an entry has received a keeper's changes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
+pub struct FleetPosition {
     /// Incarnation of the keeper that issued the stamp.
     pub incarnation: Incarnation,
     /// Number of the last change received.
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetUpdate {
     /// Position for the next call.
-    pub known: Known,
+    pub known: FleetPosition,
     /// Whether `targets` contains all targets, so that any other target no longer exists.
     pub complete: bool,
     /// Changed targets.
@@ -52,11 +52,11 @@
 #[tarpc::service]
 pub trait EntryLink {
     /// Returns the changes since `known`, waiting up to `wait_ms` for the first one.
-    async fn fleet(known: Known, wait_ms: u64) -> FleetUpdate;
+    async fn fleet(known: FleetPosition, wait_ms: u64) -> FleetUpdate;
     /// Returns hints for the blocks of a prompt within `deadline_ms`.
     async fn find_blocks(blocks: Vec<BlockName>, deadline_ms: u64) -> BlockHints;
     /// Reports prompts that were answered.
-    async fn used(prompts: Vec<PromptUse>);
+    async fn prompts_used(prompts: Vec<PromptUse>);
     /// Claims a call that runs at most once.
     async fn claim(req: ClaimRequest) -> ClaimReply;
     /// Reports the outcome of a claimed call.
@@ -68,5 +68,5 @@
     /// Reports the measurements of the arms so far, replacing earlier reports.
     async fn arms(figures: Vec<ArmFigures>);
     /// Reports a target that refused or broke connections.
-    async fn suspect(target: TargetId);
+    async fn report_unreachable(target: TargetId);
 }
--- a/crates/sillpin-rpc/src/gossip.rs
+++ b/crates/sillpin-rpc/src/gossip.rs
@@ -107,24 +107,24 @@
 
 /// One of several equal partitions of the targets of other zones, by hash of the item key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Slice {
+pub struct TargetPartition {
     /// Index of the partition.
     pub index: u64,
     /// Number of partitions.
     pub count: u64,
 }
 
-impl Slice {
+impl TargetPartition {
     /// The only partition, which contains all targets.
-    pub const WHOLE: Slice = Slice { index: 0, count: 1 };
+    pub const WHOLE: TargetPartition = TargetPartition { index: 0, count: 1 };
 
     /// Returns whether an item with this hash belongs to the partition.
-    pub fn has(&self, hash: u64) -> bool {
+    pub fn contains(&self, hash: u64) -> bool {
         hash % self.count.max(1) == self.index
     }
 }
 
-impl Default for Slice {
+impl Default for TargetPartition {
     fn default() -> Self {
         Self::WHOLE
     }
@@ -136,7 +136,7 @@
     /// Zone of the sender; heartbeats are only exchanged within a zone.
     pub zone: Option<ZoneId>,
     /// The partition of the targets of other zones that this digest covers.
-    pub foreign: Slice,
+    pub foreign: TargetPartition,
     /// Hash of the key and version of each item, sorted by hash.
     pub versions: Vec<(u64, ItemVersion)>,
 }
--- a/crates/sillpin-rpc/src/peer_link.rs
+++ b/crates/sillpin-rpc/src/peer_link.rs
@@ -1,7 +1,7 @@
 //! The RPC interface of a keeper for other keepers and the command line.
 
 use crate::arms::ArmFigures;
-use crate::directory::{BlockHints, DirectoryNews};
+use crate::directory::{BlockHints, DirectoryUpdate};
 use crate::entry_link::TargetView;
 use crate::gossip::{BoxState, Digest, Exchange, Item};
 use crate::records::DecisionRecord;
@@ -61,7 +61,7 @@
     /// Returns hints for the blocks of a prompt that this keeper owns in the directory.
     async fn look_up(blocks: Vec<BlockName>) -> BlockHints;
     /// Transfers updates to the directory owners of the prompts concerned.
-    async fn learn(news: Vec<DirectoryNews>);
+    async fn update_directory(news: Vec<DirectoryUpdate>);
     /// Returns this keeper's view of the fleet.
     async fn status() -> FleetStatus;
     /// Returns the decision record of a request, if this box received it.
