--- a/crates/sillpin-box/src/main.rs
+++ b/crates/sillpin-box/src/main.rs
@@ -37,7 +37,7 @@
         zone: cfg.zone.as_str(),
         collector: cfg.collector,
     };
-    let (telemetry, _guard) = Telemetry::start_as_set(&me, &loaded, Output::Stdout)?;
+    let (telemetry, _guard) = Telemetry::start_from_settings(&me, &loaded, Output::Stdout)?;
     let settings = reload::start(loaded, reloader, &cfg, hangups()?, telemetry.log.clone());
     let client = Client::default();
     let counts = CallCounts::default();
--- a/crates/sillpin-entry/src/main.rs
+++ b/crates/sillpin-entry/src/main.rs
@@ -40,7 +40,7 @@
         zone: cfg.zone.as_str(),
         collector: cfg.collector,
     };
-    let (telemetry, _guard) = Telemetry::start_as_set(&me, loaded, Output::Stderr)?;
+    let (telemetry, _guard) = Telemetry::start_from_settings(&me, loaded, Output::Stderr)?;
     ops::run(cfg, telemetry, stop_on_sigterm()?, |at| {
         println!("listening callers {}", at.callers);
         println!("listening http {}", at.http);
--- a/crates/sillpin-keeper/src/main.rs
+++ b/crates/sillpin-keeper/src/main.rs
@@ -32,7 +32,7 @@
         zone: cfg.zone.as_str(),
         collector: cfg.collector,
     };
-    let (telemetry, _guard) = Telemetry::start_as_set(&me, loaded, Output::Stderr)?;
+    let (telemetry, _guard) = Telemetry::start_from_settings(&me, loaded, Output::Stderr)?;
     ops::run(cfg, telemetry, stop_on_sigterm()?, |at| {
         println!("listening entry {}", at.entry);
         println!("listening peer {}", at.peer);
--- a/crates/sillpin-telemetry/src/program.rs
+++ b/crates/sillpin-telemetry/src/program.rs
@@ -76,7 +76,7 @@
     }
 
     /// Like [`Telemetry::start`], with the log format and level from the [`LOG_SECTION`] settings.
-    pub fn start_as_set(
+    pub fn start_from_settings(
         me: &Identity<'_>,
         loaded: &Loaded,
         output: Output,
