--- a/crates/sillpin-box/src/main.rs
+++ b/crates/sillpin-box/src/main.rs
@@ -10,7 +10,7 @@
 use sillpin_settings::{Loaded, program};
 use sillpin_telemetry::Telemetry;
 use sillpin_telemetry::logs::Output;
-use sillpin_telemetry::program::{Identity, hangups, stop_on_sigterm};
+use sillpin_telemetry::program::{Identity, sighup_signals, stop_on_sigterm};
 use sillpin_wire::{PlatformDialect, PlatformKeys, PlatformStore, TargetCalls};
 use std::error::Error;
 use std::process::ExitCode;
@@ -38,7 +38,7 @@
         collector: cfg.collector,
     };
     let (telemetry, _guard) = Telemetry::start_from_settings(&me, &loaded, Output::Stdout)?;
-    let settings = reload::start(loaded, reloader, &cfg, hangups()?, telemetry.log.clone());
+    let settings = reload::start(loaded, reloader, &cfg, sighup_signals()?, telemetry.log.clone());
     let client = Client::default();
     let counts = CallCounts::default();
     let adapter = Adapter {
--- a/crates/sillpin-core/src/block.rs
+++ b/crates/sillpin-core/src/block.rs
@@ -144,8 +144,8 @@
         let mut rest = prompt;
         while rest.len() >= BLOCK_BYTES {
             let (text, tail) = rest.split_at(rest.floor_char_boundary(BLOCK_BYTES));
-            before = chain(key, &before, text);
-            names.push(truncate(&before));
+            before = chained_hash(key, &before, text);
+            names.push(block_name(&before));
             rest = tail;
         }
         names
@@ -159,19 +159,19 @@
             ..self.clone()
         };
         let end = prompt.floor_char_boundary(prompt.len().min(home_blocks * BLOCK_BYTES));
-        let hash = chain(key, &unversioned.root(key), &prompt[..end]);
-        truncate(&hash).placement_hash()
+        let hash = chained_hash(key, &unversioned.root(key), &prompt[..end]);
+        block_name(&hash).placement_hash()
     }
 }
 
-fn chain(key: &BlockKey, before: &blake3::Hash, text: &str) -> blake3::Hash {
+fn chained_hash(key: &BlockKey, before: &blake3::Hash, text: &str) -> blake3::Hash {
     let mut hasher = blake3::Hasher::new_keyed(&key.0);
     hasher.update(before.as_bytes());
     hasher.update(text.as_bytes());
     hasher.finalize()
 }
 
-fn truncate(hash: &blake3::Hash) -> BlockName {
+fn block_name(hash: &blake3::Hash) -> BlockName {
     let mut name = [0; BLOCK_NAME_LEN];
     name.copy_from_slice(&hash.as_bytes()[..BLOCK_NAME_LEN]);
     BlockName(name)
--- a/crates/sillpin-core/src/newtype.rs
+++ b/crates/sillpin-core/src/newtype.rs
@@ -19,7 +19,7 @@
 }
 
 /// Declares an enum without fields whose variants are serialised in kebab case.
-macro_rules! word_type {
+macro_rules! string_enum {
     ($(#[$attr:meta])* pub enum $name:ident { $($words:tt)* }) => {
         $(#[$attr])*
         #[derive(
@@ -31,4 +31,4 @@
     };
 }
 
-pub(crate) use word_type;
+pub(crate) use string_enum;
--- a/crates/sillpin-core/src/outcome.rs
+++ b/crates/sillpin-core/src/outcome.rs
@@ -1,13 +1,13 @@
 //! What is certain about the execution of a request whose response was not complete.
 
 use crate::ids::RequestId;
-use crate::newtype::word_type;
+use crate::newtype::string_enum;
 use serde::{Deserialize, Serialize};
 
 /// Media type of a [`Problem`] (RFC 9457).
 pub const PROBLEM_MEDIA_TYPE: &str = "application/problem+json";
 
-word_type! {
+string_enum! {
     /// Whether the request was carried out.
     pub enum Outcome {
         /// No target has started it, and none will.
--- a/crates/sillpin-core/src/run.rs
+++ b/crates/sillpin-core/src/run.rs
@@ -1,8 +1,8 @@
 //! Priority classes of requests.
 
-use crate::newtype::word_type;
+use crate::newtype::string_enum;
 
-word_type! {
+string_enum! {
     /// Priority class of a request, most urgent first.
     #[derive(Default)]
     pub enum PriorityClass {
--- a/crates/sillpin-core/src/target.rs
+++ b/crates/sillpin-core/src/target.rs
@@ -1,12 +1,12 @@
 //! Targets and boxes: their entries in the platform's box list, and the load reports of targets.
 
 use crate::ids::{BoxId, ModelId, PoolId, TargetId, WeightVersion, ZoneId};
-use crate::newtype::word_type;
+use crate::newtype::string_enum;
 use crate::units::{BytesPerSec, Share, Tokens};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-word_type! {
+string_enum! {
     /// Kind of a target.
     pub enum TargetKind {
         /// A model engine, also called a runner.
@@ -24,7 +24,7 @@
     }
 }
 
-word_type! {
+string_enum! {
     /// Whether a box or target accepts new work.
     pub enum Presence {
         /// It accepts new work.
--- a/crates/sillpin-http/src/body.rs
+++ b/crates/sillpin-http/src/body.rs
@@ -87,13 +87,13 @@
 /// Error for a write to a body whose reader was dropped.
 #[derive(Debug, Clone, Copy, Display, Error)]
 #[display("the body's reader was dropped")]
-pub struct ReaderGone;
+pub struct ReaderClosed;
 
 impl BodySender {
     /// Writes a chunk; waits while the queue is full.
-    pub async fn send(&self, chunk: impl Into<Bytes>) -> Result<(), ReaderGone> {
+    pub async fn send(&self, chunk: impl Into<Bytes>) -> Result<(), ReaderClosed> {
         let sent = self.tx.send(Ok(chunk.into())).await;
-        sent.map_err(|_| ReaderGone)
+        sent.map_err(|_| ReaderClosed)
     }
 
     /// Returns when the reader has been dropped.
@@ -143,34 +143,34 @@
 
 /// Longest time for reading a complete body, which bounds the wait for a peer that sends a few bytes
 /// at a time. Four megabytes take 3.4 s over 10 Mbit/s.
-const LONGEST_READING: Duration = Duration::from_secs(20);
+const MAX_READ_TIME: Duration = Duration::from_secs(20);
 
-/// Reads a complete body of at most `limit` bytes and adds the received bytes to `arrived`. The read
-/// fails after an idle time of `silence`; the total time is bounded by [`LONGEST_READING`] only.
+/// Reads a complete body of at most `limit` bytes and adds the received bytes to `bytes_received`. The
+/// read fails after `idle_timeout` without data; the total time is only bounded by [`MAX_READ_TIME`].
 ///
 /// A short limit on the total time would limit the size by the link's rate: over 10 Mbit/s, a
 /// configuration of 0.85 MB took 0.9 s, was cancelled after 0.8 s and requested again indefinitely,
 /// which discarded 5.9 MB on one box in 24 s.
-async fn read_while_arriving(
+async fn read_with_idle_timeout(
     body: Incoming,
     limit: usize,
-    silence: Duration,
-    arrived: &AtomicU64,
+    idle_timeout: Duration,
+    bytes_received: &AtomicU64,
 ) -> Result<Bytes, ReadError> {
-    let reading = collect(body, limit, silence, arrived);
-    let read = tokio::time::timeout(LONGEST_READING, reading).await;
+    let reading = collect(body, limit, idle_timeout, bytes_received);
+    let read = tokio::time::timeout(MAX_READ_TIME, reading).await;
     read.unwrap_or(Err(ReadError::Silent))
 }
 
 async fn collect(
     mut body: Incoming,
     limit: usize,
-    silence: Duration,
-    arrived: &AtomicU64,
+    idle_timeout: Duration,
+    bytes_received: &AtomicU64,
 ) -> Result<Bytes, ReadError> {
     let mut read = BytesMut::new();
     loop {
-        let frame = tokio::time::timeout(silence, body.frame()).await;
+        let frame = tokio::time::timeout(idle_timeout, body.frame()).await;
         let frame = frame.map_err(|_| ReadError::Silent)?;
         let Some(frame) = frame else {
             return Ok(read.freeze());
@@ -179,7 +179,7 @@
         let Some(data) = frame.data_ref() else {
             continue;
         };
-        arrived.fetch_add(data.len() as u64, Ordering::Relaxed);
+        bytes_received.fetch_add(data.len() as u64, Ordering::Relaxed);
         if read.len() + data.len() > limit {
             return Err(ReadError::TooLong { limit });
         }
@@ -187,14 +187,14 @@
     }
 }
 
-/// Like [`read_while_arriving`], for a JSON document.
-pub async fn read_json_while_arriving<T: DeserializeOwned>(
+/// Like [`read_with_idle_timeout`], for a JSON document.
+pub async fn read_json_with_idle_timeout<T: DeserializeOwned>(
     body: Incoming,
     limit: usize,
-    silence: Duration,
-    arrived: &AtomicU64,
+    idle_timeout: Duration,
+    bytes_received: &AtomicU64,
 ) -> Result<T, ReadError> {
-    let text = read_while_arriving(body, limit, silence, arrived).await?;
+    let text = read_with_idle_timeout(body, limit, idle_timeout, bytes_received).await?;
     serde_json::from_slice(&text).map_err(ReadError::Json)
 }
 
--- a/crates/sillpin-http/src/client.rs
+++ b/crates/sillpin-http/src/client.rs
@@ -6,7 +6,7 @@
 //! library retries on another connection, but only if it gets the request back unsent. A request of
 //! which any byte was sent is never sent again here.
 
-use crate::body::{Body, ReadError, read_json_while_arriving};
+use crate::body::{Body, ReadError, read_json_with_idle_timeout};
 use derive_more::{Display, Error};
 use hyper::body::Incoming;
 use hyper::{HeaderMap, Method, Request, Response, StatusCode, header};
@@ -142,7 +142,7 @@
         self.pool.request(req).await.map_err(|e| CallError {
             step,
             peer,
-            sent: how_far(&e),
+            sent: sent_state(&e),
             fault: CallFault::Connection(describe(&e)),
         })
     }
@@ -154,15 +154,15 @@
         call: Call<'_>,
         doc: Option<&T>,
     ) -> Result<R, CallError> {
-        let (step, peer, silence) = (call.step, call.peer, call.timeout);
+        let (step, peer, idle_timeout) = (call.step, call.peer, call.timeout);
         let resp = self.call(call, doc).await?;
-        let answer = Answer {
+        let reader = ResponseReader {
             step,
             peer,
-            silence,
-            arrived: &AtomicU64::new(0),
+            idle_timeout,
+            bytes_received: &AtomicU64::new(0),
         };
-        answer.read_json(resp).await
+        reader.read_json(resp).await
     }
 
     /// Sends `doc` as JSON and waits for the head of a 2xx response; any other status is an error.
@@ -209,25 +209,25 @@
 }
 
 /// Reader of a response whose head has arrived.
-pub struct Answer<'a> {
+pub struct ResponseReader<'a> {
     /// The operation, for errors.
     pub step: &'static str,
     /// Address of the peer.
     pub peer: SocketAddr,
     /// Longest wait for the next part of the body.
-    pub silence: Duration,
+    pub idle_timeout: Duration,
     /// Counter of the received bytes of the body.
-    pub arrived: &'a AtomicU64,
+    pub bytes_received: &'a AtomicU64,
 }
 
-impl Answer<'_> {
+impl ResponseReader<'_> {
     /// Reads the body as a JSON document.
     pub async fn read_json<R: DeserializeOwned>(
         self,
         resp: Response<Incoming>,
     ) -> Result<R, CallError> {
         let body = resp.into_body();
-        let read = read_json_while_arriving(body, MAX_JSON_LEN, self.silence, self.arrived).await;
+        let read = read_json_with_idle_timeout(body, MAX_JSON_LEN, self.idle_timeout, self.bytes_received).await;
         read.map_err(|e| CallError {
             step: self.step,
             peer: self.peer,
@@ -251,7 +251,7 @@
     pub timeout: Duration,
 }
 
-fn how_far(e: &legacy::Error) -> Sent {
+fn sent_state(e: &legacy::Error) -> Sent {
     let cancelled = std::error::Error::source(e)
         .and_then(|source| source.downcast_ref::<hyper::Error>())
         .is_some_and(hyper::Error::is_canceled);
--- a/crates/sillpin-http/src/server.rs
+++ b/crates/sillpin-http/src/server.rs
@@ -165,8 +165,8 @@
         .timer(TokioTimer::new())
         .max_header_list_size(u32::try_from(limits.max_len).unwrap_or(u32::MAX));
     let service = service_fn(move |req| {
-        let answer = handler(req);
-        async move { Ok::<_, Infallible>(answer.await) }
+        let response = handler(req);
+        async move { Ok::<_, Infallible>(response.await) }
     });
     let mut conn = pin!(builder.serve_connection(TokioIo::new(tcp), service));
     tokio::select! {
--- a/crates/sillpin-platform/src/call.rs
+++ b/crates/sillpin-platform/src/call.rs
@@ -4,7 +4,7 @@
 use hyper::{HeaderMap, Method, StatusCode};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use sillpin_http::client::{Answer, Call, CallFault};
+use sillpin_http::client::{ResponseReader, Call, CallFault};
 use sillpin_http::{CallError, Client, Sent};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,12 +16,12 @@
 pub const NO_BODY: Option<&()> = None;
 
 /// Step and outcome of a call.
-type Kind = (&'static str, &'static str);
+type StepAndOutcome = (&'static str, &'static str);
 
 /// Counts the calls of a service by step and outcome; shared by clones.
 #[derive(Debug, Clone, Default)]
 pub struct CallCounts {
-    counts: Arc<Mutex<BTreeMap<Kind, CallTotals>>>,
+    counts: Arc<Mutex<BTreeMap<StepAndOutcome, CallTotals>>>,
 }
 
 /// Totals of the calls with the same step and outcome.
@@ -66,7 +66,7 @@
 
 /// Client of one service that maps errors to [`PlatformFault`] and counts its calls.
 #[derive(Clone)]
-pub struct Caller {
+pub struct ServiceClient {
     /// HTTP client with its connections.
     pub client: Client,
     /// Address of the service.
@@ -85,47 +85,47 @@
 
 /// Counts a call on drop, so that a call dropped before its end counts too: the service received it
 /// nevertheless.
-struct Counting<'a> {
+struct CountOnDrop<'a> {
     counts: &'a CallCounts,
     step: &'static str,
     outcome: &'static str,
-    arrived: &'a AtomicU64,
+    bytes_received: &'a AtomicU64,
 }
 
-impl Drop for Counting<'_> {
+impl Drop for CountOnDrop<'_> {
     fn drop(&mut self) {
-        let bytes = self.arrived.load(Ordering::Relaxed);
+        let bytes = self.bytes_received.load(Ordering::Relaxed);
         self.counts.count(self.step, self.outcome, bytes);
     }
 }
 
 /// Options of a call whose response the service may delay.
-pub struct Waiting<F = fn()> {
+pub struct LongPoll<F = fn()> {
     /// Longest time by which the service may delay the response.
     pub wait: Duration,
     /// Called when the response begins to arrive.
-    pub arriving: F,
+    pub on_response: F,
 }
 
-impl Waiting {
+impl LongPoll {
     /// Options of a call that the service handles immediately.
-    pub fn none() -> Self {
+    pub fn immediate() -> Self {
         Self {
             wait: Duration::ZERO,
-            arriving: || (),
+            on_response: || (),
         }
     }
 }
 
 /// A response of the service.
-pub struct Answered<R> {
+pub struct ServiceResponse<R> {
     /// The response headers.
     pub head: HeaderMap,
     /// The decoded JSON document.
     pub doc: R,
 }
 
-impl Caller {
+impl ServiceClient {
     /// Calls the service and decodes its JSON response.
     pub async fn call<T: Serialize, R: DeserializeOwned>(
         &self,
@@ -134,33 +134,33 @@
         path: &str,
         doc: Option<&T>,
     ) -> Result<R, PlatformError> {
-        self.call_for(step, method, path, doc, Waiting::none())
+        self.long_poll(step, method, path, doc, LongPoll::immediate())
             .await
     }
 
-    /// Like [`Caller::call`], for a call whose response the service may delay.
-    pub async fn call_for<T: Serialize, R: DeserializeOwned>(
+    /// Like [`ServiceClient::call`], for a call whose response the service may delay.
+    pub async fn long_poll<T: Serialize, R: DeserializeOwned>(
         &self,
         step: &'static str,
         method: Method,
         path: &str,
         doc: Option<&T>,
-        waiting: Waiting<impl FnOnce() + Send>,
+        poll: LongPoll<impl FnOnce() + Send>,
     ) -> Result<R, PlatformError> {
-        let answered = self.answered(step, method, path, doc, waiting).await?;
-        Ok(answered.doc)
+        let response = self.long_poll_with_headers(step, method, path, doc, poll).await?;
+        Ok(response.doc)
     }
 
-    /// Like [`Caller::call_for`], but also returns the response headers.
-    pub async fn answered<T: Serialize, R: DeserializeOwned>(
+    /// Like [`ServiceClient::long_poll`], but also returns the response headers.
+    pub async fn long_poll_with_headers<T: Serialize, R: DeserializeOwned>(
         &self,
         step: &'static str,
         method: Method,
         path: &str,
         doc: Option<&T>,
-        waiting: Waiting<impl FnOnce() + Send>,
-    ) -> Result<Answered<R>, PlatformError> {
-        let timeout = self.timeout + waiting.wait;
+        poll: LongPoll<impl FnOnce() + Send>,
+    ) -> Result<ServiceResponse<R>, PlatformError> {
+        let timeout = self.timeout + poll.wait;
         let call = Call {
             step,
             peer: self.addr,
@@ -168,43 +168,43 @@
             path,
             timeout,
         };
-        let arrived = AtomicU64::new(0);
-        let mut counting = Counting {
+        let bytes_received = AtomicU64::new(0);
+        let mut counting = CountOnDrop {
             counts: &self.counts,
             step,
             outcome: ABANDONED,
-            arrived: &arrived,
+            bytes_received: &bytes_received,
         };
-        let reply = self.answer(call, doc, waiting.arriving, &arrived).await;
-        let reply = reply.map_err(|e| self.fault(step, self.meaning(&e)));
+        let reply = self.exchange(call, doc, poll.on_response, &bytes_received).await;
+        let reply = reply.map_err(|e| self.fault(step, self.classify_error(&e)));
         counting.outcome = reply
             .as_ref()
             .map_or_else(|e| e.fault.name(), |_| "answered");
         reply
     }
 
-    async fn answer<T: Serialize, R: DeserializeOwned>(
+    async fn exchange<T: Serialize, R: DeserializeOwned>(
         &self,
         call: Call<'_>,
         doc: Option<&T>,
-        arriving: impl FnOnce(),
-        arrived: &AtomicU64,
-    ) -> Result<Answered<R>, CallError> {
+        on_response: impl FnOnce(),
+        bytes_received: &AtomicU64,
+    ) -> Result<ServiceResponse<R>, CallError> {
         let (step, peer) = (call.step, call.peer);
         let resp = self.client.call(call, doc).await?;
-        arriving();
+        on_response();
         let head = resp.headers().clone();
-        let answer = Answer {
+        let reader = ResponseReader {
             step,
             peer,
-            silence: self.timeout,
-            arrived,
+            idle_timeout: self.timeout,
+            bytes_received,
         };
-        let doc = answer.read_json(resp).await?;
-        Ok(Answered { head, doc })
+        let doc = reader.read_json(resp).await?;
+        Ok(ServiceResponse { head, doc })
     }
 
-    fn meaning(&self, e: &CallError) -> PlatformFault {
+    fn classify_error(&self, e: &CallError) -> PlatformFault {
         match (&e.fault, e.sent) {
             (CallFault::Status { status, .. }, _) => (self.classify)(*status),
             (_, Sent::No) => PlatformFault::Unreachable,
--- a/crates/sillpin-platform/src/http.rs
+++ b/crates/sillpin-platform/src/http.rs
@@ -1,6 +1,6 @@
 //! Client of the stand-in's platform service, over HTTP and JSON.
 
-use crate::call::{CallCounts, Caller, NO_BODY, Waiting};
+use crate::call::{CallCounts, ServiceClient, NO_BODY, LongPoll};
 use crate::{
     BoxLister, KvEntry, KvRevision, LeaseId, Platform, PlatformError, PlatformFault, WatchReply,
 };
@@ -35,20 +35,20 @@
 /// Client of the platform's service.
 #[derive(Clone)]
 pub struct HttpPlatform {
-    caller: Caller,
+    service: ServiceClient,
 }
 
 impl HttpPlatform {
     /// Creates a client of the service at `addr`.
     pub fn new(client: Client, addr: SocketAddr) -> Self {
-        let caller = Caller {
+        let service = ServiceClient {
             counts: CallCounts::default(),
             client,
             addr,
             timeout: CALL_TIMEOUT,
             classify: classify_status,
         };
-        Self { caller }
+        Self { service }
     }
 }
 
@@ -65,7 +65,7 @@
 impl Platform for HttpPlatform {
     async fn get(&self, key: &str) -> Result<Option<KvEntry>, PlatformError> {
         let path = format!("/v1/kv/{key}");
-        self.caller
+        self.service
             .call("read a key", Method::GET, &path, NO_BODY)
             .await
     }
@@ -78,7 +78,7 @@
     ) -> Result<Vec<KvEntry>, PlatformError> {
         let after = after.unwrap_or_default();
         let path = format!("/v1/list?prefix={prefix}&after={after}&limit={limit}");
-        self.caller
+        self.service
             .call("list keys", Method::GET, &path, NO_BODY)
             .await
     }
@@ -96,14 +96,14 @@
             lease,
         };
         let path = format!("/v1/kv/{key}");
-        self.caller
+        self.service
             .call("write a key", Method::PUT, &path, Some(&body))
             .await
     }
 
     async fn delete(&self, key: &str, expect: KvRevision) -> Result<(), PlatformError> {
         let path = format!("/v1/kv/{key}?expect={expect}");
-        self.caller
+        self.service
             .call("delete a key", Method::DELETE, &path, NO_BODY)
             .await
     }
@@ -112,14 +112,14 @@
         let body = LeaseBody {
             ttl_ms: u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX),
         };
-        self.caller
+        self.service
             .call("ask for a lease", Method::POST, "/v1/leases", Some(&body))
             .await
     }
 
     async fn renew_lease(&self, lease: LeaseId) -> Result<(), PlatformError> {
         let path = format!("/v1/leases/{lease}/renew");
-        self.caller
+        self.service
             .call("renew a lease", Method::POST, &path, NO_BODY)
             .await
     }
@@ -132,17 +132,17 @@
     ) -> Result<WatchReply, PlatformError> {
         let wait_ms = wait.as_millis();
         let path = format!("/v1/watch?prefix={prefix}&after={after}&wait_ms={wait_ms}");
-        let arriving = || ();
-        let waiting = Waiting { wait, arriving };
-        self.caller
-            .call_for("watch keys", Method::GET, &path, NO_BODY, waiting)
+        let on_response = || ();
+        let poll = LongPoll { wait, on_response };
+        self.service
+            .long_poll("watch keys", Method::GET, &path, NO_BODY, poll)
             .await
     }
 }
 
 impl BoxLister for HttpPlatform {
     async fn box_list(&self) -> Result<BoxList, PlatformError> {
-        self.caller
+        self.service
             .call("read the box list", Method::GET, "/v1/boxes", NO_BODY)
             .await
     }
--- a/crates/sillpin-platform/src/lib.rs
+++ b/crates/sillpin-platform/src/lib.rs
@@ -258,18 +258,18 @@
         wait: Duration,
     ) -> impl Future<Output = Result<WatchReply, PlatformError>> + Send;
 
-    /// Like [`Platform::watch`], but calls `arriving` when the response begins to arrive, since a large
+    /// Like [`Platform::watch`], but calls `on_response` when the response begins to arrive, since a large
     /// one takes time over a slow link.
     fn watch_with_callback(
         &self,
         prefix: &str,
         after: KvRevision,
         wait: Duration,
-        arriving: impl FnOnce() + Send,
+        on_response: impl FnOnce() + Send,
     ) -> impl Future<Output = Result<WatchReply, PlatformError>> + Send {
         async move {
             let reply = self.watch(prefix, after, wait).await;
-            arriving();
+            on_response();
             reply
         }
     }
--- a/crates/sillpin-settings/src/args.rs
+++ b/crates/sillpin-settings/src/args.rs
@@ -40,7 +40,7 @@
 }
 
 /// Action that the arguments request.
-pub enum Asked {
+pub enum Invocation {
     /// Run the program with these settings.
     Run(Loaded),
     /// Print this text and exit.
@@ -48,16 +48,16 @@
 }
 
 /// Reads the settings and determines the requested action.
-pub fn read(schema: Schema, args: &ArgMatches) -> Result<Asked, Faults> {
+pub fn read(schema: Schema, args: &ArgMatches) -> Result<Invocation, Faults> {
     let loaded = load_settings(schema, args)?;
     if args.get_flag("print-settings") {
-        return Ok(Asked::Print(loaded.render()));
+        return Ok(Invocation::Print(loaded.render()));
     }
     if args.get_flag("check") {
         let file = settings_file(args);
-        return Ok(Asked::Print(format!("{file}: settings are accepted\n")));
+        return Ok(Invocation::Print(format!("{file}: settings are accepted\n")));
     }
-    Ok(Asked::Run(loaded))
+    Ok(Invocation::Run(loaded))
 }
 
 fn settings_file(args: &ArgMatches) -> String {
--- a/crates/sillpin-settings/src/load.rs
+++ b/crates/sillpin-settings/src/load.rs
@@ -64,11 +64,11 @@
             let path = (section.name.to_owned(), key.name.to_owned());
             let given = pick(section, key, &path, &flags, &from_file, sources);
             let Some((text, origin)) = given else {
-                faults.push(missing(sources.file, section, key));
+                faults.push(missing_key(sources.file, section, key));
                 continue;
             };
             if let Err(what) = check(key.kind, &text) {
-                faults.push(refused(sources.file, section, key, &origin, what));
+                faults.push(invalid_value(sources.file, section, key, &origin, what));
             }
             values.insert(path, Value { text, origin, key });
         }
@@ -107,7 +107,7 @@
     name.to_ascii_uppercase().replace('-', "_")
 }
 
-fn missing(file: &str, section: &Section, key: &Key) -> Fault {
+fn missing_key(file: &str, section: &Section, key: &Key) -> Fault {
     Fault {
         place: file.to_owned(),
         what: format!(
@@ -117,7 +117,7 @@
     }
 }
 
-fn refused(file: &str, section: &Section, key: &Key, origin: &Origin, what: String) -> Fault {
+fn invalid_value(file: &str, section: &Section, key: &Key, origin: &Origin, what: String) -> Fault {
     let place = match origin {
         Origin::File(line) => format!("{file}:{line}"),
         Origin::Environment => env_name(section, key),
--- a/crates/sillpin-settings/src/program.rs
+++ b/crates/sillpin-settings/src/program.rs
@@ -1,6 +1,6 @@
 //! Common `main` function of the programs: arguments, settings, and error output.
 
-use crate::args::{Asked, load_settings, read, with_settings};
+use crate::args::{Invocation, load_settings, read, with_settings};
 use crate::{Faults, Loaded, Schema};
 use clap::{ArgMatches, Command};
 use std::error::Error;
@@ -37,8 +37,8 @@
 ) -> ExitCode {
     let matches = with_settings(command).get_matches();
     let result = match read(schema, &matches) {
-        Ok(Asked::Run(loaded)) => start(loaded, Reloader { schema, matches }),
-        Ok(Asked::Print(text)) => {
+        Ok(Invocation::Run(loaded)) => start(loaded, Reloader { schema, matches }),
+        Ok(Invocation::Print(text)) => {
             print!("{text}");
             Ok(())
         }
--- a/crates/sillpin-telemetry/src/program.rs
+++ b/crates/sillpin-telemetry/src/program.rs
@@ -68,36 +68,36 @@
     /// Sets up log, metrics and traces; must be called within a tokio runtime. The guard flushes the
     /// log on drop.
     pub fn start(
-        me: &Identity<'_>,
+        identity: &Identity<'_>,
         format: Format,
         level: Level,
     ) -> Result<(Self, AsyncGuard), Box<dyn Error>> {
-        Self::start_with(me, format, level, Output::Stderr)
+        Self::start_with(identity, format, level, Output::Stderr)
     }
 
     /// Like [`Telemetry::start`], with the log format and level from the [`LOG_SECTION`] settings.
     pub fn start_from_settings(
-        me: &Identity<'_>,
+        identity: &Identity<'_>,
         loaded: &Loaded,
         output: Output,
     ) -> Result<(Self, AsyncGuard), Box<dyn Error>> {
         let format = loaded.get(LOG_SECTION.name, "format")?;
         let level = loaded.get(LOG_SECTION.name, "level")?;
-        Self::start_with(me, format, level, output)
+        Self::start_with(identity, format, level, output)
     }
 
     fn start_with(
-        me: &Identity<'_>,
+        identity: &Identity<'_>,
         format: Format,
         level: Level,
         output: Output,
     ) -> Result<(Self, AsyncGuard), Box<dyn Error>> {
-        let (log, guard) = logs::logger(output, format, level, me.program);
-        let log = log.new(o!("box" => me.box_id.to_owned(), "zone" => me.zone.to_owned()));
+        let (log, guard) = logs::logger(output, format, level, identity.program);
+        let log = log.new(o!("box" => identity.box_id.to_owned(), "zone" => identity.zone.to_owned()));
         let telemetry = Self {
             log,
-            metrics: Metrics::new(me.program, me.box_id)?,
-            traces: Traces::new(me.program, me.box_id, me.collector)?,
+            metrics: Metrics::new(identity.program, identity.box_id)?,
+            traces: Traces::new(identity.program, identity.box_id, identity.collector)?,
         };
         Ok((telemetry, guard))
     }
@@ -117,6 +117,6 @@
 }
 
 /// Returns a stream of SIGHUP signals; without a handler, SIGHUP ends the process.
-pub fn hangups() -> io::Result<Signal> {
+pub fn sighup_signals() -> io::Result<Signal> {
     signal(SignalKind::hangup())
 }
