--- a/crates/sillpin-box/src/main.rs
+++ b/crates/sillpin-box/src/main.rs
@@ -11,7 +11,7 @@
 use sillpin_telemetry::Telemetry;
 use sillpin_telemetry::logs::Output;
 use sillpin_telemetry::program::{Identity, sighup_signals, stop_on_sigterm};
-use sillpin_wire::{PlatformDialect, PlatformKeys, PlatformStore, TargetCalls};
+use sillpin_wire::{PlatformDialect, PlatformKeys, PlatformStore, TargetClient};
 use std::error::Error;
 use std::process::ExitCode;
 
@@ -46,7 +46,7 @@
         keys: PlatformKeys,
         platform: PlatformStore::new(client.clone(), cfg.platform, counts.clone()),
         counts,
-        control: TargetCalls::new(client),
+        control: TargetClient::new(client),
     };
     // The callback is not needed: the first log record contains the addresses of the listeners.
     ops::run(settings, telemetry, adapter, stop_on_sigterm()?, |_| ()).await?;
