--- a/crates/sillpin-core/src/block_tests.rs
+++ b/crates/sillpin-core/src/block_tests.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn home_survives_a_swap_of_weights() {
+fn home_hash_is_independent_of_the_weight_version() {
     let prompt = "x".repeat(3 * BLOCK_BYTES);
     assert_eq!(
         scope("a", 1).home_hash(&key(), &prompt, 2),
--- a/crates/sillpin-settings/tests/settings.rs
+++ b/crates/sillpin-settings/tests/settings.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn every_fault_is_named() {
+fn every_fault_is_reported() {
     let text = "[box]\nid = Box One\nlisten = nowhere\ncolour = red\n[fleet]\nlag = 3\nlag = 10\n";
     let faults = read(text, &["box.size=1"], &[]).err().unwrap();
     assert_eq!(
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn flag_beats_environment_beats_file_beats_default() {
+fn flag_overrides_environment_overrides_file_overrides_default() {
     let text = "[box]\nid = a\n[fleet]\nsecret = s3\nlag = 4\n";
     let env = &[("SILLPIN_BOX_ID", "b"), ("SILLPIN_FLEET_LAG", "5")];
     let loaded = read(text, &["fleet.lag=6"], env).ok().unwrap();
