--- a/crates/sillpin-http/src/body.rs
+++ b/crates/sillpin-http/src/body.rs
@@ -117,10 +117,10 @@
         limit: usize,
     },
     /// The connection broke, or the sender aborted the body.
-    #[display("body is incomplete")]
+    #[display("body was cut off")]
     Cut,
     /// No data arrived within the idle timeout, or the body took too long in total.
-    #[display("timed out while reading the body")]
+    #[display("body stopped arriving")]
     Silent,
     /// The body is not the expected JSON document.
     #[display("body is not the expected JSON: {_0}")]
--- a/crates/sillpin-http/src/client.rs
+++ b/crates/sillpin-http/src/client.rs
@@ -49,10 +49,10 @@
     #[display("connection failed: {_0}")]
     Connection(#[error(not(source))] String),
     /// No response within the time-out.
-    #[display("no response within {} ms", _0.as_millis())]
+    #[display("no answer within {} ms", _0.as_millis())]
     Timeout(#[error(not(source))] Duration),
     /// The peer responded with a status other than 2xx.
-    #[display("response has status {status}")]
+    #[display("answered with status {status}")]
     Status {
         /// The status.
         status: StatusCode,
@@ -60,7 +60,7 @@
         headers: Box<HeaderMap>,
     },
     /// The body of the response could not be read.
-    #[display("cannot read the response: {_0}")]
+    #[display("answer unreadable: {_0}")]
     Answer(ReadError),
     /// The request could not be built.
     #[display("invalid request: {_0}")]
--- a/crates/sillpin-targets/src/engine.rs
+++ b/crates/sillpin-targets/src/engine.rs
@@ -92,16 +92,16 @@
     #[display("serves weight version {_0}")]
     OtherVersion(WeightVersion),
     /// The response belongs to another attempt.
-    #[display("response to another attempt")]
+    #[display("answer of another attempt")]
     Crossed,
     /// The response ended early.
-    #[display("response incomplete")]
+    #[display("answer broke off")]
     Cut,
     /// The token indexes or the counts in the end mark don't match the received tokens.
-    #[display("response inconsistent")]
+    #[display("answer does not add up")]
     Mismatch,
     /// The engine did not respond in time.
-    #[display("timed out")]
+    #[display("nothing came in time")]
     Timeout,
 }
 
--- a/crates/sillpin-targets/src/engine_http.rs
+++ b/crates/sillpin-targets/src/engine_http.rs
@@ -120,7 +120,7 @@
 impl HttpRun {
     fn failed(&self, fault: EngineFault) -> EngineError {
         EngineError {
-            step: "read a run's response",
+            step: "read a run's answer",
             peer: self.peer,
             fault,
             outcome: Outcome::Unknown,
