--- a/crates/sillpin-box/src/main.rs
+++ b/crates/sillpin-box/src/main.rs
@@ -38,7 +38,13 @@
         collector: cfg.collector,
     };
     let (telemetry, _guard) = Telemetry::start_from_settings(&me, &loaded, Output::Stdout)?;
-    let settings = reload::start(loaded, reloader, &cfg, sighup_signals()?, telemetry.log.clone());
+    let settings = reload::start(
+        loaded,
+        reloader,
+        &cfg,
+        sighup_signals()?,
+        telemetry.log.clone(),
+    );
     let client = Client::default();
     let counts = CallCounts::default();
     let adapter = Adapter {
--- a/crates/sillpin-core/src/lib.rs
+++ b/crates/sillpin-core/src/lib.rs
@@ -13,10 +13,10 @@
 
 pub mod block;
 pub mod ids;
+pub mod mechanisms;
 mod newtype;
 pub mod outcome;
 pub mod run;
-pub mod mechanisms;
 pub mod target;
 pub mod units;
 
--- a/crates/sillpin-entry/src/keeper_link.rs
+++ b/crates/sillpin-entry/src/keeper_link.rs
@@ -147,7 +147,9 @@
             }
         }
         if !prompts_used.is_empty() {
-            let _ = client.prompts_used(within(CALL_TIMEOUT), prompts_used).await;
+            let _ = client
+                .prompts_used(within(CALL_TIMEOUT), prompts_used)
+                .await;
         }
         if !records.is_empty() {
             let _ = client.record(within(CALL_TIMEOUT), records).await;
--- a/crates/sillpin-http/src/client.rs
+++ b/crates/sillpin-http/src/client.rs
@@ -227,7 +227,9 @@
         resp: Response<Incoming>,
     ) -> Result<R, CallError> {
         let body = resp.into_body();
-        let read = read_json_with_idle_timeout(body, MAX_JSON_LEN, self.idle_timeout, self.bytes_received).await;
+        let read =
+            read_json_with_idle_timeout(body, MAX_JSON_LEN, self.idle_timeout, self.bytes_received)
+                .await;
         read.map_err(|e| CallError {
             step: self.step,
             peer: self.peer,
--- a/crates/sillpin-keeper/src/api/entry.rs
+++ b/crates/sillpin-keeper/src/api/entry.rs
@@ -14,7 +14,7 @@
 use sillpin_rpc::arms::ArmFigures;
 use sillpin_rpc::claims::{ClaimEnd, ClaimReply, ClaimRequest};
 use sillpin_rpc::directory::{BlockHints, DirectoryUpdate, PromptUse};
-use sillpin_rpc::entry_link::{EntryLink, FleetUpdate, FleetPosition};
+use sillpin_rpc::entry_link::{EntryLink, FleetPosition, FleetUpdate};
 use sillpin_rpc::records::DecisionRecord;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/sillpin-keeper/src/directory/table.rs
+++ b/crates/sillpin-keeper/src/directory/table.rs
@@ -3,7 +3,7 @@
 use sillpin_core::{BlockName, Generation, TargetId};
 use sillpin_policy::keeping::{KeepCandidate, ReturnGaps, should_keep, worth};
 use sillpin_policy::set::KeepingPolicy;
-use sillpin_rpc::directory::{BlockHints, HolderChange, StoredObject, PromptUse};
+use sillpin_rpc::directory::{BlockHints, HolderChange, PromptUse, StoredObject};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/sillpin-keeper/src/fleet/items.rs
+++ b/crates/sillpin-keeper/src/fleet/items.rs
@@ -2,7 +2,9 @@
 
 use sillpin_core::{TargetId, ZoneId};
 use sillpin_policy::rendezvous;
-use sillpin_rpc::gossip::{Digest, Exchange, Item, ItemKey, ItemValue, ItemVersion, TargetPartition};
+use sillpin_rpc::gossip::{
+    Digest, Exchange, Item, ItemKey, ItemValue, ItemVersion, TargetPartition,
+};
 use std::collections::{HashMap, HashSet};
 use tokio::time::Instant;
 
--- a/crates/sillpin-keeper/src/fleet/messages.rs
+++ b/crates/sillpin-keeper/src/fleet/messages.rs
@@ -4,7 +4,7 @@
 use sillpin_core::target::BoxList;
 use sillpin_core::{ArmName, LoadReport, Revision, TargetId, ZoneId};
 use sillpin_policy::guard::Breach;
-use sillpin_rpc::entry_link::{FleetUpdate, FleetPosition};
+use sillpin_rpc::entry_link::{FleetPosition, FleetUpdate};
 use sillpin_rpc::gossip::{Digest, Exchange, Item, ItemVersion, Organisation};
 use sillpin_rpc::peer_link::FleetStatus;
 use tokio::sync::{mpsc, oneshot};
--- a/crates/sillpin-keeper/src/fleet/table.rs
+++ b/crates/sillpin-keeper/src/fleet/table.rs
@@ -9,8 +9,8 @@
 use sillpin_core::{ArmName, BoxId, Incarnation, LoadReport, Revision, TargetId, ZoneId};
 use sillpin_policy::guard::Breach;
 use sillpin_rpc::gossip::{
-    BoxState, Digest, Exchange, Item, ItemKey, ItemValue, ItemVersion, Organisation, TargetPartition,
-    StoppedArm, TargetState,
+    BoxState, Digest, Exchange, Item, ItemKey, ItemValue, ItemVersion, Organisation, StoppedArm,
+    TargetPartition, TargetState,
 };
 use std::collections::HashSet;
 use std::net::SocketAddr;
--- a/crates/sillpin-keeper/src/fleet/views.rs
+++ b/crates/sillpin-keeper/src/fleet/views.rs
@@ -7,7 +7,7 @@
 use sillpin_core::{ArmName, BoxId, Presence, TargetId, ZoneId};
 use sillpin_policy::guard::Breach;
 use sillpin_policy::rendezvous::CandidateHash;
-use sillpin_rpc::entry_link::{FleetUpdate, FleetPosition, TargetView};
+use sillpin_rpc::entry_link::{FleetPosition, FleetUpdate, TargetView};
 use sillpin_rpc::gossip::{BoxState, ItemKey, ItemValue, Organisation, TargetState};
 use sillpin_rpc::peer_link::BoxStatus;
 use std::time::Duration;
--- a/crates/sillpin-platform/src/call.rs
+++ b/crates/sillpin-platform/src/call.rs
@@ -4,7 +4,7 @@
 use hyper::{HeaderMap, Method, StatusCode};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use sillpin_http::client::{ResponseReader, Call, CallFault};
+use sillpin_http::client::{Call, CallFault, ResponseReader};
 use sillpin_http::{CallError, Client, Sent};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -147,7 +147,9 @@
         doc: Option<&T>,
         poll: LongPoll<impl FnOnce() + Send>,
     ) -> Result<R, PlatformError> {
-        let response = self.long_poll_with_headers(step, method, path, doc, poll).await?;
+        let response = self
+            .long_poll_with_headers(step, method, path, doc, poll)
+            .await?;
         Ok(response.doc)
     }
 
@@ -175,7 +177,9 @@
             outcome: ABANDONED,
             bytes_received: &bytes_received,
         };
-        let reply = self.exchange(call, doc, poll.on_response, &bytes_received).await;
+        let reply = self
+            .exchange(call, doc, poll.on_response, &bytes_received)
+            .await;
         let reply = reply.map_err(|e| self.fault(step, self.classify_error(&e)));
         counting.outcome = reply
             .as_ref()
--- a/crates/sillpin-platform/src/http.rs
+++ b/crates/sillpin-platform/src/http.rs
@@ -1,6 +1,6 @@
 //! Client of the stand-in's platform service, over HTTP and JSON.
 
-use crate::call::{CallCounts, ServiceClient, NO_BODY, LongPoll};
+use crate::call::{CallCounts, LongPoll, NO_BODY, ServiceClient};
 use crate::{
     BoxLister, KvEntry, KvRevision, LeaseId, Platform, PlatformError, PlatformFault, WatchReply,
 };
--- a/crates/sillpin-platform/src/lib.rs
+++ b/crates/sillpin-platform/src/lib.rs
@@ -219,7 +219,10 @@
 
     /// Like [`Platform::snapshot`], but the result may be a few seconds old and costs the service much
     /// less. A watch from its revision returns the later changes.
-    fn stale_snapshot(&self, prefix: &str) -> impl Future<Output = Result<Snapshot, PlatformError>> + Send {
+    fn stale_snapshot(
+        &self,
+        prefix: &str,
+    ) -> impl Future<Output = Result<Snapshot, PlatformError>> + Send {
         self.snapshot(prefix)
     }
 
--- a/crates/sillpin-settings/src/args.rs
+++ b/crates/sillpin-settings/src/args.rs
@@ -55,7 +55,9 @@
     }
     if args.get_flag("check") {
         let file = settings_file(args);
-        return Ok(Invocation::Print(format!("{file}: settings are accepted\n")));
+        return Ok(Invocation::Print(format!(
+            "{file}: settings are accepted\n"
+        )));
     }
     Ok(Invocation::Run(loaded))
 }
--- a/crates/sillpin-telemetry/src/program.rs
+++ b/crates/sillpin-telemetry/src/program.rs
@@ -93,7 +93,8 @@
         output: Output,
     ) -> Result<(Self, AsyncGuard), Box<dyn Error>> {
         let (log, guard) = logs::logger(output, format, level, identity.program);
-        let log = log.new(o!("box" => identity.box_id.to_owned(), "zone" => identity.zone.to_owned()));
+        let log =
+            log.new(o!("box" => identity.box_id.to_owned(), "zone" => identity.zone.to_owned()));
         let telemetry = Self {
             log,
             metrics: Metrics::new(identity.program, identity.box_id)?,
