--- a/crates/sillpin-core/src/lib.rs
+++ b/crates/sillpin-core/src/lib.rs
@@ -9,11 +9,11 @@
 //! - [`run`]: priority classes of requests,
 //! - [`target`]: entries and load reports of targets and boxes,
 //! - [`outcome`]: outcomes of requests, and error responses,
-//! - [`mechanisms`]: mechanisms that test builds can disable.
+//! - [`switches`]: mechanisms that test builds can disable.
 
 pub mod block;
 pub mod ids;
-pub mod mechanisms;
+pub mod switches;
 mod newtype;
 pub mod outcome;
 pub mod run;
--- a/crates/sillpin-entry/src/runs/once.rs
+++ b/crates/sillpin-entry/src/runs/once.rs
@@ -5,7 +5,7 @@
 use crate::front::Failure;
 use crate::keeper_link::News;
 use hyper::StatusCode;
-use sillpin_core::mechanisms::{Mechanism, is_off};
+use sillpin_core::switches::{Mechanism, is_off};
 use sillpin_core::{OrgId, Outcome, RequestId};
 use sillpin_rpc::claims::{ClaimEnd, ClaimKey, ClaimReply, ClaimRequest};
 use sillpin_targets::Engine;
--- a/crates/sillpin-keeper/src/fleet/table.rs
+++ b/crates/sillpin-keeper/src/fleet/table.rs
@@ -4,7 +4,7 @@
 use super::messages::TargetReading;
 use crate::view::InForce;
 use sillpin_bundle::{Accepted, Bundle, SignError, TrustedKey};
-use sillpin_core::mechanisms::{Mechanism, is_off};
+use sillpin_core::switches::{Mechanism, is_off};
 use sillpin_core::target::BoxList;
 use sillpin_core::{ArmName, BoxId, Incarnation, LoadReport, Revision, TargetId, ZoneId};
 use sillpin_policy::guard::Breach;
--- a/crates/sillpin-keeper/src/weights.rs
+++ b/crates/sillpin-keeper/src/weights.rs
@@ -11,7 +11,7 @@
 use crate::settings::KeeperConfig;
 use crate::view::View;
 use sillpin_bundle::PoolPolicy;
-use sillpin_core::mechanisms::{Mechanism, is_off};
+use sillpin_core::switches::{Mechanism, is_off};
 use sillpin_core::target::TargetEntry;
 use sillpin_core::{Fence, TargetId, TargetKind, WeightVersion};
 use sillpin_http::Client;
--- a/crates/sillpin-targets/src/engine_http.rs
+++ b/crates/sillpin-targets/src/engine_http.rs
@@ -7,7 +7,7 @@
 use hyper::{Method, StatusCode};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use sillpin_core::mechanisms::{Mechanism, is_off};
+use sillpin_core::switches::{Mechanism, is_off};
 use sillpin_core::target::LoadReport;
 use sillpin_core::{AttemptId, Outcome};
 use sillpin_http::client::{Call, CallFault};
--- a/xtask/src/commands/faults.rs
+++ b/xtask/src/commands/faults.rs
@@ -2,7 +2,7 @@
 
 use crate::ops::faults;
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
-use sillpin_core::mechanisms::{Mechanism, OFF_ENV};
+use sillpin_core::switches::{Mechanism, OFF_ENV};
 use sillpin_testsuite::process::PROGRAMS_ENV;
 use std::io;
 use std::path::Path;
--- a/xtask/src/ops/faults/fault.rs
+++ b/xtask/src/ops/faults/fault.rs
@@ -1,6 +1,6 @@
 //! The faults that rounds inject.
 
-use sillpin_core::mechanisms::Mechanism;
+use sillpin_core::switches::Mechanism;
 
 /// A fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display)]
--- a/xtask/src/ops/faults/mod.rs
+++ b/xtask/src/ops/faults/mod.rs
@@ -2,7 +2,7 @@
 //! outside.
 //!
 //! The checkers look at what callers got and what the stand-ins counted, never at the system's own
-//! word. With a mechanism turned off (`sillpin_core::mechanisms`) its checker must fire: then the
+//! word. With a mechanism turned off (`sillpin_core::switches`) its checker must fire: then the
 //! faults of each round are those that the mechanism is meant for.
 
 mod fault;
@@ -14,7 +14,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 pub use report::FaultReport;
-use sillpin_core::mechanisms::Mechanism;
+use sillpin_core::switches::Mechanism;
 use sillpin_core::{Outcome, Revision, TargetKind};
 use sillpin_load::caller::Got;
 use sillpin_load::drive::{self, Row};
