--- a/crates/sillpin-core/src/lib.rs
+++ b/crates/sillpin-core/src/lib.rs
@@ -9,14 +9,14 @@
 //! - [`run`]: priority classes of requests,
 //! - [`target`]: entries and load reports of targets and boxes,
 //! - [`outcome`]: outcomes of requests, and error responses,
-//! - [`switches`]: mechanisms that test builds can disable.
+//! - [`switches`]: switches that disable mechanisms in test builds.
 
 pub mod block;
 pub mod ids;
-pub mod switches;
 mod newtype;
 pub mod outcome;
 pub mod run;
+pub mod switches;
 pub mod target;
 pub mod units;
 
--- a/crates/sillpin-core/src/switches.rs
+++ b/crates/sillpin-core/src/switches.rs
@@ -1,5 +1,5 @@
-//! Disables single mechanisms, to show that the checkers of `cargo xtask faults` detect their
-//! absence.
+//! Switches that disable single mechanisms, to show that the checkers of `cargo xtask faults` detect
+//! their absence.
 //!
 //! This requires the feature `broken`, which only `cargo xtask faults --off` enables; in every other
 //! build [`is_off`] is a constant `false`.
--- a/crates/sillpin-entry/src/front/failure.rs
+++ b/crates/sillpin-entry/src/front/failure.rs
@@ -2,8 +2,8 @@
 
 use crate::place::Refusal;
 use hyper::{Response, StatusCode, header};
-use sillpin_core::switches::{Mechanism, is_off};
 use sillpin_core::outcome::PROBLEM_MEDIA_TYPE;
+use sillpin_core::switches::{Mechanism, is_off};
 use sillpin_core::{Outcome, Problem, RequestId};
 use sillpin_http::Body;
 use std::time::Duration;
