--- a/crates/sillpin-core/src/units.rs
+++ b/crates/sillpin-core/src/units.rs
@@ -55,7 +55,7 @@
 
 /// Error for a share above 100%, or text that is not a share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
-#[display("invalid share: expected hundredths of a percent, a whole number from 0 to 10000")]
+#[display("invalid share: a whole number of hundredths of a percent from 0 to 10000")]
 pub struct InvalidShare;
 
 impl Share {
@@ -124,7 +124,7 @@
 
 /// Error for text that is not a valid rate: not a decimal number, negative, or not finite.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
-#[display("invalid rate: expected a decimal number of requests per second, 0 or more")]
+#[display("invalid rate: a decimal number of requests a second, zero or above")]
 pub struct InvalidRate;
 
 impl RequestRate {
--- a/crates/sillpin-http/src/body.rs
+++ b/crates/sillpin-http/src/body.rs
@@ -86,7 +86,7 @@
 
 /// Error for a write to a body whose reader was dropped.
 #[derive(Debug, Clone, Copy, Display, Error)]
-#[display("the body's reader was dropped")]
+#[display("the reader of the body has gone")]
 pub struct ReaderClosed;
 
 impl BodySender {
