--- a/crates/sillpin-gateway/tests/words.rs
+++ b/crates/sillpin-gateway/tests/words.rs
@@ -1,152 +1,175 @@
-//! What a box knows of targets by their own words.
+//! Tests of the signals that targets send in response headers.
 
 mod common;
 
 use common::{engine, name};
 use rstest::rstest;
 use sillpin_gateway::control::{Life, TargetEntry};
-use sillpin_gateway::dialect::{RetryAfter, TargetWords};
-use sillpin_gateway::place::words::{Change, Said, Words};
-use sillpin_gateway::place::work::LifeHash;
+use sillpin_gateway::dialect::{ResponseSignals, RetryAfter};
+use sillpin_gateway::placement::signals::{SignalChange, SignalObservation, TargetSignals};
+use sillpin_gateway::placement::work::IncarnationHash;
 use std::time::Duration;
 use tokio::time::{Instant, advance};
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn life_of(id: &str, life: u64) -> LifeHash {
-    LifeHash::of(&TargetEntry {
+fn incarnation(id: &str, life: u64) -> IncarnationHash {
+    IncarnationHash::of(&TargetEntry {
         id: name(id),
         life: Some(Life(life)),
         ..engine("i", "za")
     })
 }
 
-fn refusal(retry_after: RetryAfter) -> Said {
-    Said {
+fn refusal(retry_after: RetryAfter) -> SignalObservation {
+    SignalObservation {
         sent: Instant::now(),
-        words: TargetWords {
+        signals: ResponseSignals {
             retry_after: Some(retry_after),
-            ..TargetWords::default()
+            ..ResponseSignals::default()
         },
         success: false,
-        turned_away: true,
+        is_refusal: true,
     }
 }
 
-fn wait(seconds: f64) -> Said {
+fn backoff_of(seconds: f64) -> SignalObservation {
     refusal(RetryAfter::Wait(Duration::from_secs_f64(seconds)))
 }
 
-fn leaving() -> Said {
-    Said {
+fn leaving() -> SignalObservation {
+    SignalObservation {
         sent: Instant::now(),
-        words: TargetWords {
+        signals: ResponseSignals {
             leaving: true,
-            ..TargetWords::default()
+            ..ResponseSignals::default()
         },
         success: true,
-        turned_away: false,
+        is_refusal: false,
     }
 }
 
-fn left(words: &Words, target: LifeHash) -> Option<f64> {
-    let left = words.backoffs.left(target, Instant::now());
-    left.map(|left| left.as_secs_f64())
+fn remaining(signals: &TargetSignals, target: IncarnationHash) -> Option<f64> {
+    let remaining = signals.backoffs.remaining(target, Instant::now());
+    remaining.map(|remaining| remaining.as_secs_f64())
 }
 
 #[rstest]
-#[case::whole(wait(3.0), Some(3.0))]
-#[case::a_fraction(wait(0.25), Some(0.25))]
-#[case::none(wait(0.0), None)]
+#[case::whole(backoff_of(3.0), Some(3.0))]
+#[case::a_fraction(backoff_of(0.25), Some(0.25))]
+#[case::none(backoff_of(0.0), None)]
 #[case::unreadable(refusal(RetryAfter::Unreadable), Some(1.0))]
 #[case::huge(refusal(RetryAfter::Wait(Duration::MAX)), Some(2_592_000.0))]
-#[case::in_a_success(Said { turned_away: false, ..wait(3.0) }, None)]
+#[case::in_a_success(SignalObservation { is_refusal: false, ..backoff_of(3.0) }, None)]
 #[tokio::test(start_paused = true)]
-async fn a_target_wants_no_requests_for_as_long_as_its_refusal_says(
-    #[case] said: Said,
+async fn a_refusal_starts_a_backoff_of_the_requested_length(
+    #[case] observation: SignalObservation,
     #[case] expected: Option<f64>,
 ) {
-    let mut words = Words::default();
-    let target = life_of("i-1", 1);
-    words.take(target, said, Instant::now());
-    assert_eq!(left(&words, target), expected);
-    assert_eq!(left(&words, life_of("i-2", 1)), None);
-    assert_eq!(left(&words, life_of("i-1", 2)), None, "a new life");
+    let mut signals = TargetSignals::default();
+    let target = incarnation("i-1", 1);
+    signals.record(target, observation, Instant::now());
+    assert_eq!(remaining(&signals, target), expected);
+    assert_eq!(remaining(&signals, incarnation("i-2", 1)), None);
+    assert_eq!(
+        remaining(&signals, incarnation("i-1", 2)),
+        None,
+        "another incarnation"
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn of_several_times_the_one_that_ends_last_holds() {
-    let mut words = Words::default();
-    let target = life_of("i-1", 1);
-    let first = words.take(target, wait(3.0), Instant::now());
+async fn the_backoff_that_ends_last_applies() {
+    let mut signals = TargetSignals::default();
+    let target = incarnation("i-1", 1);
+    let first = signals.record(target, backoff_of(3.0), Instant::now());
     assert_eq!(first.len(), 1);
     advance(SECOND).await;
-    assert!(words.take(target, wait(0.5), Instant::now()).is_empty());
-    assert!(words.take(target, wait(0.0), Instant::now()).is_empty());
+    assert!(
+        signals
+            .record(target, backoff_of(0.5), Instant::now())
+            .is_empty()
+    );
+    assert!(
+        signals
+            .record(target, backoff_of(0.0), Instant::now())
+            .is_empty()
+    );
     let unreadable = refusal(RetryAfter::Unreadable);
-    assert!(words.take(target, unreadable, Instant::now()).is_empty());
-    assert_eq!(left(&words, target), Some(2.0));
-    words.take(target, wait(4.0), Instant::now());
-    assert_eq!(left(&words, target), Some(4.0));
+    assert!(
+        signals
+            .record(target, unreadable, Instant::now())
+            .is_empty()
+    );
+    assert_eq!(remaining(&signals, target), Some(2.0));
+    signals.record(target, backoff_of(4.0), Instant::now());
+    assert_eq!(remaining(&signals, target), Some(4.0));
     advance(4 * SECOND).await;
-    assert_eq!(left(&words, target), None);
+    assert_eq!(remaining(&signals, target), None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_time_goes_on_while_the_box_is_suspended() {
-    let mut words = Words::default();
-    let target = life_of("i-1", 1);
-    words.take(target, wait(3.0), Instant::now());
-    words.wake(2 * SECOND);
-    assert_eq!(left(&words, target), Some(1.0));
-    words.wake(2 * SECOND);
-    assert_eq!(left(&words, target), Some(1.0), "aged once");
-    words.wake(4 * SECOND);
-    assert_eq!(left(&words, target), None);
+async fn a_backoff_runs_on_while_the_box_is_suspended() {
+    let mut signals = TargetSignals::default();
+    let target = incarnation("i-1", 1);
+    signals.record(target, backoff_of(3.0), Instant::now());
+    signals.add_suspended_time(2 * SECOND);
+    assert_eq!(remaining(&signals, target), Some(1.0));
+    signals.add_suspended_time(2 * SECOND);
+    assert_eq!(
+        remaining(&signals, target),
+        Some(1.0),
+        "shortened only once"
+    );
+    signals.add_suspended_time(4 * SECOND);
+    assert_eq!(remaining(&signals, target), None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn callers_are_kept_out_until_the_first_target_takes_requests() {
-    let mut words = Words::default();
-    let [a, b, gone] = ["i-1", "i-2", "i-3"].map(|id| life_of(id, 1));
+async fn the_shortest_backoff_of_the_remaining_targets_applies() {
+    let mut signals = TargetSignals::default();
+    let [a, b, gone] = ["i-1", "i-2", "i-3"].map(|id| incarnation(id, 1));
     let now = Instant::now();
-    let kept_out = |words: &Words, targets: &[LifeHash]| {
-        let wait = words.backed_off(targets.iter().copied(), now);
-        wait.map(|wait| wait.as_secs_f64())
+    let backoff = |signals: &TargetSignals, targets: &[IncarnationHash]| {
+        let left = signals.shortest_backoff(targets.iter().copied(), now);
+        left.map(|left| left.as_secs_f64())
     };
-    words.take(a, wait(3.0), now);
-    assert_eq!(kept_out(&words, &[a]), Some(3.0));
-    assert_eq!(kept_out(&words, &[a, b]), None, "one takes requests");
-    assert_eq!(kept_out(&words, &[]), None);
-    words.take(b, wait(0.5), now);
-    words.take(gone, leaving(), now);
-    assert_eq!(kept_out(&words, &[a, b, gone]), Some(0.5));
-    assert_eq!(kept_out(&words, &[gone]), None);
+    signals.record(a, backoff_of(3.0), now);
+    assert_eq!(backoff(&signals, &[a]), Some(3.0));
+    assert_eq!(backoff(&signals, &[a, b]), None, "one accepts requests");
+    assert_eq!(backoff(&signals, &[]), None);
+    signals.record(b, backoff_of(0.5), now);
+    signals.record(gone, leaving(), now);
+    assert_eq!(backoff(&signals, &[a, b, gone]), Some(0.5));
+    assert_eq!(backoff(&signals, &[gone]), None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_life_that_leaves_is_remembered_while_it_is_listed_and_a_while_after() {
-    let mut words = Words::default();
-    let (gone, there) = (life_of("i-1", 1), life_of("i-2", 1));
-    for target in [gone, there] {
-        let changes = words.take(target, leaving(), Instant::now());
-        assert_eq!(changes, [Change::Leaves]);
-        assert!(words.take(target, leaving(), Instant::now()).is_empty());
+async fn a_leaving_incarnation_is_remembered_while_listed_and_for_a_time_after() {
+    let mut signals = TargetSignals::default();
+    let (unlisted, listed) = (incarnation("i-1", 1), incarnation("i-2", 1));
+    for target in [unlisted, listed] {
+        let changes = signals.record(target, leaving(), Instant::now());
+        assert_eq!(changes, [SignalChange::Leaves]);
+        assert!(signals.record(target, leaving(), Instant::now()).is_empty());
     }
-    assert!(!words.leaving.has(life_of("i-1", 2)), "a new life");
+    assert!(
+        !signals.leaving.contains(incarnation("i-1", 2)),
+        "another incarnation"
+    );
     for _ in 0..120 {
         advance(SECOND).await;
-        words.follow(|life| life == there, Instant::now());
-        let is_recent = words.leaving.has(gone);
-        assert!(words.leaving.has(there));
-        if !is_recent {
+        signals.retain_listed(|life| life == listed, Instant::now());
+        let is_remembered = signals.leaving.contains(unlisted);
+        assert!(signals.leaving.contains(listed));
+        if !is_remembered {
             break;
         }
     }
-    assert!(!words.leaving.has(gone));
-    // Its entry lapses in an outage, and comes back.
+    assert!(!signals.leaving.contains(unlisted));
+    // Its entry lapses in an outage, and is listed again.
     advance(20 * SECOND).await;
-    words.follow(|_| false, Instant::now());
-    words.follow(|life| life == there, Instant::now());
-    assert!(words.leaving.has(there));
+    signals.retain_listed(|_| false, Instant::now());
+    signals.retain_listed(|life| life == listed, Instant::now());
+    assert!(signals.leaving.contains(listed));
 }
--- a/crates/sillpin-http/src/body.rs
+++ b/crates/sillpin-http/src/body.rs
@@ -1,4 +1,4 @@
-//! One body type for requests and answers: whole, streamed through a channel, or passed on.
+//! Body type for requests and responses: in memory, streamed through a channel, or forwarded.
 
 use bytes::{Bytes, BytesMut};
 use derive_more::{Display, Error};
@@ -12,32 +12,32 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Frames that may wait in a streamed body before its writer has to wait (back-pressure).
+/// Number of chunks queued in a streamed body before its writer must wait.
 const CHANNEL_FRAMES: usize = 16;
 
-/// A body of a request or an answer.
+/// Body of a request or response.
 pub enum Body {
-    /// All of it is there.
+    /// Complete, in memory.
     Full(Full<Bytes>),
-    /// It is being written by another task.
+    /// Written by another task.
     Channel(mpsc::Receiver<io::Result<Bytes>>),
-    /// It is passed on from a peer, with back-pressure.
+    /// Forwarded from a peer, with back-pressure.
     Incoming(Incoming),
 }
 
 impl Body {
-    /// A body with no bytes.
+    /// Returns an empty body.
     pub fn empty() -> Self {
         Self::full(Bytes::new())
     }
 
-    /// A body whose bytes are all there.
+    /// Returns a body with the given bytes.
     pub fn full(bytes: impl Into<Bytes>) -> Self {
         Self::Full(Full::new(bytes.into()))
     }
 
-    /// A body and the end that writes it. Dropping the sender ends the body cleanly;
-    /// [`BodySender::abort`] ends it so that the reader sees that it was cut.
+    /// Returns a streamed body and its sender. Dropping the sender ends the body normally;
+    /// [`BodySender::abort`] ends it with an error for the reader.
     pub fn channel() -> (BodySender, Self) {
         let (tx, rx) = mpsc::channel(CHANNEL_FRAMES);
         (BodySender { tx }, Self::Channel(rx))
@@ -79,55 +79,55 @@
     }
 }
 
-/// The writing end of a streamed body.
+/// Sender of a streamed body.
 pub struct BodySender {
     tx: mpsc::Sender<io::Result<Bytes>>,
 }
 
-/// The reader of a streamed body has gone.
+/// Error for a write to a body whose reader was dropped.
 #[derive(Debug, Clone, Copy, Display, Error)]
 #[display("the reader of the body has gone")]
-pub struct ReaderGone;
+pub struct ReaderClosed;
 
 impl BodySender {
-    /// Writes one chunk, waiting for the reader when it is slow.
-    pub async fn send(&self, chunk: impl Into<Bytes>) -> Result<(), ReaderGone> {
+    /// Writes a chunk; waits while the queue is full.
+    pub async fn send(&self, chunk: impl Into<Bytes>) -> Result<(), ReaderClosed> {
         let sent = self.tx.send(Ok(chunk.into())).await;
-        sent.map_err(|_| ReaderGone)
+        sent.map_err(|_| ReaderClosed)
     }
 
-    /// Resolves when the reader has gone.
+    /// Returns when the reader has been dropped.
     pub async fn closed(&self) {
         self.tx.closed().await;
     }
 
-    /// Ends the body so that the reader sees that it was cut.
+    /// Ends the body with an error, so that the reader does not treat it as complete.
     pub async fn abort(self, why: &'static str) {
         let _ = self.tx.send(Err(io::Error::other(why))).await;
     }
 }
 
-/// Why a body could not be read whole.
+/// Error for a body that could not be read completely.
 #[derive(Debug, Display, Error)]
 pub enum ReadError {
-    /// It is longer than the limit.
+    /// The body is longer than the limit.
     #[display("body is longer than {limit} bytes")]
     TooLong {
         /// The limit in bytes.
         limit: usize,
     },
-    /// The connection broke, or the sender was cut off.
+    /// The connection broke, or the sender aborted the body.
     #[display("body was cut off")]
     Cut,
-    /// It stopped arriving.
+    /// No data arrived within the idle timeout, or the body took too long in total.
     #[display("body stopped arriving")]
     Silent,
-    /// It is not the JSON document that was expected.
+    /// The body is not the expected JSON document.
     #[display("body is not the expected JSON: {_0}")]
     Json(serde_json::Error),
 }
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a complete body of at most `limit` bytes.
 pub async fn read_limited<B>(body: B, limit: usize) -> Result<Bytes, ReadError>
 where
     B: HttpBody<Data = Bytes>,
@@ -141,35 +141,36 @@
     }
 }
 
-/// Longest time for a whole body: a peer that sends a byte now and then is not waited for without end. Four megabytes take
-/// 3.4 s over 10 Mbit/s.
-const LONGEST_READING: Duration = Duration::from_secs(20);
+/// Longest time for reading a complete body, which bounds the wait for a peer that sends a few bytes
+/// at a time. Four megabytes take 3.4 s over 10 Mbit/s.
+const MAX_READ_TIME: Duration = Duration::from_secs(20);
 
-/// Reads a whole body of at most `limit` bytes for as long as it goes on arriving: it is given up after `silence` without a byte,
-/// not after a time for the whole. What arrives is added to `arrived`.
+/// Reads a complete body of at most `limit` bytes and adds the received bytes to `bytes_received`. The
+/// read fails after `idle_timeout` without data; the total time is only bounded by [`MAX_READ_TIME`].
 ///
-/// A limit on the whole is a limit on size divided by the link's rate: over 10 Mbit/s a configuration of 0.85 MB took 0.9 s, was given up
-/// after 0.8 s and asked for again without end, with 5.9 MB thrown away on one box in 24 s.
-async fn read_while_arriving(
+/// A short limit on the total time would limit the size by the link's rate: over 10 Mbit/s, a
+/// configuration of 0.85 MB took 0.9 s, was cancelled after 0.8 s and requested again indefinitely,
+/// which discarded 5.9 MB on one box in 24 s.
+async fn read_with_idle_timeout(
     body: Incoming,
     limit: usize,
-    silence: Duration,
-    arrived: &AtomicU64,
+    idle_timeout: Duration,
+    bytes_received: &AtomicU64,
 ) -> Result<Bytes, ReadError> {
-    let reading = collect(body, limit, silence, arrived);
-    let read = tokio::time::timeout(LONGEST_READING, reading).await;
+    let reading = collect(body, limit, idle_timeout, bytes_received);
+    let read = tokio::time::timeout(MAX_READ_TIME, reading).await;
     read.unwrap_or(Err(ReadError::Silent))
 }
 
 async fn collect(
     mut body: Incoming,
     limit: usize,
-    silence: Duration,
-    arrived: &AtomicU64,
+    idle_timeout: Duration,
+    bytes_received: &AtomicU64,
 ) -> Result<Bytes, ReadError> {
     let mut read = BytesMut::new();
     loop {
-        let frame = tokio::time::timeout(silence, body.frame()).await;
+        let frame = tokio::time::timeout(idle_timeout, body.frame()).await;
         let frame = frame.map_err(|_| ReadError::Silent)?;
         let Some(frame) = frame else {
             return Ok(read.freeze());
@@ -178,7 +179,7 @@
         let Some(data) = frame.data_ref() else {
             continue;
         };
-        arrived.fetch_add(data.len() as u64, Ordering::Relaxed);
+        bytes_received.fetch_add(data.len() as u64, Ordering::Relaxed);
         if read.len() + data.len() > limit {
             return Err(ReadError::TooLong { limit });
         }
@@ -186,18 +187,18 @@
     }
 }
 
-/// Like [`read_while_arriving`], for a JSON document.
-pub async fn read_json_while_arriving<T: DeserializeOwned>(
+/// Like [`read_with_idle_timeout`], for a JSON document.
+pub async fn read_json_with_idle_timeout<T: DeserializeOwned>(
     body: Incoming,
     limit: usize,
-    silence: Duration,
-    arrived: &AtomicU64,
+    idle_timeout: Duration,
+    bytes_received: &AtomicU64,
 ) -> Result<T, ReadError> {
-    let text = read_while_arriving(body, limit, silence, arrived).await?;
+    let text = read_with_idle_timeout(body, limit, idle_timeout, bytes_received).await?;
     serde_json::from_slice(&text).map_err(ReadError::Json)
 }
 
-/// Reads a whole body of at most `limit` bytes as a JSON document.
+/// Reads a complete body of at most `limit` bytes as a JSON document.
 pub async fn read_json<T, B>(body: B, limit: usize) -> Result<T, ReadError>
 where
     T: DeserializeOwned,
--- a/crates/sillpin-keeper/src/directory/table.rs
+++ b/crates/sillpin-keeper/src/directory/table.rs
@@ -1,9 +1,9 @@
 //! The prompts of the owned roots. No I/O: the clock is passed in.
 
 use sillpin_core::{BlockName, Generation, TargetId};
-use sillpin_policy::keeping::{KeepCandidate, ReturnGaps, should_keep, worth};
+use sillpin_policy::keeping::{KeepCandidate, ReturnGaps, retention_value, should_keep};
 use sillpin_policy::set::KeepingPolicy;
-use sillpin_rpc::directory::{BlockHints, HolderChange, KeptObject, PromptUse};
+use sillpin_rpc::directory::{BlockHints, HolderChange, PromptUse, StoredObject};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -40,7 +40,7 @@
 #[derive(Default)]
 struct Prompt {
     holders: HashMap<TargetId, HashSet<BlockName>>,
-    kept: HashMap<BlockName, KeptObject>,
+    kept: HashMap<BlockName, StoredObject>,
     exporting: HashSet<BlockName>,
     used: Option<Instant>,
 }
@@ -122,14 +122,14 @@
         self.make_room();
         let prompt = self.prompts.entry(root).or_default();
         match prompt.used.replace(now) {
-            Some(before) => self.gaps.saw_return(now - before),
-            None => self.gaps.saw_first(),
+            Some(before) => self.gaps.record_return(now - before),
+            None => self.gaps.record_first_use(),
         }
         let held = prompt.holders.entry(used.target).or_default();
         held.extend(used.blocks.iter().copied());
         let candidate = KeepCandidate {
             blocks: used.blocks.len() as u32,
-            away: Duration::ZERO,
+            idle: Duration::ZERO,
         };
         if !to_export || !should_keep(policy, &self.gaps, candidate) {
             return None;
@@ -154,7 +154,7 @@
     }
 
     /// Objects were published. Of two of the same block the first stays.
-    pub fn kept(&mut self, root: BlockName, objects: Vec<KeptObject>, now: Instant) {
+    pub fn kept(&mut self, root: BlockName, objects: Vec<StoredObject>, now: Instant) {
         self.unpublished.retain(|_, at| now - *at < UNPUBLISHED_FOR);
         let prompt = self.prompts.entry(root).or_default();
         for object in objects {
@@ -199,8 +199,8 @@
         for (root, prompt) in self.prompts.iter().filter(|(root, _)| mine(root)) {
             let objects = prompt.kept.values().filter(|o| o.store == *store).count();
             if objects > 0 {
-                let away = prompt.used.map_or(Duration::MAX, |used| now - used);
-                candidates.push((worth(&self.gaps, away), *root));
+                let idle = prompt.used.map_or(Duration::MAX, |used| now - used);
+                candidates.push((retention_value(&self.gaps, idle), *root));
                 known += objects;
             }
         }
@@ -224,7 +224,7 @@
     fn free_of(&self, root: &BlockName, store: &TargetId, most: usize) -> Option<FreeJob> {
         let prompt = self.prompts.get(root)?;
         let here = prompt.kept.values().filter(|o| o.store == *store);
-        let objects: Vec<&KeptObject> = here.take(most).collect();
+        let objects: Vec<&StoredObject> = here.take(most).collect();
         Some(FreeJob {
             root: *root,
             addr: objects.first()?.addr,
--- a/crates/sillpin-platform/src/call.rs
+++ b/crates/sillpin-platform/src/call.rs
@@ -1,10 +1,10 @@
-//! Calls of a platform's service over HTTP and JSON, whatever its paths and documents.
+//! HTTP and JSON calls of a platform's service, independent of its paths and documents.
 
 use crate::{PlatformError, PlatformFault};
 use hyper::{HeaderMap, Method, StatusCode};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use sillpin_http::client::{Answer, Call, CallFault};
+use sillpin_http::client::{Call, CallFault, ResponseReader};
 use sillpin_http::{CallError, Client, Sent};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,119 +12,121 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Stands for no document.
+/// Request without a JSON body.
 pub const NO_BODY: Option<&()> = None;
 
-/// Step and outcome of calls.
-type Kind = (&'static str, &'static str);
+/// Step and outcome of a call.
+type StepAndOutcome = (&'static str, &'static str);
 
-/// Calls of a service so far, by step and outcome; clones share them.
+/// Counts the calls of a service by step and outcome; shared by clones.
 #[derive(Debug, Clone, Default)]
 pub struct CallCounts {
-    counts: Arc<Mutex<BTreeMap<Kind, Tally>>>,
+    counts: Arc<Mutex<BTreeMap<StepAndOutcome, CallTotals>>>,
 }
 
-/// Calls that ended alike.
+/// Totals of the calls with the same step and outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Tally {
-    /// How many.
+pub struct CallTotals {
+    /// Number of calls.
     pub calls: u64,
-    /// Bytes of their answers that arrived, those of answers that were given up midway included.
+    /// Bytes received in their responses, including incomplete ones.
     pub bytes: u64,
 }
 
-/// Calls of one step that ended alike.
+/// Totals of one step and outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallCount {
-    /// What was being done.
+    /// The operation.
     pub step: &'static str,
-    /// How the calls ended.
+    /// Name of the outcome.
     pub outcome: &'static str,
-    /// How many, and how much they brought.
-    pub tally: Tally,
+    /// Number of calls and bytes received.
+    pub totals: CallTotals,
 }
 
 impl CallCounts {
     fn count(&self, step: &'static str, outcome: &'static str, bytes: u64) {
         let mut counts = self.counts.lock().unwrap_or_else(|e| e.into_inner());
-        let tally = counts.entry((step, outcome)).or_default();
-        tally.calls += 1;
-        tally.bytes += bytes;
+        let totals = counts.entry((step, outcome)).or_default();
+        totals.calls += 1;
+        totals.bytes += bytes;
     }
 
-    /// All counts, in the order of steps.
+    /// Returns all counts, ordered by step and outcome.
     pub fn all(&self) -> Vec<CallCount> {
         let counts = self.counts.lock().unwrap_or_else(|e| e.into_inner());
-        let count = |(&(step, outcome), &tally)| CallCount {
+        let count = |(&(step, outcome), &totals)| CallCount {
             step,
             outcome,
-            tally,
+            totals,
         };
         counts.iter().map(count).collect()
     }
 }
 
-/// Calls one service and turns what goes wrong into the platform's faults.
+/// Client of one service that maps errors to [`PlatformFault`] and counts its calls.
 #[derive(Clone)]
-pub struct Caller {
-    /// Connections.
+pub struct ServiceClient {
+    /// HTTP client with its connections.
     pub client: Client,
-    /// The service.
+    /// Address of the service.
     pub addr: SocketAddr,
-    /// Longest wait for an answer to begin, beyond what a call asks the service to wait, and for each next part of it.
+    /// Longest wait for the first byte of a response, in addition to the call's own wait time, and
+    /// between its parts.
     pub timeout: Duration,
-    /// What each status other than 2xx means.
+    /// Maps a status other than 2xx to a fault.
     pub classify: fn(StatusCode) -> PlatformFault,
-    /// Counts the calls.
+    /// Counters of the calls.
     pub counts: CallCounts,
 }
 
-/// Outcome of a call whose caller did not wait for its end.
+/// Outcome of a call that was dropped before it ended.
 const ABANDONED: &str = "abandoned";
 
-/// Counts a call once it is over, also one that is dropped: the service has it all the same.
-struct Counting<'a> {
+/// Counts a call on drop, so that a call dropped before its end counts too: the service received it
+/// nevertheless.
+struct CountOnDrop<'a> {
     counts: &'a CallCounts,
     step: &'static str,
     outcome: &'static str,
-    arrived: &'a AtomicU64,
+    bytes_received: &'a AtomicU64,
 }
 
-impl Drop for Counting<'_> {
+impl Drop for CountOnDrop<'_> {
     fn drop(&mut self) {
-        let bytes = self.arrived.load(Ordering::Relaxed);
+        let bytes = self.bytes_received.load(Ordering::Relaxed);
         self.counts.count(self.step, self.outcome, bytes);
     }
 }
 
-/// A call that the service may answer late.
-pub struct Waiting<F = fn()> {
-    /// How long it may wait before it answers.
+/// Options of a call whose response the service may delay.
+pub struct LongPoll<F = fn()> {
+    /// Longest time by which the service may delay the response.
     pub wait: Duration,
-    /// Called when its answer begins to arrive.
-    pub arriving: F,
+    /// Called when the response begins to arrive.
+    pub on_response: F,
 }
 
-impl Waiting {
-    /// The service answers at once.
-    pub fn none() -> Self {
+impl LongPoll {
+    /// Options of a call that the service handles immediately.
+    pub fn immediate() -> Self {
         Self {
             wait: Duration::ZERO,
-            arriving: || (),
+            on_response: || (),
         }
     }
 }
 
-/// An answer of the service.
-pub struct Answered<R> {
-    /// Its headers.
+/// A response of the service.
+pub struct ServiceResponse<R> {
+    /// The response headers.
     pub head: HeaderMap,
-    /// Its document.
+    /// The decoded JSON document.
     pub doc: R,
 }
 
-impl Caller {
-    /// Calls the service.
+impl ServiceClient {
+    /// Calls the service and decodes its JSON response.
     pub async fn call<T: Serialize, R: DeserializeOwned>(
         &self,
         step: &'static str,
@@ -132,33 +134,35 @@
         path: &str,
         doc: Option<&T>,
     ) -> Result<R, PlatformError> {
-        self.call_for(step, method, path, doc, Waiting::none())
+        self.long_poll(step, method, path, doc, LongPoll::immediate())
             .await
     }
 
-    /// Calls the service, which may wait before it answers.
-    pub async fn call_for<T: Serialize, R: DeserializeOwned>(
+    /// Like [`ServiceClient::call`], for a call whose response the service may delay.
+    pub async fn long_poll<T: Serialize, R: DeserializeOwned>(
         &self,
         step: &'static str,
         method: Method,
         path: &str,
         doc: Option<&T>,
-        waiting: Waiting<impl FnOnce() + Send>,
+        poll: LongPoll<impl FnOnce() + Send>,
     ) -> Result<R, PlatformError> {
-        let answered = self.answered(step, method, path, doc, waiting).await?;
-        Ok(answered.doc)
+        let response = self
+            .long_poll_with_headers(step, method, path, doc, poll)
+            .await?;
+        Ok(response.doc)
     }
 
-    /// The same for callers that read the answer's headers.
-    pub async fn answered<T: Serialize, R: DeserializeOwned>(
+    /// Like [`ServiceClient::long_poll`], but also returns the response headers.
+    pub async fn long_poll_with_headers<T: Serialize, R: DeserializeOwned>(
         &self,
         step: &'static str,
         method: Method,
         path: &str,
         doc: Option<&T>,
-        waiting: Waiting<impl FnOnce() + Send>,
-    ) -> Result<Answered<R>, PlatformError> {
-        let timeout = self.timeout + waiting.wait;
+        poll: LongPoll<impl FnOnce() + Send>,
+    ) -> Result<ServiceResponse<R>, PlatformError> {
+        let timeout = self.timeout + poll.wait;
         let call = Call {
             step,
             peer: self.addr,
@@ -166,43 +170,45 @@
             path,
             timeout,
         };
-        let arrived = AtomicU64::new(0);
-        let mut counting = Counting {
+        let bytes_received = AtomicU64::new(0);
+        let mut counting = CountOnDrop {
             counts: &self.counts,
             step,
             outcome: ABANDONED,
-            arrived: &arrived,
+            bytes_received: &bytes_received,
         };
-        let reply = self.answer(call, doc, waiting.arriving, &arrived).await;
-        let reply = reply.map_err(|e| self.fault(step, self.meaning(&e)));
+        let reply = self
+            .exchange(call, doc, poll.on_response, &bytes_received)
+            .await;
+        let reply = reply.map_err(|e| self.fault(step, self.classify_error(&e)));
         counting.outcome = reply
             .as_ref()
             .map_or_else(|e| e.fault.name(), |_| "answered");
         reply
     }
 
-    async fn answer<T: Serialize, R: DeserializeOwned>(
+    async fn exchange<T: Serialize, R: DeserializeOwned>(
         &self,
         call: Call<'_>,
         doc: Option<&T>,
-        arriving: impl FnOnce(),
-        arrived: &AtomicU64,
-    ) -> Result<Answered<R>, CallError> {
+        on_response: impl FnOnce(),
+        bytes_received: &AtomicU64,
+    ) -> Result<ServiceResponse<R>, CallError> {
         let (step, peer) = (call.step, call.peer);
         let resp = self.client.call(call, doc).await?;
-        arriving();
+        on_response();
         let head = resp.headers().clone();
-        let answer = Answer {
+        let reader = ResponseReader {
             step,
             peer,
-            silence: self.timeout,
-            arrived,
+            idle_timeout: self.timeout,
+            bytes_received,
         };
-        let doc = answer.read_json(resp).await?;
-        Ok(Answered { head, doc })
+        let doc = reader.read_json(resp).await?;
+        Ok(ServiceResponse { head, doc })
     }
 
-    fn meaning(&self, e: &CallError) -> PlatformFault {
+    fn classify_error(&self, e: &CallError) -> PlatformFault {
         match (&e.fault, e.sent) {
             (CallFault::Status { status, .. }, _) => (self.classify)(*status),
             (_, Sent::No) => PlatformFault::Unreachable,
--- a/crates/sillpin-policy/tests/policy.rs
+++ b/crates/sillpin-policy/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Properties of the decisions.
+//! Tests of the properties of the decisions.
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -8,7 +8,7 @@
 use sillpin_policy::arms::{ArmShare, arm_for};
 use sillpin_policy::guard::{ArmSample, Breach, Guard};
 use sillpin_policy::keeping::ReturnGaps;
-use sillpin_policy::placement::{Candidate, Holding, Kept, Reason, Request, rank};
+use sillpin_policy::placement::{Candidate, HeldBlocks, Kept, Reason, Request, rank};
 use sillpin_policy::rendezvous::{CandidateHash, top};
 use sillpin_policy::set::{PlacementKind, PlacementPolicy};
 use std::time::Duration;
@@ -26,7 +26,7 @@
     names.map(candidate).collect()
 }
 
-fn request(home: u64, blocks: u32, holders: &[(usize, Holding)]) -> Request<'_> {
+fn request(home: u64, blocks: u32, holders: &[(usize, HeldBlocks)]) -> Request<'_> {
     Request {
         home,
         blocks,
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_lost_candidate_moves_only_its_own_keys() {
+fn a_removed_candidate_moves_only_its_own_keys() {
     for key in 0..KEYS {
         let before = winner(key, 10, |_| 1.0);
         let after = winner(key, 9, |_| 1.0);
@@ -77,14 +77,14 @@
     let home = winner(7, 20, |_| 1.0);
     let holder = (home + 1) % 20;
     all[holder].wait = Duration::from_millis(holder_wait_ms);
-    let holders = [(holder, Holding { blocks: held })];
+    let holders = [(holder, HeldBlocks { blocks: held })];
     let req = request(7, 10, &holders);
     let ranked = rank(&policy, &all, &req, &mut ChaCha8Rng::seed_from_u64(1));
     assert_eq!(ranked[0].reason, expected);
 }
 
 #[test]
-fn kept_blocks_are_fetched_only_when_quicker() {
+fn stored_blocks_are_fetched_only_when_quicker() {
     let all = candidates(1);
     let policy = PlacementPolicy::default();
     for (fetch_ms, fetched) in [(1, 6), (30, 0)] {
@@ -163,26 +163,31 @@
 }
 
 #[test]
-fn return_gaps_are_learnt() {
+fn return_gaps_estimate_the_chance_of_a_return() {
     let mut gaps = ReturnGaps::default();
     for _ in 0..100 {
-        gaps.saw_first();
-        gaps.saw_return(Duration::from_secs(60));
+        gaps.record_first_use();
+        gaps.record_return(Duration::from_secs(60));
     }
     assert!(gaps.chance_of_return(Duration::from_secs(1)) > 0.45);
     assert!(gaps.chance_of_return(Duration::from_secs(600)) < 0.01);
 }
 
-/// Requests in a queue, by a name and a number.
-type Named = FairQueue<(&'static str, u32)>;
+/// Queue of requests that are identified by a name and a number.
+type NumberedQueue = FairQueue<(&'static str, u32)>;
 
-fn push_as(queue: &mut Named, class: PriorityClass, org: &str, request: (&'static str, u32)) {
+fn push_as(
+    queue: &mut NumberedQueue,
+    class: PriorityClass,
+    org: &str,
+    request: (&'static str, u32),
+) {
     queue.push(class, org.parse().unwrap(), 100, Cost(10), request);
 }
 
 /// A queue in which one organisation has `count` normal requests.
-fn noisy_queue(count: u32) -> Named {
-    let mut queue = Named::default();
+fn noisy_queue(count: u32) -> NumberedQueue {
+    let mut queue = NumberedQueue::default();
     for number in 0..count {
         push_as(
             &mut queue,
@@ -195,7 +200,7 @@
 }
 
 #[test]
-fn a_noisy_organisation_waits_behind_itself() {
+fn a_noisy_organisation_delays_only_itself() {
     let mut queue = noisy_queue(100);
     push_as(&mut queue, PriorityClass::Normal, "quiet", ("quiet", 0));
     push_as(&mut queue, PriorityClass::Urgent, "noisy", ("urgent", 0));
@@ -217,7 +222,7 @@
 }
 
 #[test]
-fn a_request_that_goes_ahead_does_not_put_later_ones_behind_its_organisation() {
+fn a_request_served_early_does_not_delay_other_organisations() {
     let mut queue = noisy_queue(50);
     let last = queue.tickets().last().unwrap();
     assert_eq!(queue.take(last), Some(("noisy", 49)));
--- a/crates/sillpin-settings/tests/settings.rs
+++ b/crates/sillpin-settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The checker names every fault with file, line, key and what is accepted.
+//! Faults are reported with file, line, key and accepted values; sources override each other in order.
 
 use sillpin_settings::{Faults, Key, Kind, Loaded, Schema, Section, Sources, load};
 
@@ -34,14 +34,14 @@
 }
 
 #[test]
-fn every_fault_is_named() {
+fn every_fault_is_reported() {
     let text = "[box]\nid = Box One\nlisten = nowhere\ncolour = red\n[fleet]\nlag = 3\nlag = 10\n";
     let faults = read(text, &["box.size=1"], &[]).err().unwrap();
     assert_eq!(
         faults.to_string(),
         "settings have 6 fault(s)
   box.ini:4: unknown key colour in [box]; accepted: id, listen
-  box.ini:7: [fleet] lag stands twice
+  box.ini:7: [fleet] lag is set twice
   --set box.size=1: unknown; accepted: section.key=value of a known key
   box.ini:2: [box] id: \"Box One\" is not accepted; accepted: a name of a-z, 0-9, '.', '_' and '-'
   box.ini:3: [box] listen: \"nowhere\" is not accepted; accepted: an IP address and port, such as 127.0.0.1:8080
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn flag_beats_environment_beats_file_beats_default() {
+fn flag_overrides_environment_overrides_file_overrides_default() {
     let text = "[box]\nid = a\n[fleet]\nsecret = s3\nlag = 4\n";
     let env = &[("SILLPIN_BOX_ID", "b"), ("SILLPIN_FLEET_LAG", "5")];
     let loaded = read(text, &["fleet.lag=6"], env).ok().unwrap();
--- a/crates/sillpin-telemetry/src/program.rs
+++ b/crates/sillpin-telemetry/src/program.rs
@@ -1,4 +1,4 @@
-//! What a program shows of itself, set up in one place, and its stop.
+//! Sets up the telemetry of a program and handles its signals.
 
 use crate::logs::{self, Format, Output};
 use crate::metrics::Metrics;
@@ -12,18 +12,18 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio_util::sync::CancellationToken;
 
-/// Settings of traces, the same for every program.
+/// Settings section for traces, common to all programs.
 pub const TRACES_SECTION: Section = Section {
     name: "telemetry",
     keys: &[Key::optional(
         "collector",
         Kind::AddrList,
         "",
-        "Collector of traces (OTLP over HTTP); empty: none",
+        "Address of the trace collector (OTLP over HTTP); empty: traces are not sent",
     )],
 };
 
-/// Settings of the log, the same for every program.
+/// Settings section for the log, common to all programs.
 pub const LOG_SECTION: Section = Section {
     name: "log",
     keys: &[
@@ -31,78 +31,80 @@
             "format",
             Kind::OneOf(logs::FORMATS),
             "json",
-            "Form of the log",
+            "Output format of the log",
         ),
         Key::optional(
             "level",
             Kind::OneOf(logs::LEVELS),
             "info",
-            "Lowest level logged",
+            "Lowest level that is logged",
         ),
     ],
 };
 
-/// What a program shows of itself.
+/// Log, metrics and traces of a program.
 pub struct Telemetry {
-    /// Log.
+    /// Root logger.
     pub log: Logger,
     /// Metrics.
     pub metrics: Metrics,
-    /// Spans.
+    /// Tracer.
     pub traces: Traces,
 }
 
-/// Whose telemetry it is and where it goes.
+/// Identity of a program for its telemetry.
 pub struct Identity<'a> {
-    /// The program.
+    /// Name of the program.
     pub program: &'static str,
-    /// Its box.
+    /// Id of its box.
     pub box_id: &'a str,
     /// Its availability zone.
     pub zone: &'a str,
-    /// Collector of traces.
+    /// Address of the OTLP collector for traces, if any.
     pub collector: Option<SocketAddr>,
 }
 
 impl Telemetry {
-    /// Sets up log, metrics and traces, within the runtime; the guard writes out the log's rest.
+    /// Sets up log, metrics and traces; must be called within a tokio runtime. The guard flushes the
+    /// log on drop.
     pub fn start(
-        me: &Identity<'_>,
+        identity: &Identity<'_>,
         format: Format,
         level: Level,
     ) -> Result<(Self, AsyncGuard), Box<dyn Error>> {
-        Self::start_with(me, format, level, Output::Stderr)
+        Self::start_with(identity, format, level, Output::Stderr)
     }
 
-    /// Like [`Telemetry::start`], with the log as [`LOG_SECTION`] is set and written to `output`.
-    pub fn start_as_set(
-        me: &Identity<'_>,
+    /// Like [`Telemetry::start`], with the log format and level from the [`LOG_SECTION`] settings.
+    pub fn start_from_settings(
+        identity: &Identity<'_>,
         loaded: &Loaded,
         output: Output,
     ) -> Result<(Self, AsyncGuard), Box<dyn Error>> {
         let format = loaded.get(LOG_SECTION.name, "format")?;
         let level = loaded.get(LOG_SECTION.name, "level")?;
-        Self::start_with(me, format, level, output)
+        Self::start_with(identity, format, level, output)
     }
 
     fn start_with(
-        me: &Identity<'_>,
+        identity: &Identity<'_>,
         format: Format,
         level: Level,
         output: Output,
     ) -> Result<(Self, AsyncGuard), Box<dyn Error>> {
-        let (log, guard) = logs::logger(output, format, level, me.program);
-        let log = log.new(o!("box" => me.box_id.to_owned(), "zone" => me.zone.to_owned()));
+        let (log, guard) = logs::logger(output, format, level, identity.program);
+        let log =
+            log.new(o!("box" => identity.box_id.to_owned(), "zone" => identity.zone.to_owned()));
         let telemetry = Self {
             log,
-            metrics: Metrics::new(me.program, me.box_id)?,
-            traces: Traces::new(me.program, me.box_id, me.collector)?,
+            metrics: Metrics::new(identity.program, identity.box_id)?,
+            traces: Traces::new(identity.program, identity.box_id, identity.collector)?,
         };
         Ok((telemetry, guard))
     }
 }
 
-/// Cancelled by the first SIGTERM; further ones change nothing.
+/// Returns a token that the first SIGTERM cancels; further ones are ignored.
 pub fn stop_on_sigterm() -> io::Result<CancellationToken> {
     let stop = CancellationToken::new();
     let mut term = signal(SignalKind::terminate())?;
@@ -115,7 +117,7 @@
     Ok(stop)
 }
 
-/// A stream of SIGHUPs, which would end the process if nobody listened.
-pub fn hangups() -> io::Result<Signal> {
+/// Returns a stream of SIGHUP signals; without a handler, SIGHUP ends the process.
+pub fn sighup_signals() -> io::Result<Signal> {
     signal(SignalKind::hangup())
 }
