--- a/crates/sillpin-entry/benches/decision.rs
+++ b/crates/sillpin-entry/benches/decision.rs
@@ -1,8 +1,8 @@
-//! Time of one whole decision of an entry, by number of engines.
+//! Measures the time of one complete placement decision, by number of engines.
 
 #![allow(
     missing_docs,
-    reason = "the macro of the library writes a function without"
+    reason = "criterion's macro generates a function without documentation"
 )]
 
 #[path = "../tests/support/engine.rs"]
--- a/crates/sillpin-entry/src/app.rs
+++ b/crates/sillpin-entry/src/app.rs
@@ -1,4 +1,4 @@
-//! What every request needs.
+//! The state that all requests share.
 
 use crate::arms::ArmsHandle;
 use crate::keeper_link::KeeperLink;
@@ -14,40 +14,40 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-/// What every request needs; clones share it.
+/// State shared by all requests; clones refer to the same state.
 #[derive(Clone)]
 pub struct App<E> {
     /// Settings.
     pub cfg: Arc<EntryConfig>,
-    /// What is known of the fleet.
+    /// Latest snapshot of the fleet.
     pub snapshot: watch::Receiver<Arc<Snapshot>>,
-    /// Places requests.
+    /// Chooses an engine for each request.
     pub placer: PlacerHandle,
-    /// The keeper of this box.
+    /// Connection to the keeper of this box.
     pub keeper: KeeperLink,
-    /// Speaks to engines.
+    /// Client for engines.
     pub engine: E,
-    /// Speaks to plain services.
+    /// Client for plain services.
     pub client: Client,
-    /// What arms measure.
+    /// Receives the measurements for rollout arms.
     pub arms: ArmsHandle,
-    /// Instruments.
+    /// Metrics.
     pub metrics: EntryMetrics,
-    /// Spans.
+    /// Creates spans.
     pub traces: Traces,
-    /// Log.
+    /// Logger.
     pub log: Logger,
-    /// Cancelled when the entry stops.
+    /// Cancelled when the entry begins to stop.
     pub draining: CancellationToken,
 }
 
 impl<E: Engine> App<E> {
-    /// The last snapshot.
+    /// Returns the latest snapshot.
     pub fn snapshot(&self) -> Arc<Snapshot> {
         self.snapshot.borrow().clone()
     }
 
-    /// Whether it has an accepted bundle and does not stop.
+    /// Returns whether a bundle is in force and the entry is not stopping.
     pub fn is_ready(&self) -> bool {
         self.snapshot.borrow().in_force.is_some() && !self.draining.is_cancelled()
     }
--- a/crates/sillpin-entry/src/arms.rs
+++ b/crates/sillpin-entry/src/arms.rs
@@ -1,8 +1,9 @@
-//! What each arm of a rollout measures in this entry, and its guard.
+//! Measures the arms of a rollout in this entry and checks them against the bundle's guard.
 //!
-//! Sums since the revision came into force go to the keeper for `sillpin bundle compare`. The guard
-//! compares each arm with the control arm over the last windows and, on a breach, tells
-//! the keeper to stop the arm in this zone: its prompts go back to the control arm.
+//! Sums since the revision came into force are reported to the keeper for `sillpin bundle compare`.
+//! The guard compares each arm with the control arm over the current and the previous window. On a
+//! breach, the keeper is requested to stop the arm in this zone, and the arm's prompts return to
+//! the control arm.
 
 use crate::keeper_link::{KeeperLink, News};
 use crate::metrics::PromptWork;
@@ -18,55 +19,55 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// Samples that may wait; more are dropped.
+/// Maximum number of queued samples; further ones are dropped.
 const QUEUE_LEN: usize = 4_096;
 
-/// Length of a window; an arm is judged over the current one and the one before.
+/// Length of a window. An arm is judged over the current window and the previous one.
 const WINDOW: Duration = Duration::from_secs(20);
 
-/// Time between two looks of the guard.
+/// Interval at which the guard checks the arms.
 const JUDGE_EVERY: Duration = Duration::from_millis(500);
 
-/// Time between two reports to the keeper.
+/// Interval of the reports to the keeper.
 const REPORT_EVERY: Duration = Duration::from_secs(2);
 
-/// Significant digits of the histograms.
+/// Significant digits that the histograms keep.
 const DIGITS: u8 = 2;
 
-/// One request of an arm.
+/// The result of one request that was assigned to an arm.
 #[derive(Debug, Clone)]
 pub struct Sample {
-    /// The bundle's revision.
+    /// Revision of the bundle.
     pub revision: Revision,
     /// The arm.
     pub arm: ArmName,
-    /// What the whole answer took; `None` if there was none.
+    /// Measurements of a complete response; `None` if the request failed.
     pub answered: Option<Answered>,
 }
 
-/// What a whole answer took.
+/// Measurements of a complete response.
 #[derive(Debug, Clone, Copy)]
 pub struct Answered {
     /// Time to first token.
     pub first_token: Duration,
-    /// Its prompt work.
+    /// Where the tokens of the prompt came from.
     pub work: PromptWork,
 }
 
-/// Takes samples.
+/// Sends samples to the task that sums them.
 #[derive(Clone)]
 pub struct ArmsHandle {
     tx: mpsc::Sender<Sample>,
 }
 
 impl ArmsHandle {
-    /// Counts a request; dropped when too many wait.
+    /// Adds a sample; it is dropped if the queue is full.
     pub fn count(&self, sample: Sample) {
         let _ = self.tx.try_send(sample);
     }
 }
 
-/// Starts the task.
+/// Starts the task that sums samples, checks the guard and reports to the keeper.
 pub fn start(
     cfg: &EntryConfig,
     snapshots: watch::Receiver<Arc<Snapshot>>,
@@ -120,7 +121,7 @@
     }
 }
 
-/// A histogram of microseconds up to ten minutes.
+/// Returns a histogram of microseconds up to ten minutes.
 fn micros_histogram() -> Histogram<u64> {
     const LONGEST: u64 = 600_000_000;
     let mut histogram = Histogram::new_with_bounds(1, LONGEST, DIGITS);
@@ -177,7 +178,7 @@
         self.now.entry(sample.arm).or_default().count(answered);
     }
 
-    /// Tells the keeper what the arms have measured so far.
+    /// Reports the sums since the revision came into force to the keeper.
     fn report(&self) {
         if self.whole.is_empty() {
             return;
--- a/crates/sillpin-entry/src/front/auth.rs
+++ b/crates/sillpin-entry/src/front/auth.rs
@@ -1,14 +1,14 @@
-//! From a caller's key to its organisation. Only hashes of keys are known here.
+//! Maps a caller's API key to its organisation. Only hashes of the keys are stored.
 
 use super::Failure;
 use crate::snapshot::Snapshot;
 use hyper::{HeaderMap, StatusCode, header};
 use sillpin_core::OrgId;
 
-/// The organisation whose key the request carries.
+/// Returns the organisation whose key the request carries.
 ///
-/// The key is hashed before it is looked up, so the time taken tells nothing of how much of a guess
-/// was right; and the hashes are compared by a function that takes the same time for all inputs.
+/// The key is hashed before the lookup, so the response time does not reveal how much of a guessed
+/// key was right. The hashes are compared in constant time.
 pub fn organisation(headers: &HeaderMap, snapshot: &Snapshot) -> Result<OrgId, Failure> {
     let refused = |detail: &str| {
         Failure::refused(
--- a/crates/sillpin-entry/src/front/body.rs
+++ b/crates/sillpin-entry/src/front/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests, read whole within limits.
+//! Reads complete request bodies within limits of length and time.
 
 use super::Failure;
 use bytes::Bytes;
@@ -8,11 +8,11 @@
 use sillpin_http::{ReadError, read_limited};
 use std::time::Duration;
 
-/// Most bytes and longest time for which the rest of a refused body is read.
+/// Limits on the bytes and time spent on reading the rest of a refused body.
 const DISCARD_LEN: usize = 64 << 20;
 const DISCARD_TIME: Duration = Duration::from_secs(5);
 
-/// Reads a body of at most `limit` bytes that arrives within `time`.
+/// Reads a complete body of at most `limit` bytes that arrives within `time`.
 pub async fn read(body: Incoming, limit: usize, time: Duration) -> Result<Bytes, Failure> {
     let too_long = || Failure::too_long(format!("the body is longer than {limit} bytes"));
     if body.size_hint().lower() > limit as u64 {
@@ -36,8 +36,8 @@
     }
 }
 
-/// Reads on and throws away, within bounds, so that a caller that is still sending gets to read its
-/// answer instead of a connection reset.
+/// Reads and discards the rest of a body, within limits, so that a caller that is still sending
+/// receives its response instead of a connection reset.
 async fn discard(mut body: Incoming) {
     let mut left = DISCARD_LEN;
     let work = async {
--- a/crates/sillpin-entry/src/front/documents.rs
+++ b/crates/sillpin-entry/src/front/documents.rs
@@ -1,14 +1,14 @@
-//! The callers' documents: OpenAI-style completions and chat completions.
+//! The JSON documents of callers: OpenAI-style completions and chat completions.
 
 use super::Failure;
 use serde::{Deserialize, Serialize};
 use sillpin_core::{AdapterId, ModelId, RequestId, Revision, WeightVersion};
 use sillpin_targets::RunSummary;
 
-/// Tokens generated when the request does not say.
+/// Number of tokens generated if the request does not set `max_tokens`.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// Which documents a request speaks.
+/// The API whose documents a request uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Dialect {
     /// `/v1/completions`
@@ -40,27 +40,27 @@
     content: String,
 }
 
-/// What a caller asks of a model.
+/// A parsed request for a model.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ModelRequest {
-    /// The documents that it speaks.
+    /// The API of the request.
     pub dialect: Dialect,
     /// The model.
     pub model: ModelId,
-    /// The adapter, if any.
+    /// The adapter to apply, if any.
     pub adapter: Option<AdapterId>,
-    /// The prompt; the messages of a chat one behind the other.
+    /// The prompt; for a chat, its messages concatenated.
     pub prompt: String,
-    /// Tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Whether tokens are sent as they come.
+    /// Whether tokens are streamed as they are generated.
     pub stream: bool,
-    /// Further fields, passed on.
+    /// Other fields, passed to the engine.
     pub parameters: serde_json::Map<String, serde_json::Value>,
 }
 
 impl ModelRequest {
-    /// Reads a request's body.
+    /// Parses a request body; `max_tokens` is the limit for one request.
     pub fn parse(dialect: Dialect, body: &[u8], max_tokens: u32) -> Result<Self, Failure> {
         let text = std::str::from_utf8(body);
         let text = text.map_err(|_| Failure::bad_request("the body is not UTF-8"))?;
@@ -96,7 +96,8 @@
     }
 }
 
-/// The messages of a chat as one prompt: a longer chat begins with the shorter one.
+/// Joins the messages of a chat into one prompt. The prompt of a shorter chat is a prefix of that
+/// of the same chat with more messages, so its cached blocks can be reused.
 fn join(messages: &[Message]) -> String {
     let mut prompt = String::new();
     for message in messages {
@@ -105,25 +106,25 @@
     prompt
 }
 
-/// Counts of an answer.
+/// Token counts of a response.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct Usage {
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens generated: the answer's end mark is checked against it.
+    /// Tokens generated. Clients can check the length of the response against it.
     pub completion_tokens: u32,
-    /// Both.
+    /// Sum of both.
     pub total_tokens: u64,
-    /// Where the prompt's tokens came from.
+    /// Origin of the prompt's tokens.
     pub prompt_tokens_details: PromptDetails,
 }
 
-/// Where a prompt's tokens came from.
+/// Origin of a prompt's tokens.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct PromptDetails {
-    /// Found in the engine's cache.
+    /// Tokens found in the engine's cache.
     pub cached_tokens: u64,
-    /// Fetched from stores.
+    /// Tokens fetched from stores.
     pub imported_tokens: u64,
     /// Bytes fetched from stores.
     pub imported_bytes: u64,
@@ -174,23 +175,23 @@
     content: &'a str,
 }
 
-/// What an answer was made under.
+/// Versions that a response was generated under.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Provenance {
     /// Weight version.
     pub weight_version: WeightVersion,
-    /// The bundle's revision.
+    /// Revision of the bundle.
     pub revision: Revision,
 }
 
-/// Writes the documents of one answer.
+/// Writes the documents of one response.
 #[derive(Debug, Clone)]
 pub struct Writer {
-    /// The request.
+    /// The request, whose id is the id of the documents.
     pub request: RequestId,
-    /// Its documents.
+    /// The API of the request.
     pub dialect: Dialect,
-    /// Its model.
+    /// The model.
     pub model: ModelId,
 }
 
@@ -225,7 +226,7 @@
         }
     }
 
-    /// A server-sent event with a token.
+    /// Returns a server-sent event with the text of one token.
     pub fn token_event(&self, text: &str) -> String {
         let object = match self.dialect {
             Dialect::Completions => "text_completion",
@@ -234,7 +235,7 @@
         event(&self.document(object, self.choice(text, false, None)))
     }
 
-    /// The server-sent events that end an answer: counts and the end mark.
+    /// Returns the server-sent events that end a response: the token counts and the end mark.
     pub fn end_events(&self, summary: RunSummary, provenance: Provenance) -> String {
         let object = match self.dialect {
             Dialect::Completions => "text_completion",
@@ -246,7 +247,7 @@
         format!("{}data: [DONE]\n\n", event(&document))
     }
 
-    /// The whole answer as one document.
+    /// Returns a complete response as one document.
     pub fn whole(&self, text: &str, summary: RunSummary, provenance: Provenance) -> Vec<u8> {
         let object = match self.dialect {
             Dialect::Completions => "text_completion",
--- a/crates/sillpin-entry/src/front/failure.rs
+++ b/crates/sillpin-entry/src/front/failure.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when there is no whole answer.
+//! Problem documents for requests that get no complete response.
 
 use crate::place::Refusal;
 use hyper::{Response, StatusCode, header};
@@ -8,26 +8,26 @@
 use sillpin_http::Body;
 use std::time::Duration;
 
-/// A request that gets a problem document instead of an answer.
+/// A request that gets a problem document instead of a response.
 #[derive(Debug, Clone, PartialEq, Eq, derive_more::Display, derive_more::Error)]
 #[display("{title}: {detail}")]
 pub struct Failure {
     /// HTTP status.
     pub status: StatusCode,
-    /// Machine-readable name.
+    /// Name of the problem, for programs.
     pub kind: &'static str,
-    /// The same in words.
+    /// Name of the problem, for people.
     pub title: &'static str,
-    /// What happened to this request in particular.
+    /// Description of what happened to this request.
     pub detail: String,
-    /// Whether the request was carried out.
+    /// Whether the request was executed.
     pub outcome: Outcome,
-    /// When asking again may help.
+    /// Time after which a retry may succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl Failure {
-    /// A request that is refused as it stands.
+    /// A request that is refused without being executed.
     pub fn refused(
         status: StatusCode,
         kind: &'static str,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// A request that cannot be understood.
+    /// A request that cannot be parsed.
     pub fn bad_request(detail: impl Into<String>) -> Self {
         Self::refused(
             StatusCode::BAD_REQUEST,
@@ -69,7 +69,7 @@
         )
     }
 
-    /// A request that cannot be served now, and was not run.
+    /// A request that cannot be served now and was not executed.
     pub fn unavailable(detail: impl Into<String>, retry_after: Duration) -> Self {
         Self {
             retry_after: Some(retry_after),
@@ -82,7 +82,7 @@
         }
     }
 
-    /// A request that was sent and whose answer did not come whole.
+    /// A request that was sent to a target and got no complete response.
     pub fn unknown(detail: impl Into<String>) -> Self {
         let outcome = if is_off(Mechanism::Outcome) {
             Outcome::NotRun
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Another request holds the claim of a call that runs at most once.
+    /// A call that runs at most once and whose idempotency key is claimed by another request.
     pub fn taken(outcome: Outcome) -> Self {
         let detail = match outcome {
             Outcome::Ran => "a request with this idempotency key was carried out",
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The document and status for the caller.
+    /// Returns the HTTP response with the problem document.
     pub fn response(&self, request: RequestId) -> Response<Body> {
         let text = serde_json::to_vec(&self.problem(request)).unwrap_or_default();
         let mut resp = Response::new(Body::full(text));
@@ -140,7 +140,7 @@
         resp
     }
 
-    /// The document for the caller.
+    /// Returns the problem document.
     pub fn problem(&self, request: RequestId) -> Problem {
         Problem {
             kind: format!("urn:sillpin:problem:{}", self.kind),
@@ -158,7 +158,7 @@
     time.as_millis().div_ceil(1_000).max(1) as u64
 }
 
-/// When to ask again after a refusal that names no time.
+/// Retry-After for refusals that give no time.
 const DEFAULT_RETRY: Duration = Duration::from_secs(1);
 
 impl From<Refusal> for Failure {
--- a/crates/sillpin-entry/src/front/headers.rs
+++ b/crates/sillpin-entry/src/front/headers.rs
@@ -1,4 +1,4 @@
-//! Headers of callers and targets.
+//! HTTP headers that the entry reads or sets.
 
 use super::Failure;
 use hyper::HeaderMap;
@@ -6,28 +6,28 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Names the request in every answer.
+/// Id of the request, set in every response.
 pub const REQUEST_ID: &str = "sillpin-request-id";
 
-/// Class of a request: `urgent`, `normal` or `batch`.
+/// Priority class of a request: `urgent`, `normal` or `batch`.
 pub const PRIORITY: &str = "sillpin-priority";
 
-/// Longest wait for the first token, in milliseconds; shortens the bundle's.
+/// Maximum time to the first token, in milliseconds. It can only shorten the bundle's deadline.
 pub const DEADLINE: &str = "sillpin-deadline-ms";
 
-/// Makes a call run at most once.
+/// Idempotency key: the call runs at most once.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Names one sending to a target, which may echo it.
+/// Id of one attempt, sent to the target, which may echo it.
 pub const ATTEMPT: &str = "sillpin-attempt";
 
-/// Tells a plain service whose call it is.
+/// Organisation of the caller, sent to plain services.
 pub const ORGANISATION: &str = "sillpin-organisation";
 
-/// Longest idempotency key.
+/// Maximum length of an idempotency key.
 const MAX_KEY_LEN: usize = 256;
 
-/// A header's value as text; `None` if it is absent.
+/// Returns the value of a header as text; `None` if the header is absent.
 pub fn text<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, Failure> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
@@ -49,13 +49,13 @@
     text.parse().map(Some).map_err(|_| refused())
 }
 
-/// The class that a request asks for.
+/// Returns the priority class of a request.
 pub fn class(headers: &HeaderMap) -> Result<PriorityClass, Failure> {
     let class = parsed(headers, PRIORITY, "urgent, normal or batch")?;
     Ok(class.unwrap_or_default())
 }
 
-/// The longest wait for the first token that a request asks for.
+/// Returns the maximum time to the first token that a request sets.
 pub fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, Failure> {
     let millis: Option<u64> = parsed(headers, DEADLINE, "a whole number of milliseconds")?;
     if millis == Some(0) {
@@ -66,7 +66,7 @@
     Ok(millis.map(Duration::from_millis))
 }
 
-/// The idempotency key of a call that runs at most once.
+/// Returns the idempotency key of a request; `None` if the call may be repeated.
 pub fn idempotency_key(headers: &HeaderMap) -> Result<Option<String>, Failure> {
     let Some(key) = text(headers, IDEMPOTENCY_KEY)? else {
         return Ok(None);
--- a/crates/sillpin-entry/src/front/mod.rs
+++ b/crates/sillpin-entry/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' side: routes, keys, limits, documents.
+//! The HTTP interface for callers: routes, API keys, limits and documents.
 
 pub mod auth;
 pub mod body;
--- a/crates/sillpin-entry/src/front/route.rs
+++ b/crates/sillpin-entry/src/front/route.rs
@@ -1,4 +1,4 @@
-//! From a request's path to what serves it.
+//! Routes requests by their path.
 
 use super::documents::{Dialect, ModelRequest};
 use super::{Failure, auth, body, headers};
@@ -15,10 +15,10 @@
 use sillpin_telemetry::traces::{self, ActiveSpan, TRACEPARENT};
 use sillpin_telemetry::{event, events};
 
-/// Path below which plain services are.
+/// Path prefix of plain services.
 const SERVICES: &str = "/services/";
 
-/// Answers one request of a caller.
+/// Handles one request of a caller.
 pub async fn handle<E: Engine>(app: App<E>, req: Request<Incoming>) -> Response<Body> {
     match req.uri().path() {
         "/healthz" => return empty_response(StatusCode::OK),
@@ -44,7 +44,7 @@
     resp
 }
 
-/// What the balancer asks.
+/// Answers the readiness check of the load balancer.
 fn ready<E: Engine>(app: &App<E>) -> Response<Body> {
     let status = if app.is_ready() {
         StatusCode::OK
--- a/crates/sillpin-entry/src/keeper_link.rs
+++ b/crates/sillpin-entry/src/keeper_link.rs
@@ -1,8 +1,8 @@
-//! The connection to the keeper of this box.
+//! The RPC connection to the keeper of this box.
 //!
-//! One task keeps the snapshot up to date by a waiting call. When the keeper is gone the entry goes
-//! on with its last snapshot: look-ups then give no hints, and calls that run at most once are
-//! refused as not run.
+//! One task keeps the snapshot up to date by long polling. While the keeper is unreachable the
+//! entry continues with its last snapshot: lookups return no hints, and calls that run at most once
+//! are refused without being executed.
 
 use crate::snapshot::Snapshot;
 use sillpin_core::{ArmName, BlockName, Revision, TargetId};
@@ -23,49 +23,49 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// How long a call for changes waits.
+/// Time for which the keeper holds a poll open if there are no changes.
 const FLEET_WAIT: Duration = Duration::from_secs(2);
 
-/// Longest wait for any other answer.
+/// Timeout of other calls.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest wait for a claim: the keeper's own deadline and the way.
+/// Timeout of a claim: the keeper's own deadline plus the round trip.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Pause before the next try to reach the keeper.
+/// Delay before reconnecting to the keeper.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
 
-/// News that may wait for the keeper; more is dropped.
+/// Maximum number of queued reports; further ones are dropped.
 const NEWS_QUEUE: usize = 4_096;
 
-/// How long news waits for more.
+/// Time for which reports are collected into one batch.
 const NEWS_EVERY: Duration = Duration::from_millis(100);
 
-/// News for the keeper that nobody waits for.
+/// A report to the keeper that is sent without waiting for the result.
 #[derive(Debug)]
 pub enum News {
-    /// A prompt was answered.
+    /// A prompt whose blocks are now cached at an engine.
     Used(PromptUse),
-    /// A request ended.
+    /// The decision record of a request that ended.
     Record(Box<DecisionRecord>),
-    /// A guard stops an arm.
+    /// An arm to stop because the guard detected a breach.
     StopArm(Revision, ArmName, Breach),
-    /// A target refused connections or broke them.
+    /// A target that refused or broke connections.
     Suspect(TargetId),
-    /// A claim ended.
+    /// The outcome of a claimed call.
     EndClaim(ClaimEnd),
-    /// What the arms have measured so far.
+    /// Measurements of the arms so far.
     Arms(Vec<ArmFigures>),
 }
 
-/// Speaks to the keeper.
+/// Handle for calls and reports to the keeper.
 #[derive(Clone)]
 pub struct KeeperLink {
     client: watch::Receiver<Option<EntryLinkClient>>,
     news: mpsc::Sender<News>,
 }
 
-/// Starts the tasks that speak to the keeper at `addr`.
+/// Starts the tasks that communicate with the keeper at `addr`.
 pub fn start(addr: SocketAddr, log: Logger) -> (KeeperLink, watch::Receiver<Arc<Snapshot>>) {
     let (client_tx, client) = watch::channel(None);
     let (snapshot_tx, snapshot) = watch::channel(Arc::new(Snapshot::default()));
@@ -88,7 +88,7 @@
         self.client.borrow().clone()
     }
 
-    /// Hints for a prompt's blocks; none when the keeper does not answer in time.
+    /// Returns hints for the blocks of a prompt; none if the keeper does not reply in time.
     pub async fn find_blocks(&self, blocks: Vec<BlockName>, wait: Duration) -> BlockHints {
         let Some(client) = self.client() else {
             return BlockHints::default();
@@ -99,7 +99,8 @@
         reply.ok().and_then(Result::ok).unwrap_or_default()
     }
 
-    /// Claims a call that runs at most once.
+    /// Claims a call that runs at most once. The claim is unavailable if the keeper does not reply
+    /// in time.
     pub async fn claim(&self, req: ClaimRequest) -> ClaimReply {
         let Some(client) = self.client() else {
             return ClaimReply::Unavailable;
@@ -112,7 +113,7 @@
             .unwrap_or(ClaimReply::Unavailable)
     }
 
-    /// Tells the keeper something; dropped when too much waits.
+    /// Queues a report; it is dropped if the queue is full.
     pub fn tell(&self, news: News) {
         let _ = self.news.try_send(news);
     }
--- a/crates/sillpin-entry/src/lib.rs
+++ b/crates/sillpin-entry/src/lib.rs
@@ -1,13 +1,13 @@
-//! The request path of a box: callers' HTTP in, one decision, HTTP out to a target, the answer
-//! streamed back.
+//! The request path of a box: receives HTTP requests from callers, chooses a target for each,
+//! forwards the request over HTTP and streams the response back.
 //!
-//! - [`front`]: routes, keys, limits and documents of the callers' side,
-//! - [`place`]: the task that decides which engine takes a request, and whose request goes next,
-//! - [`runs`]: carries a request out: claims, attempts, resumption, continuation,
-//! - [`services`]: passes calls on to plain services,
-//! - [`keeper_link`]: what the keeper of this box tells; the entry goes on without it,
-//! - [`arms`]: what each arm of a rollout measures, and its guard,
-//! - [`metrics`]: the instruments.
+//! - [`front`]: routes, API keys, limits and documents of the interface for callers,
+//! - [`place`]: the task that chooses an engine for each request and orders waiting requests,
+//! - [`runs`]: executes a model request: claims, attempts, resumption, continuation,
+//! - [`services`]: forwards calls to plain services,
+//! - [`keeper_link`]: the connection to the keeper of this box; the entry also works without it,
+//! - [`arms`]: measurements of the arms of a rollout, and the guard,
+//! - [`metrics`]: the metrics of the entry.
 
 pub mod app;
 pub mod arms;
--- a/crates/sillpin-entry/src/main.rs
+++ b/crates/sillpin-entry/src/main.rs
@@ -24,7 +24,7 @@
     runtime(threads)?.block_on(serve(loaded, cfg))
 }
 
-/// One thread for all of an entry's work, or several that share it.
+/// Builds a single-threaded runtime for one thread, else a multi-threaded one.
 fn runtime(threads: usize) -> std::io::Result<Runtime> {
     if threads == 1 {
         return Builder::new_current_thread().enable_all().build();
--- a/crates/sillpin-entry/src/metrics.rs
+++ b/crates/sillpin-entry/src/metrics.rs
@@ -1,5 +1,5 @@
-//! The entry's instruments. Labels: organisation, pool, class, revision, arm, outcome; each with a
-//! bounded set of values.
+//! The entry's metrics. Labels: organisation, pool, class, revision, arm and outcome, each with a
+//! bounded number of values.
 
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Histogram, Meter};
@@ -8,22 +8,22 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// What a request is counted by.
+/// Label values of a request.
 #[derive(Debug, Clone)]
 pub struct Labels {
     /// Its organisation.
     pub org: OrgId,
     /// Its pool.
     pub pool: PoolId,
-    /// Its class.
+    /// Its priority class.
     pub class: PriorityClass,
-    /// The bundle's revision.
+    /// Revision of the bundle.
     pub revision: Revision,
     /// The arm.
     pub arm: ArmName,
 }
 
-/// Prompt work of an answered request.
+/// Origin of the prompt tokens of a completed request.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PromptWork {
     /// Tokens that were computed.
@@ -36,7 +36,7 @@
     pub link_bytes: u64,
 }
 
-/// The entry's instruments; clones share them.
+/// The entry's metrics; clones share the instruments.
 #[derive(Clone)]
 pub struct EntryMetrics {
     requests: Counter<u64>,
@@ -48,7 +48,7 @@
 }
 
 impl EntryMetrics {
-    /// Makes the instruments.
+    /// Creates the instruments.
     pub fn new(meter: &Meter) -> Self {
         let seconds = |name| {
             let histogram = meter.f64_histogram(name).with_unit("s");
@@ -76,7 +76,7 @@
         ]
     }
 
-    /// Counts a request's outcome; `answered` if it got its whole answer.
+    /// Counts a request by its outcome; `answered` if it got a complete response.
     pub fn ended(&self, labels: &Labels, outcome: Outcome, answered: bool) {
         let mut labels = self.key_values(labels);
         labels.push(KeyValue::new("outcome", outcome.to_string()));
@@ -90,13 +90,13 @@
             .record(after.as_secs_f64(), &self.key_values(labels));
     }
 
-    /// Records the mean time between the tokens of an answer.
+    /// Records the mean time between the tokens of a response.
     pub fn between_tokens(&self, labels: &Labels, mean: Duration) {
         self.between_tokens
             .record(mean.as_secs_f64(), &self.key_values(labels));
     }
 
-    /// Counts an answer's prompt work.
+    /// Adds the prompt tokens and fetched bytes of a response.
     pub fn prompt_work(&self, labels: &Labels, work: PromptWork) {
         let labels = self.key_values(labels);
         let count = |origin: &'static str, tokens: Tokens| {
--- a/crates/sillpin-entry/src/ops.rs
+++ b/crates/sillpin-entry/src/ops.rs
@@ -1,4 +1,4 @@
-//! Runs an entry: starts its tasks, serves, and drains on the stop.
+//! Runs an entry: starts its tasks, serves requests, and drains when it is stopped.
 
 use crate::app::App;
 use crate::metrics::EntryMetrics;
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use tokio_util::sync::CancellationToken;
 
-/// Where an entry listens.
+/// Addresses at which an entry listens.
 #[derive(Debug, Clone, Copy)]
 pub struct Listening {
     /// For callers.
@@ -26,8 +26,9 @@
     pub http: SocketAddr,
 }
 
-/// Runs an entry until `stop`, then drains it: it says that it is not ready, accepts on for the
-/// balancer's lag, and ends when its last request has ended.
+/// Runs an entry until `stop` is cancelled, then drains it: readiness checks fail at once, new
+/// requests are accepted until the load balancer has had time to react (`drain_lag`), and the
+/// function returns when the last request has ended.
 pub async fn run(
     cfg: EntryConfig,
     telemetry: Telemetry,
--- a/crates/sillpin-entry/src/place/backlog.rs
+++ b/crates/sillpin-entry/src/place/backlog.rs
@@ -1,8 +1,9 @@
-//! How long a request sent now would wait at an engine.
+//! Estimates how long a request sent now would wait at an engine.
 //!
-//! Load reports lag and are read only now and then, so between two reports the estimate shrinks as
-//! time passes and grows with what this entry sends itself. A new report replaces it, plus what was
-//! sent within the reports' usual lag and so is not in it yet.
+//! Load reports lag and are read only at intervals. Between two reports the estimate decreases as
+//! time passes and increases with what this entry sends. A new report replaces the estimate;
+//! requests sent within the usual lag of reports are added, because the report does not include
+//! them yet.
 
 use sillpin_core::LoadReport;
 use sillpin_core::block::BLOCK_TOKENS;
@@ -10,16 +11,16 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Sends younger than this are taken as not yet in a report that has just come.
+/// Requests sent less than this time ago are assumed to be missing from a new report.
 const REPORT_LAG: Duration = Duration::from_millis(700);
 
-/// Weight of the newest run in the mean length of runs.
+/// Weight of the newest run in the moving average of run times.
 const RUN_WEIGHT: f64 = 0.1;
 
-/// First guess of a run's length.
+/// Initial value of the average run time.
 const FIRST_RUN: Duration = Duration::from_secs(1);
 
-/// Failures after which an engine rests, and for how long.
+/// Time for which an engine is in cooldown after a failed request.
 const REST: Duration = Duration::from_secs(1);
 
 /// The estimate for one engine.
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Takes in a report, if it is a new one.
+    /// Applies a load report, unless it was applied before.
     pub fn report(&mut self, load: &LoadReport, now: Instant) {
         if self.sequence == Some(load.sequence) {
             return;
@@ -71,7 +72,7 @@
         self.work = reported + self.sent.iter().map(|(_, work)| *work).sum::<Duration>();
     }
 
-    /// A request was sent that costs `work`.
+    /// Adds a request that was sent and takes `work` to process.
     pub fn sent(&mut self, work: Duration, now: Instant) {
         self.decay(now);
         self.work += work;
@@ -79,7 +80,7 @@
         self.in_flight += 1;
     }
 
-    /// A request ended after `took`.
+    /// Records that a request ended after `took`.
     pub fn done(&mut self, took: Duration, answered: bool, now: Instant) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if answered {
@@ -89,13 +90,13 @@
         }
     }
 
-    /// Whether it failed a moment ago.
+    /// Returns whether a request failed within the cooldown time.
     pub fn is_resting(&self, now: Instant) -> bool {
         self.rest_until.is_some_and(|until| until > now)
     }
 
-    /// The wait of a request sent now: the prompt work before it, and the wait for a slot when all
-    /// are taken.
+    /// Returns the wait of a request sent now: the time to process the prompts before it, and the
+    /// wait for a slot if all slots are taken.
     pub fn wait(&mut self, load: &LoadReport, now: Instant) -> Duration {
         self.decay(now);
         let unseen = self.sent.len() as u32;
--- a/crates/sillpin-entry/src/place/mod.rs
+++ b/crates/sillpin-entry/src/place/mod.rs
@@ -1,5 +1,5 @@
-//! Which engine takes a request, and whose request goes next: one task owns the estimates of the
-//! engines' backlogs, the waiting requests and the retry budget.
+//! Placement: which engine runs a request, and which waiting request is next. One task owns the
+//! backlog estimates, the waiting requests and the retry budget.
 
 mod backlog;
 pub mod placer;
--- a/crates/sillpin-entry/src/place/placer.rs
+++ b/crates/sillpin-entry/src/place/placer.rs
@@ -1,4 +1,5 @@
-//! Decisions over the engines and their backlogs. No I/O: the clock is passed in.
+//! Placement decisions from the engines and their backlogs. There is no I/O, and the time is a
+//! parameter.
 
 use super::backlog::Backlog;
 use super::task::{PlaceRequest, Placed};
@@ -14,19 +15,19 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Added to the cost of engines of another availability zone: the way there and back.
+/// Cost added for engines in another availability zone: the round trip.
 const FOREIGN_ZONE: Duration = Duration::from_millis(3);
 
-/// Assumed rate of a store's link when the box list does not give it, in bytes a second.
+/// Link rate of a store in bytes per second, if the box list does not give it.
 const DEFAULT_LINK_RATE: f64 = 50e6;
 
-/// How long an engine's own word on its version counts for more than its load reports.
+/// Time for which a version that an engine itself returned takes precedence over its load reports.
 const TRUST_SAID: Duration = Duration::from_secs(3);
 
-/// Candidates kept in a decision record.
+/// Maximum number of candidates in a decision record.
 const RECORDED: usize = 6;
 
-/// Engines with their backlogs, and the state of the decisions.
+/// Engines with their backlogs, and the state that decisions need.
 pub struct Placer {
     zone: ZoneId,
     engines: HashMap<PoolId, Vec<Engine>>,
@@ -35,17 +36,17 @@
     turn: usize,
 }
 
-/// The best engine for a request.
+/// The engine chosen for a request.
 pub struct Choice {
-    /// The engine and what to fetch.
+    /// The engine and the stored blocks to fetch.
     pub placed: Placed,
-    /// How long the request would wait there.
+    /// Estimated wait at the engine.
     pub wait: Duration,
-    /// The work it brings there.
+    /// Time that the engine needs for the prompt, including fetches.
     pub work: Duration,
 }
 
-/// An engine that may get new work.
+/// An engine that may receive new requests.
 struct Engine {
     target: Target,
     load: LoadReport,
@@ -69,7 +70,7 @@
 }
 
 impl Placer {
-    /// A placer of an entry in `zone` that knows no engine yet.
+    /// Creates a placer without engines for an entry in `zone`.
     pub fn new(zone: ZoneId) -> Self {
         Self {
             zone,
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Takes in a snapshot.
+    /// Replaces the engines by those of a snapshot and applies their load reports.
     pub fn update(&mut self, snapshot: &Arc<Snapshot>, now: Instant) {
         let mut backlogs = self.take_backlogs();
         for target in snapshot.targets.values() {
@@ -113,12 +114,13 @@
             .collect()
     }
 
-    /// An engine itself said which version it serves.
+    /// Records the version that an engine itself returned.
     pub fn serves(&mut self, target: TargetId, version: WeightVersion, now: Instant) {
         self.said_versions.insert(target, (version, now));
     }
 
-    /// The version that an engine serves: its own word while that is fresh, else its last report.
+    /// Returns the version that an engine serves: the one that it returned itself if that is
+    /// recent, else the one in its last load report.
     fn version(&self, target: &Target, now: Instant) -> Option<WeightVersion> {
         let said = self.said_versions.get(&target.entry.id);
         let fresh = said.filter(|(_, at)| now - *at < TRUST_SAID);
@@ -131,8 +133,8 @@
         found.map(|engine| &mut engine.backlog)
     }
 
-    /// Engines that could take a request, by index into the pool's, in the order of their names.
-    /// Those that failed a moment ago rest while there are others.
+    /// Returns the engines that could run a request, as indexes into the pool's engines, ordered by
+    /// name. Engines in cooldown are left out if there are others.
     fn fitting(&self, req: &PlaceRequest, now: Instant) -> Vec<usize> {
         let Some(engines) = self.engines.get(&req.pool) else {
             return Vec::new();
@@ -150,7 +152,7 @@
         fitting
     }
 
-    /// Decides for a request; `None` if no engine could take it at all.
+    /// Chooses an engine for a request; `None` if no engine can run it.
     pub fn choose(&mut self, req: &PlaceRequest, now: Instant) -> Option<Choice> {
         let fitting = self.fitting(req, now);
         let zone = &self.zone;
@@ -195,7 +197,8 @@
         })
     }
 
-    /// Engines of a pool that could take requests of a version: how much work they do at once.
+    /// Returns the number of engines of a pool that serve a version, so how many prompts are
+    /// processed at the same time.
     pub fn capacity(&self, pool: &PoolId, version: WeightVersion) -> u32 {
         let engines = self.engines.get(pool).into_iter().flatten();
         engines
@@ -203,14 +206,14 @@
             .count() as u32
     }
 
-    /// A request is sent to `target`.
+    /// Adds a request that was sent to `target` to its backlog.
     pub fn sent(&mut self, target: &TargetId, work: Duration, now: Instant) {
         if let Some(backlog) = self.backlog(target) {
             backlog.sent(work, now);
         }
     }
 
-    /// A request at `target` ended.
+    /// Records that a request at `target` ended.
     pub fn done(&mut self, target: &TargetId, took: Duration, answered: bool, now: Instant) {
         if let Some(backlog) = self.backlog(target) {
             backlog.done(took, answered, now);
--- a/crates/sillpin-entry/src/place/task.rs
+++ b/crates/sillpin-entry/src/place/task.rs
@@ -1,4 +1,4 @@
-//! The task that places requests and holds back those for which no engine is free.
+//! The task that places requests and queues those for which no engine is free.
 
 use super::placer::{Choice, Placer};
 use crate::snapshot::Snapshot;
@@ -14,81 +14,81 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
 
-/// Messages that may wait.
+/// Maximum number of messages queued for the task.
 const QUEUE_LEN: usize = 4_096;
 
-/// Time between two looks whether waiting requests can go.
+/// Interval at which waiting requests are checked.
 const DRAIN_EVERY: Duration = Duration::from_millis(5);
 
-/// Retries saved up at the most, and had at first.
+/// Maximum and initial value of the retry budget, in retries.
 const RETRY_RESERVE: f64 = 20.0;
 
-/// Waiting requests looked at, in the order in which they go: one whose engine is busy does not
-/// hold up those behind it whose engines are free.
+/// Maximum number of waiting requests checked per pool, in queue order, so that a request whose
+/// engine is busy does not block later ones whose engines are free.
 const SCANNED: usize = 32;
 
-/// Factor by which the queue of an engine may be longer for the most urgent class, which engines
-/// take first.
+/// Factor by which an engine's queue may be longer for the urgent class, which engines process
+/// first.
 const URGENT_QUEUE_FACTOR: u32 = 4;
 
-/// When to ask again after a deadline passed while waiting.
+/// Retry-After for a request whose deadline passed while it was waiting.
 const LATE_RETRY: Duration = Duration::from_secs(1);
 
 /// A request to place.
 pub struct PlaceRequest {
     /// Its organisation.
     pub org: OrgId,
-    /// Its class.
+    /// Its priority class.
     pub class: PriorityClass,
     /// Its pool.
     pub pool: PoolId,
-    /// Weight version that it is pinned to.
+    /// Weight version that the request is pinned to.
     pub version: WeightVersion,
-    /// Where its prompt hashes to.
+    /// Hash of its prompt, which determines its home engines.
     pub home: u64,
-    /// Blocks of its prompt, the broken one at the end included.
+    /// Number of blocks of its prompt, including an incomplete last one.
     pub blocks: u32,
-    /// Who holds them.
+    /// Engines and stores that hold these blocks.
     pub hints: BlockHints,
-    /// Engines that have failed it.
+    /// Engines at which the request failed.
     pub excluded: Vec<TargetId>,
-    /// Whether it was placed before.
+    /// Whether the request was placed before.
     pub is_retry: bool,
-    /// Its arm's policy.
+    /// Policy of its arm.
     pub policy: Arc<PolicySet>,
-    /// When its first token is due.
+    /// Deadline of its first token.
     pub deadline: Instant,
 }
 
-/// Where a request goes.
+/// The engine for a request.
 #[derive(Debug, Clone)]
 pub struct Placed {
     /// The engine.
     pub target: TargetId,
-    /// Where the engine listens.
+    /// Address of the engine.
     pub addr: SocketAddr,
-    /// Kept objects to fetch.
+    /// Stored blocks that the engine fetches.
     pub imports: Vec<StoredObject>,
-    /// Candidates, the best first.
+    /// Candidates, best first.
     pub candidates: Vec<CandidateRecord>,
 }
 
-/// Why a request is not placed. It was not run.
+/// Reason for which a request was not placed. It was not executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display)]
 pub enum Refusal {
-    /// No engine serves what it asks for now.
+    /// No engine can run the request now.
     #[display("no engine can take the request now")]
     NoEngine,
-    /// Its first token would come too late.
+    /// The request cannot start before the deadline of its first token.
     #[display("the request cannot begin before its deadline")]
     TooLate {
-        /// When to ask again.
+        /// Time after which a retry may succeed.
         retry_after: Duration,
     },
-    /// Too many requests wait.
+    /// Too many requests are waiting.
     #[display("too many requests wait")]
     Full,
-    /// Too many requests were retried lately.
+    /// The retry budget is used up.
     #[display("too many retries")]
     NoRetries,
 }
@@ -105,14 +105,14 @@
     Serves(TargetId, WeightVersion),
 }
 
-/// Speaks to the placing task.
+/// Handle of the placement task.
 #[derive(Clone)]
 pub struct PlacerHandle {
     tx: mpsc::Sender<Msg>,
 }
 
 impl PlacerHandle {
-    /// Places a request; waits while no engine is free and its deadline can be met.
+    /// Places a request. Waits while no engine is free, up to the request's deadline.
     pub async fn place(&self, req: PlaceRequest) -> Result<Placed, Refusal> {
         let (tx, rx) = oneshot::channel();
         let deadline = req.deadline;
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Tells that a placed request ended.
+    /// Reports that a placed request ended.
     pub fn done(&self, target: TargetId, took: Duration, answered: bool) {
         let msg = Msg::Done {
             target,
@@ -138,13 +138,13 @@
         let _ = self.tx.try_send(msg);
     }
 
-    /// Tells that an engine itself said which version it serves: load reports lag behind.
+    /// Reports the version that an engine itself returned, because load reports lag behind.
     pub fn serves(&self, target: TargetId, version: WeightVersion) {
         let _ = self.tx.try_send(Msg::Serves(target, version));
     }
 }
 
-/// Starts the task of an entry in `zone`; at most `max_waiting` requests wait.
+/// Starts the placement task of an entry in `zone`; at most `max_waiting` requests wait.
 pub fn start(
     zone: ZoneId,
     mut snapshots: watch::Receiver<Arc<Snapshot>>,
@@ -248,7 +248,7 @@
         }
     }
 
-    /// Queues a request, or refuses it at once if it could not begin in time.
+    /// Queues a request, or refuses it immediately if it could not start before its deadline.
     fn hold_back(&mut self, choice: Choice, req: Box<PlaceRequest>, reply: Reply, now: Instant) {
         let waiting: usize = self.waiting.values().map(FairQueue::len).sum();
         if waiting >= self.max_waiting {
@@ -270,7 +270,8 @@
         queue.push(class, org, weight, cost, Waiting { req, reply });
     }
 
-    /// Sends what can go, and refuses what has run out of time.
+    /// Sends the waiting requests whose engines are free and refuses those whose deadline has
+    /// passed.
     fn drain(&mut self) {
         let now = Instant::now();
         let pools: Vec<PoolId> = self.waiting.keys().cloned().collect();
@@ -289,7 +290,7 @@
         queue.map_or_else(Vec::new, |queue| queue.tickets().take(SCANNED).collect())
     }
 
-    /// Looks whether a waiting request can go.
+    /// Checks whether a waiting request can be sent.
     fn look_at(&mut self, pool: &PoolId, ticket: Ticket, now: Instant) -> Next {
         let Some(waiting) = self.waiting.get(pool).and_then(|queue| queue.get(ticket)) else {
             return Next::Wait;
@@ -317,7 +318,8 @@
         self.waiting.get_mut(pool)?.take(ticket)
     }
 
-    /// Takes a request out unsent, and tells its caller why if it still listens.
+    /// Removes a request from the queue without sending it, and returns the reason to its caller if
+    /// that is still connected.
     fn drop_waiting(&mut self, pool: &PoolId, ticket: Ticket, refusal: Option<Refusal>) -> Next {
         if let (Some(waiting), Some(refusal)) = (self.take(pool, ticket), refusal) {
             let _ = waiting.reply.send(Err(refusal));
@@ -328,11 +330,11 @@
 
 /// What to do with a waiting request.
 enum Next {
-    /// Send it.
+    /// Send it to the chosen engine.
     Send(Box<Choice>, Waiting),
-    /// It was taken out unsent.
+    /// It was removed from the queue without being sent.
     Dropped,
-    /// Its engine is not free.
+    /// Keep it in the queue.
     Wait,
 }
 
--- a/crates/sillpin-entry/src/runs/account.rs
+++ b/crates/sillpin-entry/src/runs/account.rs
@@ -1,4 +1,4 @@
-//! What is told of a request when it has ended: metrics, the arm's figures, the decision record.
+//! Reports on requests that ended: metrics, samples for arms, decision records.
 
 use super::drive::{Delivery, Driver};
 use crate::arms::{Answered, Sample};
--- a/crates/sillpin-entry/src/runs/attempt.rs
+++ b/crates/sillpin-entry/src/runs/attempt.rs
@@ -1,11 +1,11 @@
-//! One sending of a request to an engine, and its answer.
+//! A run of one attempt at an engine.
 
 use sillpin_core::AttemptId;
 use sillpin_targets::{Engine, EngineError, EngineFault, RunEvent, RunOrder, RunStream};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A run at an engine. Dropped before its end, it cancels the run there.
+/// A run at an engine. Dropping it before the run has ended cancels the run there.
 pub(super) struct Attempt<E: Engine> {
     engine: E,
     peer: SocketAddr,
@@ -16,7 +16,7 @@
 }
 
 impl<E: Engine> Attempt<E> {
-    /// Sends an order.
+    /// Sends the order to the engine and waits up to `accept` for it to be accepted.
     pub(super) async fn start(
         engine: E,
         peer: SocketAddr,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The next event; `None` after the end mark.
+    /// Returns the next event; `None` after the end mark.
     pub(super) async fn next(&mut self) -> Result<Option<RunEvent>, EngineError> {
         let Some(stream) = &mut self.stream else {
             return Ok(None);
@@ -63,7 +63,7 @@
         next
     }
 
-    /// Takes the answer up again at `cursor`, at the same engine.
+    /// Resumes the response of the same engine at token `cursor`.
     pub(super) async fn resume(
         &mut self,
         cursor: u32,
--- a/crates/sillpin-entry/src/runs/call.rs
+++ b/crates/sillpin-entry/src/runs/call.rs
@@ -1,4 +1,4 @@
-//! From a parsed request to its answer.
+//! Serves a parsed model request and writes the response.
 
 use super::drive::{Delivery, Driver};
 use super::prompt::plan;
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Deliveries that may wait for the caller before the engine's answer is read on.
+/// Number of deliveries buffered for the caller before reading from the engine pauses.
 const DELIVERIES: usize = 64;
 
 /// A request for a model.
@@ -23,15 +23,15 @@
     pub request: RequestId,
     /// Its organisation.
     pub org: OrgId,
-    /// Its class.
+    /// Its priority class.
     pub class: PriorityClass,
-    /// Longest wait for the first token that the caller asks for.
+    /// Maximum time to the first token that the caller sets.
     pub deadline: Option<Duration>,
-    /// Its idempotency key, if it runs at most once.
+    /// Its idempotency key, if the request runs at most once.
     pub once_key: Option<String>,
-    /// BLAKE3 of its body, in hexadecimal.
+    /// BLAKE3 hash of its body, in hexadecimal.
     pub digest: String,
-    /// What it asks for.
+    /// The parsed body.
     pub asked: ModelRequest,
 }
 
@@ -71,7 +71,7 @@
     Failure::unknown("the request's task ended")
 }
 
-/// Gathers the whole answer.
+/// Collects the complete response.
 async fn whole(
     writer: &Writer,
     rx: &mut mpsc::Receiver<Delivery>,
@@ -102,8 +102,8 @@
     resp
 }
 
-/// Writes deliveries as server-sent events. An answer that fails after its head ends with an error
-/// event and a broken body, never with the end mark.
+/// Writes deliveries as server-sent events. A response that fails after its head was sent ends with
+/// an error event and a broken body, never with the end mark.
 async fn forward(
     writer: Writer,
     first: Delivery,
--- a/crates/sillpin-entry/src/runs/drive.rs
+++ b/crates/sillpin-entry/src/runs/drive.rs
@@ -1,4 +1,4 @@
-//! The task that carries one request through its attempts.
+//! The task that executes one request, with its attempts.
 
 use super::Call;
 use super::once;
@@ -21,22 +21,23 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Times that a request that found no engine is planned anew, and the wait for news each time.
+/// Number of times a request without an engine is planned again, and the maximum wait for a newer
+/// snapshot each time.
 const MAX_REPLANS: u32 = 3;
 const REPLAN_WAIT: Duration = Duration::from_millis(400);
 
-/// Part of an answer on its way to the caller.
+/// A part of a response, sent to the task that writes to the caller.
 #[derive(Debug)]
 pub(super) enum Delivery {
-    /// A token's text.
+    /// Text of one token.
     Token(String),
-    /// The answer is whole.
+    /// The response is complete.
     End(RunSummary, Provenance),
-    /// The answer will not come whole.
+    /// The response cannot be completed.
     Failed(Failure),
 }
 
-/// Carries one request through its attempts.
+/// Executes one request, with its attempts.
 pub(super) struct Driver<E: Engine> {
     pub(super) app: App<E>,
     pub(super) call: Call,
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Carries the request out and tells what became of it.
+    /// Executes the request and reports its outcome.
     pub(super) async fn run(mut self) {
         let gone = self.tx.clone();
         let result = tokio::select! {
@@ -124,13 +125,14 @@
         }
     }
 
-    /// Whether a refused request can still be planned anew: nothing of it was sent.
+    /// Returns whether a refused request can be planned again: no part of it was sent.
     fn is_unplaced(&self, failure: &Failure) -> bool {
         failure.kind == "unavailable" && self.ran == Outcome::NotRun
     }
 
-    /// Waits for news of the fleet and plans the request anew, as when its weight version has been
-    /// swapped away under it. False when there is no news, or was too often.
+    /// Waits for a newer snapshot and plans the request again, for instance because its weight
+    /// version was replaced. Returns false if there is no newer snapshot or the request was planned
+    /// too often.
     async fn plan_again(&mut self) -> bool {
         self.replans += 1;
         if self.replans > MAX_REPLANS {
@@ -149,8 +151,8 @@
         true
     }
 
-    /// An engine refused the run because it serves another version. A run that has not begun is
-    /// planned for that one; a run that has begun stays with its own.
+    /// Handles an engine's refusal because it serves another version. A run that has not started is
+    /// planned again for that version; a run that has started keeps its own.
     fn follow_version(&mut self, target: TargetId, version: WeightVersion) {
         self.app.placer.serves(target.clone(), version);
         let has_begun = self.ran != Outcome::NotRun;
@@ -228,7 +230,7 @@
         }
     }
 
-    /// The failure of a request that has run out of ways.
+    /// Returns the failure of a request that gets no further attempt.
     fn give_up(&self, detail: String) -> Failure {
         if self.ran == Outcome::NotRun {
             return Failure::unavailable(detail, Duration::from_secs(1));
@@ -236,7 +238,7 @@
         Failure::unknown(detail)
     }
 
-    /// Whether another attempt may follow; otherwise the request's failure.
+    /// Handles a failed attempt; returns an error if no further attempt may follow.
     fn after_failure(&mut self, target: TargetId, e: EngineError) -> Result<(), Failure> {
         event!(self.app.log, events::ATTEMPT_FAILED, "request" => %self.call.request,
             "target" => %target, "error" => %e);
--- a/crates/sillpin-entry/src/runs/mod.rs
+++ b/crates/sillpin-entry/src/runs/mod.rs
@@ -1,14 +1,14 @@
-//! Carries a model request out: claim, attempts, resumption, continuation.
+//! Executes model requests: claim, attempts, resumption, continuation.
 //!
-//! One task drives a request ([`drive`]) and hands tokens to the answer; the answer's head is sent
-//! when the first token is there, so that an early failure still gets its own status. What may
-//! follow a failed attempt:
+//! One task per request ([`drive`]) passes tokens to the response. The response's head is sent with
+//! the first token, so that an earlier failure still gets its own status. What follows a failed
+//! attempt:
 //!
-//! | the attempt | repeatable | runs at most once |
+//! | failure of the attempt | repeatable request | at-most-once request |
 //! |---|---|---|
-//! | was not sent, or was refused | another engine | another engine |
-//! | broke off | resumed at the engine by cursor, else continued elsewhere from the delivered tokens | resumed at the engine by cursor, else unknown |
-//! | answered for another attempt | another engine | unknown |
+//! | not sent, or refused | another engine | another engine |
+//! | response broke off | resumed at the same engine by cursor, else continued at another engine from the delivered tokens | resumed at the same engine by cursor, else outcome unknown |
+//! | response belongs to another attempt | another engine | outcome unknown |
 
 mod account;
 mod attempt;
--- a/crates/sillpin-entry/src/runs/once.rs
+++ b/crates/sillpin-entry/src/runs/once.rs
@@ -11,10 +11,11 @@
 use sillpin_targets::Engine;
 use std::time::Duration;
 
-/// When to ask again after a claim could not be made.
+/// Retry-After if a claim cannot be made.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// The right to send a call once. Dropping it unused releases it.
+/// The right to send a call once. Dropping it reports the outcome to the keeper unless that is
+/// unknown; a call that was not sent releases the claim.
 pub struct Claim {
     key: ClaimKey,
     request: RequestId,
@@ -22,7 +23,7 @@
     outcome: Outcome,
 }
 
-/// What a claim is for.
+/// The call to claim.
 pub struct Claimed<'a> {
     /// The organisation.
     pub org: &'a OrgId,
@@ -30,12 +31,12 @@
     pub key: &'a str,
     /// The request.
     pub request: RequestId,
-    /// BLAKE3 of the call, in hexadecimal.
+    /// BLAKE3 hash of the call, in hexadecimal.
     pub digest: &'a str,
 }
 
 impl Claim {
-    /// Claims a call, before anything of it is sent.
+    /// Claims a call. Must be called before any part of it is sent.
     pub async fn make<E: Engine>(app: &App<E>, call: Claimed<'_>) -> Result<Self, Failure> {
         let key = ClaimKey {
             org: call.org.clone(),
@@ -84,17 +85,17 @@
         self.outcome = Outcome::Unknown;
     }
 
-    /// From now on the call may have been carried out.
+    /// Records that the call may be executed from now on.
     pub fn may_have_run(&mut self) {
         self.outcome = Outcome::Unknown;
     }
 
-    /// The call was not sent after all: the target was not reached, or refused it.
+    /// Records that the call was not executed: the target was not reached, or refused it.
     pub fn was_not_sent(&mut self) {
         self.outcome = Outcome::NotRun;
     }
 
-    /// The call was carried out.
+    /// Records that the call was executed.
     pub fn ran(&mut self) {
         self.outcome = Outcome::Ran;
     }
@@ -112,7 +113,7 @@
     }
 }
 
-/// Claims a model request that carries an idempotency key.
+/// Claims a model request if it carries an idempotency key.
 pub(super) async fn claim<E: Engine>(app: &App<E>, call: &Call) -> Result<Option<Claim>, Failure> {
     let Some(key) = &call.once_key else {
         return Ok(None);
--- a/crates/sillpin-entry/src/runs/prompt.rs
+++ b/crates/sillpin-entry/src/runs/prompt.rs
@@ -1,5 +1,5 @@
-//! What is fixed about a request before its first attempt: bundle, arm, pool, weight version and
-//! the names of its blocks.
+//! Determines what stays fixed for a run: bundle revision, arm, pool, weight version and the names
+//! of the prompt's blocks.
 
 use super::Call;
 use crate::app::App;
@@ -32,7 +32,7 @@
     pub(super) labels: Labels,
 }
 
-/// Fixes what a run is pinned to; `version` if an engine has named the weight version it serves.
+/// Plans a run; `version` is the weight version if an engine has returned the one it serves.
 pub(super) fn plan<E: Engine>(
     app: &App<E>,
     call: &Call,
@@ -100,8 +100,8 @@
     })
 }
 
-/// The weight version of a prompt. While a pool is being swapped both versions are served, each to
-/// the share of prompts that its engines can take.
+/// Returns the weight version for a prompt. While the weights of a pool are being replaced, both
+/// versions are served; prompts are divided in proportion to the engines of each version.
 fn version_for(snapshot: &Snapshot, pool: &PoolId, home: u64) -> Option<WeightVersion> {
     let mut engines: BTreeMap<WeightVersion, u64> = BTreeMap::new();
     for target in snapshot.usable(pool, TargetKind::Engine) {
--- a/crates/sillpin-entry/src/runs/send.rs
+++ b/crates/sillpin-entry/src/runs/send.rs
@@ -1,4 +1,4 @@
-//! One sending of a request to an engine, and the reading of its answer.
+//! Sends an attempt to an engine and reads its response.
 
 use super::attempt::Attempt;
 use super::drive::{Delivery, Driver};
@@ -14,11 +14,11 @@
 };
 use tokio::time::Instant;
 
-/// Why an attempt ended without the end mark.
+/// Reason for which an attempt ended without the end mark.
 pub(super) enum Broken {
-    /// The engine failed.
+    /// The engine failed, or the connection to it.
     Engine(EngineError),
-    /// The caller has gone.
+    /// The caller has disconnected.
     CallerGone,
 }
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Sends the request to the engine that was chosen, and hands on what it answers.
+    /// Sends the request to the chosen engine and passes its response on.
     pub(super) async fn attempt(
         &mut self,
         placed: &Placed,
@@ -96,8 +96,8 @@
         read
     }
 
-    /// Reads an answer; one that breaks off is taken up again once at the same engine, which holds
-    /// it for a while.
+    /// Reads a response. If it breaks off, it is resumed at the same engine, which keeps it for a
+    /// while, unless no token has arrived since the last resumption.
     async fn read_with_resume(
         &mut self,
         attempt: &mut Attempt<E>,
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Reads an answer. With its first token the prompt is computed and its blocks are cached: the
-    /// owners of its root learn of it then, and not only when the whole answer has come.
+    /// Reads a response. The blocks of the prompt are cached at the first token, so the owners of
+    /// the prompt's root in the directory are notified then and not at the end of the response.
     async fn read(
         &mut self,
         attempt: &mut Attempt<E>,
--- a/crates/sillpin-entry/src/services.rs
+++ b/crates/sillpin-entry/src/services.rs
@@ -1,9 +1,9 @@
-//! Passes calls on to plain services, bodies streamed with back-pressure both ways.
+//! Forwards calls to plain services. Bodies are streamed with back-pressure in both directions.
 //!
-//! A call with an idempotency key runs at most once: its body is read whole first, so that the
-//! claim can be made over it, and it is sent at most once. Any other call is sent a second time
-//! only when the first sending did not reach its target, and only if its body is short enough to
-//! be held.
+//! A call with an idempotency key runs at most once: its body is read completely first, because the
+//! claim covers it, and it is not retried after it may have reached a target. Any other call is
+//! retried only if an attempt did not reach its target, and only if its body is short enough to be
+//! buffered.
 
 use crate::app::App;
 use crate::front::{Failure, body, headers};
@@ -25,13 +25,13 @@
 use sillpin_telemetry::{event, events};
 use std::time::Duration;
 
-/// Longest body held for a second sending.
+/// Maximum length of a body that is buffered for retries.
 const HELD_BODY_LEN: u64 = 64 << 10;
 
-/// Sendings of one call.
+/// Maximum number of attempts of one call.
 const MAX_ATTEMPTS: usize = 3;
 
-/// Headers that belong to one connection, and the caller's key.
+/// Headers that are not forwarded: those of a single connection, and the caller's API key.
 const NOT_PASSED_ON: &[HeaderName] = &[
     header::AUTHORIZATION,
     header::CONNECTION,
@@ -44,7 +44,7 @@
     header::UPGRADE,
 ];
 
-/// A call on its way.
+/// A call that is being forwarded.
 struct Passing<'a> {
     pool: PoolId,
     path: String,
@@ -53,7 +53,7 @@
     span: ActiveSpan,
 }
 
-/// A call's body: held, or streamed once.
+/// The body of a call: buffered, or streamed once.
 enum CallBody {
     Held(Bytes),
     Streamed(Option<Incoming>),
@@ -68,7 +68,7 @@
     }
 }
 
-/// Passes a call on; `rest` is its path behind the prefix: pool and the service's own path.
+/// Forwards a call; `rest` is the path after the prefix: the pool, then the path at the service.
 pub async fn pass_on<E: Engine>(
     app: &App<E>,
     request: RequestId,
@@ -174,7 +174,7 @@
     send(app, passing, call_body).await
 }
 
-/// Sends a call to one target after the other until one is reached.
+/// Sends a call to one target after another until one is reached.
 async fn send<E: Engine>(
     app: &App<E>,
     passing: &mut Passing<'_>,
@@ -209,7 +209,7 @@
     )))
 }
 
-/// The less busy of two random targets that were not tried, of this zone if it has any.
+/// Chooses the less busy of two random targets that were not tried, from this zone if it has any.
 fn choose<E: Engine>(
     app: &App<E>,
     pool: &PoolId,
@@ -282,7 +282,7 @@
     req
 }
 
-/// Passes an answer back, unless it says that it belongs to another sending.
+/// Returns the response for the caller, unless it echoes the id of another attempt.
 fn check<E: Engine>(
     app: &App<E>,
     target: &Target,
--- a/crates/sillpin-entry/src/settings.rs
+++ b/crates/sillpin-entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! The entry's settings.
+//! Settings of the entry.
 
 use sillpin_core::block::BlockKey;
 use sillpin_core::{BoxId, ZoneId};
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What the entry reads.
+/// Settings that the entry reads.
 pub const SCHEMA: Schema = &[
     Section {
         name: "box",
@@ -158,58 +158,58 @@
     LOG_SECTION,
 ];
 
-/// Limits on what callers may ask and targets may take.
+/// Limits on requests, and timeouts of callers and targets.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Longest head of a request, in bytes.
+    /// Maximum length of a request head, in bytes.
     pub head_len: usize,
-    /// Longest time for a request's head.
+    /// Time within which a request head must arrive.
     pub head_time: Duration,
-    /// Longest body of a request for a model, in bytes.
+    /// Maximum length of the body of a model request, in bytes.
     pub body_len: usize,
-    /// Longest time for a request's body.
+    /// Time within which a request body must arrive.
     pub body_time: Duration,
-    /// Most blocks in a prompt.
+    /// Maximum number of blocks in a prompt.
     pub blocks: u64,
-    /// Most tokens generated for a request.
+    /// Maximum number of tokens generated for a request.
     pub max_tokens: u32,
-    /// Most requests that wait here.
+    /// Maximum number of requests waiting for an engine.
     pub waiting: usize,
-    /// Longest wait for a target to accept a request.
+    /// Time within which a target must accept a request.
     pub attempt: Duration,
-    /// Longest silence of a target during an answer.
+    /// Maximum wait for the next token of a response, or for the head of a service's response.
     pub silence: Duration,
-    /// Longest body of a call that runs at most once, in bytes.
+    /// Maximum length of the body of a call that runs at most once, in bytes.
     pub once_body_len: usize,
 }
 
 /// The entry's settings.
 #[derive(Clone)]
 pub struct EntryConfig {
-    /// This box.
+    /// Name of this box.
     pub box_id: BoxId,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Keys block names.
+    /// Key of the hashes that name blocks.
     pub block_key: BlockKey,
-    /// Listener for callers.
+    /// Address of the listener for callers.
     pub listen: SocketAddr,
-    /// Listener for health and metrics.
+    /// Address of the listener for health and metrics.
     pub http_listen: SocketAddr,
-    /// The keeper of this box.
+    /// Address of the keeper of this box.
     pub keeper: SocketAddr,
-    /// How long a stopping entry still accepts.
+    /// Time for which a stopping entry still accepts requests.
     pub drain_lag: Duration,
-    /// Longest wait for hints.
+    /// Maximum wait for hints.
     pub look_up: Duration,
-    /// Limits.
+    /// Limits and timeouts.
     pub limits: Limits,
-    /// Collector of traces.
+    /// Address of the trace collector.
     pub collector: Option<SocketAddr>,
 }
 
 impl EntryConfig {
-    /// Takes the values out of checked settings.
+    /// Reads the configuration from checked settings.
     pub fn from_loaded(loaded: &Loaded) -> Result<Self, Faults> {
         let secret: String = loaded.get("fleet", "secret")?;
         let collectors: Vec<SocketAddr> = loaded.list("telemetry", "collector")?;
--- a/crates/sillpin-entry/src/snapshot.rs
+++ b/crates/sillpin-entry/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What the entry knows of the fleet: the last it heard from its keeper.
+//! The entry's view of the fleet, as last received from its keeper.
 
 use sillpin_bundle::Bundle;
 use sillpin_core::target::{LoadReport, TargetEntry};
@@ -18,19 +18,19 @@
     pub hash: CandidateHash,
     /// Its newest load report.
     pub load: Option<LoadReport>,
-    /// Whether it answered its readers.
+    /// Whether it responded to the keepers that poll it.
     pub reachable: bool,
-    /// Whether any source says that it leaves.
+    /// Whether any source reports that it is leaving.
     pub leaving: bool,
 }
 
 impl Target {
-    /// Whether it may get new work.
+    /// Returns whether it may receive new requests.
     pub fn is_usable(&self) -> bool {
         self.reachable && !self.leaving
     }
 
-    /// Weight version that it serves.
+    /// Returns the weight version that it serves, according to its load report.
     pub fn version(&self) -> Option<WeightVersion> {
         self.load.as_ref().and_then(|load| load.version)
     }
@@ -58,7 +58,7 @@
 pub struct InForce {
     /// Its revision.
     pub revision: Revision,
-    /// Its content.
+    /// Its contents.
     pub bundle: Arc<Bundle>,
     /// Arms that are stopped in this zone.
     pub stopped: Vec<ArmName>,
@@ -67,16 +67,16 @@
 /// Targets, bundle and organisations.
 #[derive(Debug, Clone, Default)]
 pub struct Snapshot {
-    /// Targets by name.
+    /// Targets by id.
     pub targets: HashMap<TargetId, Target>,
-    /// The bundle in force; none before the first.
+    /// The bundle in force; `None` before the first one.
     pub in_force: Option<InForce>,
-    /// Organisations by the hash of each of their keys.
+    /// Organisations by the hash of each of their API keys.
     pub keys: Arc<HashMap<[u8; 32], OrgId>>,
 }
 
 impl Snapshot {
-    /// The snapshot after an update of the keeper.
+    /// Returns the snapshot with an update from the keeper applied.
     pub fn after(&self, update: FleetUpdate) -> Self {
         let mut next = self.clone();
         if update.complete {
@@ -97,7 +97,7 @@
         next
     }
 
-    /// Brings a bundle into force if its revision is higher. Its keeper has verified it.
+    /// Puts a bundle into force if its revision is higher. The keeper has verified its signature.
     fn adopt(&mut self, accepted: sillpin_bundle::Accepted) {
         let current = self.in_force.as_ref().map(|f| f.revision);
         if current.is_some_and(|current| accepted.revision <= current) {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Targets of a pool and kind that may get new work.
+    /// Returns the targets of a pool and kind that may receive new requests.
     pub fn usable<'a>(
         &'a self,
         pool: &'a PoolId,
--- a/crates/sillpin-entry/tests/place.rs
+++ b/crates/sillpin-entry/tests/place.rs
@@ -1,4 +1,4 @@
-//! Placement under load: who waits, who goes, who is refused at once.
+//! Placement under load: which requests wait, which are sent and which are refused.
 
 #[path = "support/engine.rs"]
 mod engine;
@@ -18,7 +18,7 @@
 
 const NAMES: [&str; 2] = ["engine-a", "engine-b"];
 
-/// A placer whose engine A has `busy` blocks to compute and whose engine B is idle.
+/// Returns a placer whose engine A has `busy` blocks to compute and whose engine B is idle.
 fn placer(busy: u64) -> (PlacerHandle, watch::Sender<Arc<Snapshot>>) {
     let update = FleetUpdate {
         complete: true,
@@ -34,14 +34,14 @@
     (placer, tx)
 }
 
-/// A key whose home is the engine of this index.
+/// Returns a prompt hash whose home is the engine with this index.
 fn home_at(index: usize) -> u64 {
     let hashes = NAMES.map(CandidateHash::of);
     let all = || hashes.iter().enumerate().map(|(i, h)| (i, *h, 1.0));
     (0..).find(|key| top(*key, all(), 1) == [index]).unwrap()
 }
 
-/// A request that goes to its home alone.
+/// Returns a request that can only be placed at its home.
 fn request(home: u64, class: PriorityClass, deadline: Duration) -> PlaceRequest {
     let mut policy = PolicySet::default();
     policy.placement.kind = PlacementKind::Rendezvous;
--- a/crates/sillpin-entry/tests/program.rs
+++ b/crates/sillpin-entry/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program's arguments.
+//! Checks that invalid settings are reported.
 
 #[path = "../../sillpin-settings/tests/support/program.rs"]
 mod program;
--- a/crates/sillpin-entry/tests/support/engine.rs
+++ b/crates/sillpin-entry/tests/support/engine.rs
@@ -1,11 +1,13 @@
-//! An engine as the keeper tells it to the entry; the tests and the benchmark of placement include this file.
+//! Engines as a keeper reports them to an entry. The tests and the benchmark of placement include
+//! this file.
 
 use sillpin_core::target::TargetEntry;
 use sillpin_core::{LoadReport, Presence, Share, TargetKind, Tokens, WeightVersion};
 use sillpin_rpc::entry_link::TargetView;
 use sillpin_rpc::gossip::TargetState;
 
-/// A live engine of 16 slots with so many requests running and so many blocks waiting to be computed.
+/// Returns a live engine with 16 slots, `running` running requests and `waiting_blocks` blocks to
+/// compute.
 pub fn view(id: &str, zone: &str, running: u32, waiting_blocks: u64) -> TargetView {
     TargetView {
         entry: TargetEntry {
