--- a/crates/sillpin-entry/benches/decision.rs
+++ b/crates/sillpin-entry/benches/decision.rs
@@ -10,8 +10,8 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use sillpin_core::{PriorityClass, WeightVersion};
-use sillpin_entry::place::PlaceRequest;
-use sillpin_entry::place::placer::Placer;
+use sillpin_entry::placement::PlaceRequest;
+use sillpin_entry::placement::placer::Placer;
 use sillpin_entry::snapshot::Snapshot;
 use sillpin_rpc::directory::BlockHints;
 use sillpin_rpc::entry_link::{FleetUpdate, TargetView};
--- a/crates/sillpin-entry/src/app.rs
+++ b/crates/sillpin-entry/src/app.rs
@@ -3,7 +3,7 @@
 use crate::arms::ArmsHandle;
 use crate::keeper_link::KeeperLink;
 use crate::metrics::EntryMetrics;
-use crate::place::PlacerHandle;
+use crate::placement::PlacerHandle;
 use crate::settings::EntryConfig;
 use crate::snapshot::Snapshot;
 use sillpin_http::Client;
--- a/crates/sillpin-entry/src/front/failure.rs
+++ b/crates/sillpin-entry/src/front/failure.rs
@@ -1,6 +1,6 @@
 //! Problem documents for requests that get no complete response.
 
-use crate::place::Refusal;
+use crate::placement::Refusal;
 use hyper::{Response, StatusCode, header};
 use sillpin_core::outcome::PROBLEM_MEDIA_TYPE;
 use sillpin_core::switches::{Mechanism, is_off};
--- a/crates/sillpin-entry/src/lib.rs
+++ b/crates/sillpin-entry/src/lib.rs
@@ -2,7 +2,7 @@
 //! forwards the request over HTTP and streams the response back.
 //!
 //! - [`front`]: routes, API keys, limits and documents of the interface for callers,
-//! - [`place`]: the task that chooses an engine for each request and orders waiting requests,
+//! - [`placement`]: the task that chooses an engine for each request and orders waiting requests,
 //! - [`runs`]: executes a model request: claims, attempts, resumption, continuation,
 //! - [`services`]: forwards calls to plain services,
 //! - [`keeper_link`]: the connection to the keeper of this box; the entry also works without it,
@@ -15,7 +15,7 @@
 pub mod keeper_link;
 pub mod metrics;
 pub mod ops;
-pub mod place;
+pub mod placement;
 pub mod runs;
 pub mod services;
 pub mod settings;
--- a/crates/sillpin-entry/src/ops.rs
+++ b/crates/sillpin-entry/src/ops.rs
@@ -3,7 +3,7 @@
 use crate::app::App;
 use crate::metrics::EntryMetrics;
 use crate::settings::EntryConfig;
-use crate::{arms, front, keeper_link, place};
+use crate::{arms, front, keeper_link, placement};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
 use sillpin_http::server::{BindError, HeadLimits, listen};
@@ -87,7 +87,7 @@
 ) -> App<HttpEngine> {
     let client = Client::default();
     let (keeper, snapshot) = keeper_link::start(cfg.keeper, log.clone());
-    let placer = place::start(cfg.zone.clone(), snapshot.clone(), cfg.limits.waiting);
+    let placer = placement::start(cfg.zone.clone(), snapshot.clone(), cfg.limits.waiting);
     let arms = arms::start(&cfg, snapshot.clone(), keeper.clone());
     App {
         cfg: Arc::new(cfg),
--- a/crates/sillpin-entry/src/runs/account.rs
+++ b/crates/sillpin-entry/src/runs/accounting.rs
@@ -6,7 +6,7 @@
 use crate::front::documents::Provenance;
 use crate::keeper_link::News;
 use crate::metrics::PromptWork;
-use crate::place::Placed;
+use crate::placement::Placed;
 use opentelemetry::KeyValue;
 use opentelemetry::trace::Span;
 use sillpin_core::{Outcome, Tokens};
--- a/crates/sillpin-entry/src/runs/call.rs
+++ b/crates/sillpin-entry/src/runs/call.rs
@@ -1,7 +1,7 @@
 //! Serves a parsed model request and writes the response.
 
 use super::drive::{Delivery, Driver};
-use super::prompt::plan;
+use super::plan::plan;
 use crate::app::App;
 use crate::front::Failure;
 use crate::front::documents::{ModelRequest, Provenance, Writer};
--- a/crates/sillpin-entry/src/runs/drive.rs
+++ b/crates/sillpin-entry/src/runs/drive.rs
@@ -1,14 +1,14 @@
 //! The task that executes one request, with its attempts.
 
 use super::Call;
-use super::once;
-use super::prompt::{Plan, plan};
+use super::idempotency;
+use super::plan::{Plan, plan};
 use super::send::Broken;
 use crate::app::App;
 use crate::front::Failure;
 use crate::front::documents::Provenance;
 use crate::keeper_link::News;
-use crate::place::{PlaceRequest, Placed};
+use crate::placement::{PlaceRequest, Placed};
 use opentelemetry::KeyValue;
 use opentelemetry::trace::{Span, SpanKind};
 use sillpin_core::{Outcome, TargetId, WeightVersion};
@@ -94,7 +94,7 @@
     }
 
     async fn carry_out(&mut self) -> Result<RunSummary, Failure> {
-        let mut claim = once::claim(&self.app, &self.call).await?;
+        let mut claim = idempotency::claim(&self.app, &self.call).await?;
         let mut hints = self.look_up().await;
         loop {
             let placed = match self.place(&hints).await {
--- a/crates/sillpin-entry/src/runs/mod.rs
+++ b/crates/sillpin-entry/src/runs/mod.rs
@@ -10,12 +10,12 @@
 //! | response broke off | resumed at the same engine by cursor, else continued at another engine from the delivered tokens | resumed at the same engine by cursor, else outcome unknown |
 //! | response belongs to another attempt | another engine | outcome unknown |
 
-mod account;
+mod accounting;
 mod attempt;
 mod call;
 mod drive;
-pub mod once;
-mod prompt;
+pub mod idempotency;
+mod plan;
 mod send;
 
 pub use call::{Call, serve};
--- a/crates/sillpin-entry/src/runs/send.rs
+++ b/crates/sillpin-entry/src/runs/send.rs
@@ -2,8 +2,8 @@
 
 use super::attempt::Attempt;
 use super::drive::{Delivery, Driver};
-use super::once::Claim;
-use crate::place::Placed;
+use super::idempotency::Claim;
+use crate::placement::Placed;
 use opentelemetry::KeyValue;
 use opentelemetry::trace::{Span, SpanKind};
 use sillpin_core::{AttemptId, Outcome};
--- a/crates/sillpin-entry/src/services.rs
+++ b/crates/sillpin-entry/src/services.rs
@@ -8,7 +8,7 @@
 use crate::app::App;
 use crate::front::{Failure, body, headers};
 use crate::keeper_link::News;
-use crate::runs::once::{Claim, Claimed};
+use crate::runs::idempotency::{Claim, Claimed};
 use crate::snapshot::Target;
 use bytes::Bytes;
 use hyper::body::{Body as _, Incoming};
--- a/crates/sillpin-entry/tests/place.rs
+++ b/crates/sillpin-entry/tests/place.rs
@@ -4,7 +4,7 @@
 mod engine;
 
 use sillpin_core::{PriorityClass, WeightVersion};
-use sillpin_entry::place::{PlaceRequest, PlacerHandle, Refusal, start};
+use sillpin_entry::placement::{PlaceRequest, PlacerHandle, Refusal, start};
 use sillpin_entry::snapshot::Snapshot;
 use sillpin_policy::PolicySet;
 use sillpin_policy::rendezvous::{CandidateHash, top};
