--- a/crates/sillpin-entry/benches/decision.rs
+++ b/crates/sillpin-entry/benches/decision.rs
@@ -57,7 +57,10 @@
             ..FleetUpdate::default()
         };
         let mut placer = Placer::new("zone-0".parse().unwrap());
-        placer.update(&Arc::new(Snapshot::default().after(update)), Instant::now());
+        placer.apply_snapshot(
+            &Arc::new(Snapshot::default().with_update(update)),
+            Instant::now(),
+        );
         group.bench_with_input(BenchmarkId::from_parameter(count), &count, |b, _| {
             let mut req = request(0);
             b.iter(|| {
--- a/crates/sillpin-entry/src/arms.rs
+++ b/crates/sillpin-entry/src/arms.rs
@@ -5,7 +5,7 @@
 //! breach, the keeper is requested to stop the arm in this zone, and the arm's prompts return to
 //! the control arm.
 
-use crate::keeper_link::{KeeperLink, News};
+use crate::keeper_link::{KeeperLink, Report};
 use crate::metrics::PromptWork;
 use crate::settings::EntryConfig;
 use crate::snapshot::Snapshot;
@@ -23,16 +23,16 @@
 const QUEUE_LEN: usize = 4_096;
 
 /// Length of a window. An arm is judged over the current window and the previous one.
-const WINDOW: Duration = Duration::from_secs(20);
+const WINDOW_LEN: Duration = Duration::from_secs(20);
 
 /// Interval at which the guard checks the arms.
-const JUDGE_EVERY: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Interval of the reports to the keeper.
-const REPORT_EVERY: Duration = Duration::from_secs(2);
+const REPORT_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Significant digits that the histograms keep.
-const DIGITS: u8 = 2;
+const SIGNIFICANT_DIGITS: u8 = 2;
 
 /// The result of one request that was assigned to an arm.
 #[derive(Debug, Clone)]
@@ -42,12 +42,12 @@
     /// The arm.
     pub arm: ArmName,
     /// Measurements of a complete response; `None` if the request failed.
-    pub answered: Option<Answered>,
+    pub completed: Option<Completed>,
 }
 
 /// Measurements of a complete response.
 #[derive(Debug, Clone, Copy)]
-pub struct Answered {
+pub struct Completed {
     /// Time to first token.
     pub first_token: Duration,
     /// Where the tokens of the prompt came from.
@@ -74,15 +74,15 @@
     keeper: KeeperLink,
 ) -> ArmsHandle {
     let (tx, rx) = mpsc::channel(QUEUE_LEN);
-    let task = Task {
-        by: cfg.box_id.clone(),
+    let task = ArmsTask {
+        box_id: cfg.box_id.clone(),
         zone: cfg.zone.clone(),
-        whole: HashMap::new(),
+        totals: HashMap::new(),
         snapshots,
         keeper,
         revision: Revision(0),
-        now: HashMap::new(),
-        before: HashMap::new(),
+        current: HashMap::new(),
+        previous: HashMap::new(),
     };
     tokio::spawn(task.run(rx));
     ArmsHandle { tx }
@@ -107,14 +107,14 @@
 }
 
 impl Window {
-    fn count(&mut self, answered: Option<&Answered>) {
-        let Some(answered) = answered else {
+    fn count(&mut self, completed: Option<&Completed>) {
+        let Some(completed) = completed else {
             self.failed += 1;
             return;
         };
-        let micros = answered.first_token.as_micros() as u64;
+        let micros = completed.first_token.as_micros() as u64;
         self.first_tokens.saturating_record(micros);
-        let work = &answered.work;
+        let work = &completed.work;
         let tokens = work.computed + work.cached + work.imported;
         self.computed.add(work.computed.0 as f64, tokens.0 as f64);
         self.link_bytes.add(work.link_bytes as f64, 1.0);
@@ -123,39 +123,39 @@
 
 /// Returns a histogram of microseconds up to ten minutes.
 fn micros_histogram() -> Histogram<u64> {
-    const LONGEST: u64 = 600_000_000;
-    let mut histogram = Histogram::new_with_bounds(1, LONGEST, DIGITS);
+    const MAX_MICROS: u64 = 600_000_000;
+    let mut histogram = Histogram::new_with_bounds(1, MAX_MICROS, SIGNIFICANT_DIGITS);
     if let Ok(histogram) = &mut histogram {
         histogram.auto(false);
     }
     histogram.unwrap_or_else(|_| unreachable!("the bounds are constant and valid"))
 }
 
-struct Task {
-    by: BoxId,
+struct ArmsTask {
+    box_id: BoxId,
     zone: ZoneId,
-    whole: HashMap<ArmName, Window>,
+    totals: HashMap<ArmName, Window>,
     snapshots: watch::Receiver<Arc<Snapshot>>,
     keeper: KeeperLink,
     revision: Revision,
-    now: HashMap<ArmName, Window>,
-    before: HashMap<ArmName, Window>,
+    current: HashMap<ArmName, Window>,
+    previous: HashMap<ArmName, Window>,
 }
 
-impl Task {
+impl ArmsTask {
     async fn run(mut self, mut rx: mpsc::Receiver<Sample>) {
-        let mut judge = tokio::time::interval(JUDGE_EVERY);
-        let mut turn = tokio::time::interval(WINDOW);
-        let mut report = tokio::time::interval(REPORT_EVERY);
+        let mut check = tokio::time::interval(CHECK_INTERVAL);
+        let mut rotate = tokio::time::interval(WINDOW_LEN);
+        let mut report = tokio::time::interval(REPORT_INTERVAL);
         loop {
             tokio::select! {
                 sample = rx.recv() => match sample {
                     Some(sample) => self.count(sample),
                     None => return,
                 },
-                _ = judge.tick() => self.judge(),
+                _ = check.tick() => self.check_guard(),
                 _ = report.tick() => self.report(),
-                _ = turn.tick() => self.before = std::mem::take(&mut self.now),
+                _ = rotate.tick() => self.previous = std::mem::take(&mut self.current),
             }
         }
     }
@@ -163,28 +163,28 @@
     fn count(&mut self, sample: Sample) {
         if sample.revision > self.revision {
             self.revision = sample.revision;
-            self.now.clear();
-            self.before.clear();
-            self.whole.clear();
+            self.current.clear();
+            self.previous.clear();
+            self.totals.clear();
         }
         if sample.revision < self.revision {
             return;
         }
-        let answered = sample.answered.as_ref();
-        self.whole
+        let completed = sample.completed.as_ref();
+        self.totals
             .entry(sample.arm.clone())
             .or_default()
-            .count(answered);
-        self.now.entry(sample.arm).or_default().count(answered);
+            .count(completed);
+        self.current.entry(sample.arm).or_default().count(completed);
     }
 
     /// Reports the sums since the revision came into force to the keeper.
     fn report(&self) {
-        if self.whole.is_empty() {
+        if self.totals.is_empty() {
             return;
         }
-        let figures = self.whole.iter().map(|(arm, window)| ArmFigures {
-            by: self.by.clone(),
+        let figures = self.totals.iter().map(|(arm, window)| ArmFigures {
+            by: self.box_id.clone(),
             zone: self.zone.clone(),
             revision: self.revision,
             arm: arm.clone(),
@@ -197,13 +197,13 @@
             computed: window.computed,
             link_bytes: window.link_bytes,
         });
-        self.keeper.tell(News::Arms(figures.collect()));
+        self.keeper.report(Report::Arms(figures.collect()));
     }
 
     fn sample(&self, arm: &ArmName) -> ArmSample {
         let mut all = micros_histogram();
         let mut failed = 0;
-        for window in [self.now.get(arm), self.before.get(arm)]
+        for window in [self.current.get(arm), self.previous.get(arm)]
             .into_iter()
             .flatten()
         {
@@ -217,7 +217,7 @@
         }
     }
 
-    fn judge(&self) {
+    fn check_guard(&self) {
         let snapshot = self.snapshots.borrow().clone();
         let Some(in_force) = snapshot.in_force.as_ref() else {
             return;
@@ -235,8 +235,8 @@
             }
             let sample = self.sample(&arm.name);
             if let Some(breach) = in_force.bundle.guard.breach(&sample, &control) {
-                let news = News::StopArm(self.revision, arm.name.clone(), breach);
-                self.keeper.tell(news);
+                let report = Report::StopArm(self.revision, arm.name.clone(), breach);
+                self.keeper.report(report);
             }
         }
     }
--- a/crates/sillpin-entry/src/front/documents.rs
+++ b/crates/sillpin-entry/src/front/documents.rs
@@ -75,7 +75,7 @@
         }
         let prompt = match dialect {
             Dialect::Completions => common.prompt,
-            Dialect::Chat => common.messages.as_deref().map(join),
+            Dialect::Chat => common.messages.as_deref().map(join_messages),
         };
         let field = match dialect {
             Dialect::Completions => "prompt",
@@ -98,7 +98,7 @@
 
 /// Joins the messages of a chat into one prompt. The prompt of a shorter chat is a prefix of that
 /// of the same chat with more messages, so its cached blocks can be reused.
-fn join(messages: &[Message]) -> String {
+fn join_messages(messages: &[Message]) -> String {
     let mut prompt = String::new();
     for message in messages {
         prompt.push_str(&format!("<|{}|>\n{}\n", message.role, message.content));
@@ -186,7 +186,7 @@
 
 /// Writes the documents of one response.
 #[derive(Debug, Clone)]
-pub struct Writer {
+pub struct ResponseWriter {
     /// The request, whose id is the id of the documents.
     pub request: RequestId,
     /// The API of the request.
@@ -195,7 +195,7 @@
     pub model: ModelId,
 }
 
-impl Writer {
+impl ResponseWriter {
     fn document<'a>(&'a self, object: &'static str, choice: Choice<'a>) -> Document<'a> {
         Document {
             id: self.request,
@@ -207,12 +207,17 @@
         }
     }
 
-    fn choice<'a>(&self, text: &'a str, whole: bool, finish: Option<&'static str>) -> Choice<'a> {
+    fn choice<'a>(
+        &self,
+        text: &'a str,
+        is_complete: bool,
+        finish: Option<&'static str>,
+    ) -> Choice<'a> {
         let chat = ChatText {
             role: "assistant",
             content: text,
         };
-        let (text, message, delta) = match (self.dialect, whole) {
+        let (text, message, delta) = match (self.dialect, is_complete) {
             (Dialect::Completions, _) => (Some(text), None, None),
             (Dialect::Chat, true) => (None, Some(chat), None),
             (Dialect::Chat, false) => (None, None, Some(chat)),
@@ -248,7 +253,12 @@
     }
 
     /// Returns a complete response as one document.
-    pub fn whole(&self, text: &str, summary: RunSummary, provenance: Provenance) -> Vec<u8> {
+    pub fn complete_document(
+        &self,
+        text: &str,
+        summary: RunSummary,
+        provenance: Provenance,
+    ) -> Vec<u8> {
         let object = match self.dialect {
             Dialect::Completions => "text_completion",
             Dialect::Chat => "chat.completion",
--- a/crates/sillpin-entry/src/front/failure.rs
+++ b/crates/sillpin-entry/src/front/failure.rs
@@ -101,7 +101,7 @@
     }
 
     /// A call that runs at most once and whose idempotency key is claimed by another request.
-    pub fn taken(outcome: Outcome) -> Self {
+    pub fn already_sent(outcome: Outcome) -> Self {
         let detail = match outcome {
             Outcome::Ran => "a request with this idempotency key was carried out",
             _ => {
@@ -130,7 +130,7 @@
         if let Some(after) = self.retry_after {
             headers.insert(
                 header::RETRY_AFTER,
-                header::HeaderValue::from(whole_secs(after)),
+                header::HeaderValue::from(ceil_secs(after)),
             );
         }
         if self.status == StatusCode::UNAUTHORIZED {
@@ -149,23 +149,23 @@
             detail: self.detail.clone(),
             outcome: self.outcome,
             request_id: Some(request),
-            retry_after: self.retry_after.map(whole_secs),
+            retry_after: self.retry_after.map(ceil_secs),
         }
     }
 }
 
-fn whole_secs(time: Duration) -> u64 {
+fn ceil_secs(time: Duration) -> u64 {
     time.as_millis().div_ceil(1_000).max(1) as u64
 }
 
 /// Retry-After for refusals that give no time.
-const DEFAULT_RETRY: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl From<Refusal> for Failure {
     fn from(refusal: Refusal) -> Self {
         let retry_after = match refusal {
             Refusal::TooLate { retry_after } => retry_after,
-            Refusal::NoEngine | Refusal::Full | Refusal::NoRetries => DEFAULT_RETRY,
+            Refusal::NoEngine | Refusal::Full | Refusal::NoRetries => DEFAULT_RETRY_AFTER,
         };
         let unavailable = Self::unavailable(refusal.to_string(), retry_after);
         match refusal {
--- a/crates/sillpin-entry/src/front/headers.rs
+++ b/crates/sillpin-entry/src/front/headers.rs
@@ -50,9 +50,9 @@
 }
 
 /// Returns the priority class of a request.
-pub fn class(headers: &HeaderMap) -> Result<PriorityClass, Failure> {
-    let class = parsed(headers, PRIORITY, "urgent, normal or batch")?;
-    Ok(class.unwrap_or_default())
+pub fn priority_class(headers: &HeaderMap) -> Result<PriorityClass, Failure> {
+    let priority_class = parsed(headers, PRIORITY, "urgent, normal or batch")?;
+    Ok(priority_class.unwrap_or_default())
 }
 
 /// Returns the maximum time to the first token that a request sets.
--- a/crates/sillpin-entry/src/front/route.rs
+++ b/crates/sillpin-entry/src/front/route.rs
@@ -22,7 +22,7 @@
 pub async fn handle<E: Engine>(app: App<E>, req: Request<Incoming>) -> Response<Body> {
     match req.uri().path() {
         "/healthz" => return empty_response(StatusCode::OK),
-        "/readyz" => return ready(&app),
+        "/readyz" => return readiness(&app),
         _ => {}
     }
     let request = RequestId::generate();
@@ -32,8 +32,8 @@
         .and_then(traces::parse_traceparent);
     let mut span = app.traces.span("entry", SpanKind::Server, parent.as_ref());
     span.set_attribute(KeyValue::new("request", request.to_string()));
-    let answer = serve(&app, request, span, req).await;
-    let mut resp = answer.unwrap_or_else(|failure| {
+    let result = serve(&app, request, span, req).await;
+    let mut resp = result.unwrap_or_else(|failure| {
         event!(app.log, events::REQUEST_FAILED, "request" => %request,
             "outcome" => %failure.outcome, "error" => %failure);
         failure.response(request)
@@ -45,7 +45,7 @@
 }
 
 /// Answers the readiness check of the load balancer.
-fn ready<E: Engine>(app: &App<E>) -> Response<Body> {
+fn readiness<E: Engine>(app: &App<E>) -> Response<Body> {
     let status = if app.is_ready() {
         StatusCode::OK
     } else {
@@ -72,7 +72,7 @@
     let path = req.uri().path();
     if let Some(rest) = path.strip_prefix(SERVICES) {
         let rest = rest.to_owned();
-        return services::pass_on(app, request, span, org, &rest, req).await;
+        return services::forward(app, request, span, org, &rest, req).await;
     }
     let dialect = match (req.method(), path) {
         (&Method::POST, "/v1/completions") => Dialect::Completions,
@@ -89,10 +89,10 @@
         }
         _ => return Err(Failure::not_found(format!("nothing is served at {path}"))),
     };
-    run_model(app, request, span, org, dialect, req).await
+    serve_model(app, request, span, org, dialect, req).await
 }
 
-async fn run_model<E: Engine>(
+async fn serve_model<E: Engine>(
     app: &App<E>,
     request: RequestId,
     span: ActiveSpan,
@@ -101,19 +101,19 @@
     req: Request<Incoming>,
 ) -> Result<Response<Body>, Failure> {
     let limits = app.cfg.limits;
-    let class = headers::class(req.headers())?;
+    let class = headers::priority_class(req.headers())?;
     let deadline = headers::deadline(req.headers())?;
-    let once_key = headers::idempotency_key(req.headers())?;
-    let bytes = body::read(req.into_body(), limits.body_len, limits.body_time).await?;
-    let asked = ModelRequest::parse(dialect, &bytes, limits.max_tokens)?;
+    let idempotency_key = headers::idempotency_key(req.headers())?;
+    let bytes = body::read(req.into_body(), limits.body_len, limits.body_timeout).await?;
+    let body = ModelRequest::parse(dialect, &bytes, limits.max_tokens)?;
     let call = runs::Call {
         request,
         org,
         class,
         deadline,
-        once_key,
+        idempotency_key,
         digest: blake3::hash(&bytes).to_hex().to_string(),
-        asked,
+        body,
     };
     runs::serve(app.clone(), call, span).await
 }
--- a/crates/sillpin-entry/src/keeper_link.rs
+++ b/crates/sillpin-entry/src/keeper_link.rs
@@ -24,7 +24,7 @@
 use tokio::time::Instant;
 
 /// Time for which the keeper holds a poll open if there are no changes.
-const FLEET_WAIT: Duration = Duration::from_secs(2);
+const FLEET_POLL_TIME: Duration = Duration::from_secs(2);
 
 /// Timeout of other calls.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
@@ -36,22 +36,22 @@
 const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
 
 /// Maximum number of queued reports; further ones are dropped.
-const NEWS_QUEUE: usize = 4_096;
+const REPORT_QUEUE_LEN: usize = 4_096;
 
 /// Time for which reports are collected into one batch.
-const NEWS_EVERY: Duration = Duration::from_millis(100);
+const BATCH_TIME: Duration = Duration::from_millis(100);
 
 /// A report to the keeper that is sent without waiting for the result.
 #[derive(Debug)]
-pub enum News {
+pub enum Report {
     /// A prompt whose blocks are now cached at an engine.
-    Used(PromptUse),
+    PromptUsed(PromptUse),
     /// The decision record of a request that ended.
     Record(Box<DecisionRecord>),
     /// An arm to stop because the guard detected a breach.
     StopArm(Revision, ArmName, Breach),
     /// A target that refused or broke connections.
-    Suspect(TargetId),
+    Unreachable(TargetId),
     /// The outcome of a claimed call.
     EndClaim(ClaimEnd),
     /// Measurements of the arms so far.
@@ -62,24 +62,24 @@
 #[derive(Clone)]
 pub struct KeeperLink {
     client: watch::Receiver<Option<EntryLinkClient>>,
-    news: mpsc::Sender<News>,
+    reports: mpsc::Sender<Report>,
 }
 
 /// Starts the tasks that communicate with the keeper at `addr`.
 pub fn start(addr: SocketAddr, log: Logger) -> (KeeperLink, watch::Receiver<Arc<Snapshot>>) {
     let (client_tx, client) = watch::channel(None);
     let (snapshot_tx, snapshot) = watch::channel(Arc::new(Snapshot::default()));
-    let (news, news_rx) = mpsc::channel(NEWS_QUEUE);
-    let follower = Follower {
+    let (reports, reports_rx) = mpsc::channel(REPORT_QUEUE_LEN);
+    let poller = FleetPoller {
         addr,
         log,
         client: client_tx,
         snapshot: snapshot_tx,
-        known: FleetPosition::default(),
+        position: FleetPosition::default(),
     };
-    tokio::spawn(follower.run());
-    let link = KeeperLink { client, news };
-    tokio::spawn(link.clone().send_news(news_rx));
+    tokio::spawn(poller.run());
+    let link = KeeperLink { client, reports };
+    tokio::spawn(link.clone().send_reports(reports_rx));
     (link, snapshot)
 }
 
@@ -114,37 +114,37 @@
     }
 
     /// Queues a report; it is dropped if the queue is full.
-    pub fn tell(&self, news: News) {
-        let _ = self.news.try_send(news);
+    pub fn report(&self, report: Report) {
+        let _ = self.reports.try_send(report);
     }
 
-    async fn send_news(self, mut rx: mpsc::Receiver<News>) {
+    async fn send_reports(self, mut rx: mpsc::Receiver<Report>) {
         let mut batch = Vec::new();
-        while rx.recv_many(&mut batch, NEWS_QUEUE).await > 0 {
+        while rx.recv_many(&mut batch, REPORT_QUEUE_LEN).await > 0 {
             let urgent = batch
                 .iter()
-                .any(|news| matches!(news, News::Suspect(_) | News::EndClaim(_)));
+                .any(|report| matches!(report, Report::Unreachable(_) | Report::EndClaim(_)));
             self.send_batch(std::mem::take(&mut batch)).await;
             if !urgent {
-                tokio::time::sleep(NEWS_EVERY).await;
+                tokio::time::sleep(BATCH_TIME).await;
             }
         }
     }
 
-    async fn send_batch(&self, batch: Vec<News>) {
+    async fn send_batch(&self, batch: Vec<Report>) {
         let Some(client) = self.client() else { return };
         let (mut prompts_used, mut records) = (Vec::new(), Vec::new());
-        for news in batch {
+        for report in batch {
             let cx = within(CALL_TIMEOUT);
-            match news {
-                News::Used(prompt) => prompts_used.push(prompt),
-                News::Record(record) => records.push(*record),
-                News::StopArm(revision, arm, breach) => {
+            match report {
+                Report::PromptUsed(prompt) => prompts_used.push(prompt),
+                Report::Record(record) => records.push(*record),
+                Report::StopArm(revision, arm, breach) => {
                     drop(client.stop_arm(cx, revision, arm, breach).await);
                 }
-                News::Suspect(target) => drop(client.report_unreachable(cx, target).await),
-                News::EndClaim(end) => drop(client.end_claim(cx, end).await),
-                News::Arms(figures) => drop(client.arms(cx, figures).await),
+                Report::Unreachable(target) => drop(client.report_unreachable(cx, target).await),
+                Report::EndClaim(end) => drop(client.end_claim(cx, end).await),
+                Report::Arms(figures) => drop(client.arms(cx, figures).await),
             }
         }
         if !prompts_used.is_empty() {
@@ -158,46 +158,47 @@
     }
 }
 
-struct Follower {
+struct FleetPoller {
     addr: SocketAddr,
     log: Logger,
     client: watch::Sender<Option<EntryLinkClient>>,
     snapshot: watch::Sender<Arc<Snapshot>>,
-    known: FleetPosition,
+    position: FleetPosition,
 }
 
-impl Follower {
+impl FleetPoller {
     async fn run(mut self) {
-        let mut lost_since: Option<Instant> = None;
+        let mut unreachable_since: Option<Instant> = None;
         loop {
             if let Ok(transport) = connect(self.addr).await {
                 let client = EntryLinkClient::new(Config::default(), transport).spawn();
                 self.client.send_replace(Some(client.clone()));
-                if lost_since.take().is_some() {
+                if unreachable_since.take().is_some() {
                     event!(self.log, events::KEEPER_RECOVERED, "keeper" => %self.addr);
                 }
-                self.follow(client).await;
+                self.poll_fleet(client).await;
                 self.client.send_replace(None);
             }
-            if lost_since.is_none() {
+            if unreachable_since.is_none() {
                 event!(self.log, events::KEEPER_UNREACHABLE, "keeper" => %self.addr);
-                lost_since = Some(Instant::now());
+                unreachable_since = Some(Instant::now());
             }
             tokio::time::sleep(RECONNECT_PAUSE).await;
         }
     }
 
-    async fn follow(&mut self, client: EntryLinkClient) {
+    async fn poll_fleet(&mut self, client: EntryLinkClient) {
         loop {
-            let wait_ms = FLEET_WAIT.as_millis() as u64;
-            let timeout = FLEET_WAIT + CALL_TIMEOUT;
-            let call = client.fleet(within(timeout), self.known, wait_ms);
+            let wait_ms = FLEET_POLL_TIME.as_millis() as u64;
+            let timeout = FLEET_POLL_TIME + CALL_TIMEOUT;
+            let call = client.fleet(within(timeout), self.position, wait_ms);
             let Ok(Ok(update)) = tokio::time::timeout(timeout, call).await else {
                 return;
             };
-            self.known = update.known;
-            let before = self.snapshot.borrow().clone();
-            self.snapshot.send_replace(Arc::new(before.after(update)));
+            self.position = update.known;
+            let previous = self.snapshot.borrow().clone();
+            self.snapshot
+                .send_replace(Arc::new(previous.with_update(update)));
         }
     }
 }
--- a/crates/sillpin-entry/src/metrics.rs
+++ b/crates/sillpin-entry/src/metrics.rs
@@ -50,14 +50,14 @@
 impl EntryMetrics {
     /// Creates the instruments.
     pub fn new(meter: &Meter) -> Self {
-        let seconds = |name| {
+        let seconds_histogram = |name| {
             let histogram = meter.f64_histogram(name).with_unit("s");
             histogram.with_boundaries(TIME_BOUNDS.to_vec()).build()
         };
         Self {
             requests: meter.u64_counter("sillpin_requests").build(),
-            first_token: seconds("sillpin_first_token"),
-            between_tokens: seconds("sillpin_between_tokens"),
+            first_token: seconds_histogram("sillpin_first_token"),
+            between_tokens: seconds_histogram("sillpin_between_tokens"),
             tokens: meter.u64_counter("sillpin_prompt_tokens").build(),
             link_bytes: meter.u64_counter("sillpin_link_bytes").build(),
             orgs: Arc::default(),
@@ -77,7 +77,7 @@
     }
 
     /// Counts a request by its outcome; `answered` if it got a complete response.
-    pub fn ended(&self, labels: &Labels, outcome: Outcome, answered: bool) {
+    pub fn count_request(&self, labels: &Labels, outcome: Outcome, answered: bool) {
         let mut labels = self.key_values(labels);
         labels.push(KeyValue::new("outcome", outcome.to_string()));
         labels.push(KeyValue::new("answered", answered));
--- a/crates/sillpin-entry/src/ops.rs
+++ b/crates/sillpin-entry/src/ops.rs
@@ -48,24 +48,24 @@
         callers: callers_at,
         http: http_at,
     });
-    tokio::spawn(log_readiness(app.clone()));
+    tokio::spawn(log_when_ready(app.clone()));
 
     let closed = CancellationToken::new();
     let limits = HeadLimits {
         max_len: app.cfg.limits.head_len,
-        timeout: app.cfg.limits.head_time,
+        timeout: app.cfg.limits.head_timeout,
     };
-    let serving = app.clone();
+    let caller_app = app.clone();
     let callers = Server::on(callers)
         .limits(limits)
         .run(closed.clone(), move |req| {
-            front::handle(serving.clone(), req)
+            front::handle(caller_app.clone(), req)
         });
     let callers = tokio::spawn(callers);
     let metrics = Arc::new(metrics);
-    let watched = app.clone();
+    let operator_app = app.clone();
     tokio::spawn(Server::on(http).run(CancellationToken::new(), move |req| {
-        operators(watched.clone(), metrics.clone(), req)
+        serve_operators(operator_app.clone(), metrics.clone(), req)
     }));
 
     stop.cancelled().await;
@@ -87,7 +87,7 @@
 ) -> App<HttpEngine> {
     let client = Client::default();
     let (keeper, snapshot) = keeper_link::start(cfg.keeper, log.clone());
-    let placer = placement::start(cfg.zone.clone(), snapshot.clone(), cfg.limits.waiting);
+    let placer = placement::start(cfg.zone.clone(), snapshot.clone(), cfg.limits.max_waiting);
     let arms = arms::start(&cfg, snapshot.clone(), keeper.clone());
     App {
         cfg: Arc::new(cfg),
@@ -104,7 +104,7 @@
     }
 }
 
-async fn log_readiness(mut app: App<HttpEngine>) {
+async fn log_when_ready(mut app: App<HttpEngine>) {
     let ready = app
         .snapshot
         .wait_for(|snapshot| snapshot.in_force.is_some());
@@ -116,7 +116,7 @@
     event!(app.log, events::ENTRY_READY, "revision" => %revision);
 }
 
-async fn operators(
+async fn serve_operators(
     app: App<HttpEngine>,
     metrics: Arc<Metrics>,
     req: Request<Incoming>,
--- a/crates/sillpin-entry/src/placement/backlog.rs
+++ b/crates/sillpin-entry/src/placement/backlog.rs
@@ -15,98 +15,104 @@
 const REPORT_LAG: Duration = Duration::from_millis(700);
 
 /// Weight of the newest run in the moving average of run times.
-const RUN_WEIGHT: f64 = 0.1;
+const MEAN_RUN_WEIGHT: f64 = 0.1;
 
 /// Initial value of the average run time.
-const FIRST_RUN: Duration = Duration::from_secs(1);
+const INITIAL_MEAN_RUN: Duration = Duration::from_secs(1);
 
 /// Time for which an engine is in cooldown after a failed request.
-const REST: Duration = Duration::from_secs(1);
+const COOLDOWN: Duration = Duration::from_secs(1);
 
 /// The estimate for one engine.
 #[derive(Debug)]
 pub struct Backlog {
-    work: Duration,
-    at: Instant,
+    queued_work: Duration,
+    updated_at: Instant,
     sequence: Option<u64>,
-    sent: VecDeque<(Instant, Duration)>,
+    recent_sends: VecDeque<(Instant, Duration)>,
     in_flight: u32,
     mean_run: Duration,
-    rest_until: Option<Instant>,
+    cooldown_until: Option<Instant>,
 }
 
 impl Backlog {
     pub fn new(now: Instant) -> Self {
         Self {
-            work: Duration::ZERO,
-            at: now,
+            queued_work: Duration::ZERO,
+            updated_at: now,
             sequence: None,
-            sent: VecDeque::new(),
+            recent_sends: VecDeque::new(),
             in_flight: 0,
-            mean_run: FIRST_RUN,
-            rest_until: None,
+            mean_run: INITIAL_MEAN_RUN,
+            cooldown_until: None,
         }
     }
 
-    fn decay(&mut self, now: Instant) {
-        self.work = self.work.saturating_sub(now - self.at);
-        self.at = now;
+    fn advance(&mut self, now: Instant) {
+        self.queued_work = self.queued_work.saturating_sub(now - self.updated_at);
+        self.updated_at = now;
         while self
-            .sent
+            .recent_sends
             .front()
             .is_some_and(|(at, _)| now - *at > REPORT_LAG)
         {
-            self.sent.pop_front();
+            self.recent_sends.pop_front();
         }
     }
 
     /// Applies a load report, unless it was applied before.
-    pub fn report(&mut self, load: &LoadReport, now: Instant) {
+    pub fn apply_report(&mut self, load: &LoadReport, now: Instant) {
         if self.sequence == Some(load.sequence) {
             return;
         }
         self.sequence = Some(load.sequence);
-        self.decay(now);
+        self.advance(now);
         let blocks = load.waiting_tokens.0.div_ceil(BLOCK_TOKENS);
         let reported = Duration::from_micros(blocks * load.block_micros);
-        self.work = reported + self.sent.iter().map(|(_, work)| *work).sum::<Duration>();
+        self.queued_work = reported
+            + self
+                .recent_sends
+                .iter()
+                .map(|(_, work)| *work)
+                .sum::<Duration>();
     }
 
     /// Adds a request that was sent and takes `work` to process.
-    pub fn sent(&mut self, work: Duration, now: Instant) {
-        self.decay(now);
-        self.work += work;
-        self.sent.push_back((now, work));
+    pub fn add_sent(&mut self, work: Duration, now: Instant) {
+        self.advance(now);
+        self.queued_work += work;
+        self.recent_sends.push_back((now, work));
         self.in_flight += 1;
     }
 
     /// Records that a request ended after `took`.
-    pub fn done(&mut self, took: Duration, answered: bool, now: Instant) {
+    pub fn record_ended(&mut self, took: Duration, completed: bool, now: Instant) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        if answered {
-            self.mean_run = self.mean_run.mul_f64(1.0 - RUN_WEIGHT) + took.mul_f64(RUN_WEIGHT);
+        if completed {
+            self.mean_run =
+                self.mean_run.mul_f64(1.0 - MEAN_RUN_WEIGHT) + took.mul_f64(MEAN_RUN_WEIGHT);
         } else {
-            self.rest_until = Some(now + REST);
+            self.cooldown_until = Some(now + COOLDOWN);
         }
     }
 
     /// Returns whether a request failed within the cooldown time.
-    pub fn is_resting(&self, now: Instant) -> bool {
-        self.rest_until.is_some_and(|until| until > now)
+    pub fn in_cooldown(&self, now: Instant) -> bool {
+        self.cooldown_until.is_some_and(|until| until > now)
     }
 
     /// Returns the wait of a request sent now: the time to process the prompts before it, and the
     /// wait for a slot if all slots are taken.
-    pub fn wait(&mut self, load: &LoadReport, now: Instant) -> Duration {
-        self.decay(now);
-        let unseen = self.sent.len() as u32;
-        let present = (load.running + load.waiting + unseen).max(self.in_flight);
-        let beyond = (present + 1).saturating_sub(load.slots.max(1));
+    pub fn estimate_wait(&mut self, load: &LoadReport, now: Instant) -> Duration {
+        self.advance(now);
+        let unreported = self.recent_sends.len() as u32;
+        let present = (load.running + load.waiting + unreported).max(self.in_flight);
+        let excess = (present + 1).saturating_sub(load.slots.max(1));
         let slots = load.slots.max(1);
-        let for_slot = self.mean_run.mul_f64(f64::from(beyond) / f64::from(slots));
+        let slot_wait = self.mean_run.mul_f64(f64::from(excess) / f64::from(slots));
         if load.slots == 0 {
-            return self.work;
+            return self.queued_work;
         }
-        self.work + for_slot
+        self.queued_work + slot_wait
     }
 }
--- a/crates/sillpin-entry/src/placement/placer.rs
+++ b/crates/sillpin-entry/src/placement/placer.rs
@@ -16,22 +16,22 @@
 use tokio::time::Instant;
 
 /// Cost added for engines in another availability zone: the round trip.
-const FOREIGN_ZONE: Duration = Duration::from_millis(3);
+const OTHER_ZONE_DELAY: Duration = Duration::from_millis(3);
 
 /// Link rate of a store in bytes per second, if the box list does not give it.
 const DEFAULT_LINK_RATE: f64 = 50e6;
 
 /// Time for which a version that an engine itself returned takes precedence over its load reports.
-const TRUST_SAID: Duration = Duration::from_secs(3);
+const OBSERVED_VERSION_TTL: Duration = Duration::from_secs(3);
 
 /// Maximum number of candidates in a decision record.
-const RECORDED: usize = 6;
+const MAX_RECORDED: usize = 6;
 
 /// Engines with their backlogs, and the state that decisions need.
 pub struct Placer {
     zone: ZoneId,
     engines: HashMap<PoolId, Vec<Engine>>,
-    said_versions: HashMap<TargetId, (WeightVersion, Instant)>,
+    observed_versions: HashMap<TargetId, (WeightVersion, Instant)>,
     rng: SmallRng,
     turn: usize,
 }
@@ -55,15 +55,15 @@
 
 impl Engine {
     fn candidate(&mut self, zone: &ZoneId, now: Instant) -> Candidate {
-        let is_near = self.target.entry.zone == *zone;
+        let is_same_zone = self.target.entry.zone == *zone;
         Candidate {
             hash: self.target.hash,
-            wait: self.backlog.wait(&self.load, now),
+            wait: self.backlog.estimate_wait(&self.load, now),
             block_time: Duration::from_micros(self.load.block_micros),
-            distance: if is_near {
+            distance: if is_same_zone {
                 Duration::ZERO
             } else {
-                FOREIGN_ZONE
+                OTHER_ZONE_DELAY
             },
         }
     }
@@ -75,14 +75,14 @@
         Self {
             zone,
             engines: HashMap::new(),
-            said_versions: HashMap::new(),
+            observed_versions: HashMap::new(),
             rng: SmallRng::from_rng(&mut rng()),
             turn: 0,
         }
     }
 
     /// Replaces the engines by those of a snapshot and applies their load reports.
-    pub fn update(&mut self, snapshot: &Arc<Snapshot>, now: Instant) {
+    pub fn apply_snapshot(&mut self, snapshot: &Arc<Snapshot>, now: Instant) {
         let mut backlogs = self.take_backlogs();
         for target in snapshot.targets.values() {
             let is_engine = target.entry.kind == TargetKind::Engine;
@@ -93,7 +93,7 @@
             let Some(load) = load else { continue };
             let known = backlogs.remove(&target.entry.id);
             let mut backlog = known.unwrap_or_else(|| Backlog::new(now));
-            backlog.report(&load, now);
+            backlog.apply_report(&load, now);
             let engine = Engine {
                 target: target.clone(),
                 load,
@@ -115,16 +115,16 @@
     }
 
     /// Records the version that an engine itself returned.
-    pub fn serves(&mut self, target: TargetId, version: WeightVersion, now: Instant) {
-        self.said_versions.insert(target, (version, now));
+    pub fn observe_version(&mut self, target: TargetId, version: WeightVersion, now: Instant) {
+        self.observed_versions.insert(target, (version, now));
     }
 
     /// Returns the version that an engine serves: the one that it returned itself if that is
     /// recent, else the one in its last load report.
     fn version(&self, target: &Target, now: Instant) -> Option<WeightVersion> {
-        let said = self.said_versions.get(&target.entry.id);
-        let fresh = said.filter(|(_, at)| now - *at < TRUST_SAID);
-        fresh.map_or_else(|| target.version(), |(version, _)| Some(*version))
+        let observed = self.observed_versions.get(&target.entry.id);
+        let recent = observed.filter(|(_, at)| now - *at < OBSERVED_VERSION_TTL);
+        recent.map_or_else(|| target.version(), |(version, _)| Some(*version))
     }
 
     fn backlog(&mut self, id: &TargetId) -> Option<&mut Backlog> {
@@ -135,54 +135,57 @@
 
     /// Returns the engines that could run a request, as indexes into the pool's engines, ordered by
     /// name. Engines in cooldown are left out if there are others.
-    fn fitting(&self, req: &PlaceRequest, now: Instant) -> Vec<usize> {
+    fn eligible(&self, req: &PlaceRequest, now: Instant) -> Vec<usize> {
         let Some(engines) = self.engines.get(&req.pool) else {
             return Vec::new();
         };
-        let fits = |engine: &Engine| {
+        let is_eligible = |engine: &Engine| {
             self.version(&engine.target, now) == Some(req.version)
                 && !req.excluded.contains(&engine.target.entry.id)
         };
         let all = engines.iter().enumerate();
-        let mut fitting: Vec<usize> = all.filter(|(_, e)| fits(e)).map(|(i, _)| i).collect();
-        let is_rested = |index: &usize| !engines[*index].backlog.is_resting(now);
-        if fitting.iter().any(is_rested) {
-            fitting.retain(is_rested);
+        let mut eligible: Vec<usize> = all
+            .filter(|(_, e)| is_eligible(e))
+            .map(|(i, _)| i)
+            .collect();
+        let not_in_cooldown = |index: &usize| !engines[*index].backlog.in_cooldown(now);
+        if eligible.iter().any(not_in_cooldown) {
+            eligible.retain(not_in_cooldown);
         }
-        fitting
+        eligible
     }
 
     /// Chooses an engine for a request; `None` if no engine can run it.
     pub fn choose(&mut self, req: &PlaceRequest, now: Instant) -> Option<Choice> {
-        let fitting = self.fitting(req, now);
+        let eligible = self.eligible(req, now);
         let zone = &self.zone;
         let engines = self.engines.get_mut(&req.pool)?;
-        let candidates: Vec<Candidate> = fitting
+        let candidates: Vec<Candidate> = eligible
             .iter()
             .map(|index| engines[*index].candidate(zone, now))
             .collect();
-        let place_of = |id: &TargetId| {
-            fitting
+        let index_of = |id: &TargetId| {
+            eligible
                 .iter()
                 .position(|i| engines[*i].target.entry.id == *id)
         };
         let hinted = req.hints.holders.iter();
         let holders: Vec<(usize, HeldBlocks)> = hinted
-            .filter_map(|(id, blocks)| Some((place_of(id)?, HeldBlocks { blocks: *blocks })))
+            .filter_map(|(id, blocks)| Some((index_of(id)?, HeldBlocks { blocks: *blocks })))
             .collect();
         self.turn += 1;
         let request = placement::Request {
             home: req.home,
             blocks: req.blocks,
             holders: &holders,
-            kept: kept(&req.hints.kept),
+            kept: stored_blocks(&req.hints.kept),
             turn: self.turn,
         };
         let ranked = placement::rank(&req.policy.placement, &candidates, &request, &mut self.rng);
         let best = *ranked.first()?;
-        let recorded = ranked.iter().take(RECORDED);
-        let records = recorded.map(|s| record(&engines[fitting[s.index]].target, s));
-        let target = &engines[fitting[best.index]].target;
+        let recorded = ranked.iter().take(MAX_RECORDED);
+        let records = recorded.map(|s| record(&engines[eligible[s.index]].target, s));
+        let target = &engines[eligible[best.index]].target;
         let until = (best.held + best.fetched) as usize;
         let imports = req.hints.kept.get(best.held as usize..until);
         Some(Choice {
@@ -207,21 +210,27 @@
     }
 
     /// Adds a request that was sent to `target` to its backlog.
-    pub fn sent(&mut self, target: &TargetId, work: Duration, now: Instant) {
+    pub fn record_sent(&mut self, target: &TargetId, work: Duration, now: Instant) {
         if let Some(backlog) = self.backlog(target) {
-            backlog.sent(work, now);
+            backlog.add_sent(work, now);
         }
     }
 
     /// Records that a request at `target` ended.
-    pub fn done(&mut self, target: &TargetId, took: Duration, answered: bool, now: Instant) {
+    pub fn record_ended(
+        &mut self,
+        target: &TargetId,
+        took: Duration,
+        completed: bool,
+        now: Instant,
+    ) {
         if let Some(backlog) = self.backlog(target) {
-            backlog.done(took, answered, now);
+            backlog.record_ended(took, completed, now);
         }
     }
 }
 
-fn kept(objects: &[StoredObject]) -> Kept {
+fn stored_blocks(objects: &[StoredObject]) -> Kept {
     let Some(first) = objects.first() else {
         return Kept::default();
     };
--- a/crates/sillpin-entry/src/placement/task.rs
+++ b/crates/sillpin-entry/src/placement/task.rs
@@ -15,24 +15,24 @@
 use tokio::time::Instant;
 
 /// Maximum number of messages queued for the task.
-const QUEUE_LEN: usize = 4_096;
+const MESSAGE_QUEUE_LEN: usize = 4_096;
 
 /// Interval at which waiting requests are checked.
-const DRAIN_EVERY: Duration = Duration::from_millis(5);
+const DRAIN_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Maximum and initial value of the retry budget, in retries.
-const RETRY_RESERVE: f64 = 20.0;
+const MAX_RETRY_BUDGET: f64 = 20.0;
 
 /// Maximum number of waiting requests checked per pool, in queue order, so that a request whose
 /// engine is busy does not block later ones whose engines are free.
-const SCANNED: usize = 32;
+const SCAN_LIMIT: usize = 32;
 
 /// Factor by which an engine's queue may be longer for the urgent class, which engines process
 /// first.
 const URGENT_QUEUE_FACTOR: u32 = 4;
 
 /// Retry-After for a request whose deadline passed while it was waiting.
-const LATE_RETRY: Duration = Duration::from_secs(1);
+const DEADLINE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A request to place.
 pub struct PlaceRequest {
@@ -97,12 +97,12 @@
 
 enum Msg {
     Place(Box<PlaceRequest>, Reply),
-    Done {
+    Ended {
         target: TargetId,
         took: Duration,
-        answered: bool,
+        completed: bool,
     },
-    Serves(TargetId, WeightVersion),
+    ObservedVersion(TargetId, WeightVersion),
 }
 
 /// Handle of the placement task.
@@ -123,24 +123,24 @@
         match tokio::time::timeout_at(deadline, rx).await {
             Ok(placed) => placed.unwrap_or(Err(Refusal::NoEngine)),
             Err(_) => Err(Refusal::TooLate {
-                retry_after: LATE_RETRY,
+                retry_after: DEADLINE_RETRY_AFTER,
             }),
         }
     }
 
     /// Reports that a placed request ended.
-    pub fn done(&self, target: TargetId, took: Duration, answered: bool) {
-        let msg = Msg::Done {
+    pub fn request_ended(&self, target: TargetId, took: Duration, completed: bool) {
+        let msg = Msg::Ended {
             target,
             took,
-            answered,
+            completed,
         };
         let _ = self.tx.try_send(msg);
     }
 
     /// Reports the version that an engine itself returned, because load reports lag behind.
-    pub fn serves(&self, target: TargetId, version: WeightVersion) {
-        let _ = self.tx.try_send(Msg::Serves(target, version));
+    pub fn observe_version(&self, target: TargetId, version: WeightVersion) {
+        let _ = self.tx.try_send(Msg::ObservedVersion(target, version));
     }
 }
 
@@ -150,15 +150,15 @@
     mut snapshots: watch::Receiver<Arc<Snapshot>>,
     max_waiting: usize,
 ) -> PlacerHandle {
-    let (tx, rx) = mpsc::channel(QUEUE_LEN);
+    let (tx, rx) = mpsc::channel(MESSAGE_QUEUE_LEN);
     let mut placer = Placer::new(zone);
-    placer.update(&snapshots.borrow_and_update(), Instant::now());
-    let task = Task {
+    placer.apply_snapshot(&snapshots.borrow_and_update(), Instant::now());
+    let task = PlacementTask {
         placer,
         snapshots,
         waiting: HashMap::new(),
         max_waiting,
-        retries: RETRY_RESERVE,
+        retry_budget: MAX_RETRY_BUDGET,
     };
     tokio::spawn(task.run(rx));
     PlacerHandle { tx }
@@ -169,48 +169,48 @@
     reply: Reply,
 }
 
-struct Task {
+struct PlacementTask {
     placer: Placer,
     snapshots: watch::Receiver<Arc<Snapshot>>,
     waiting: HashMap<PoolId, FairQueue<Waiting>>,
     max_waiting: usize,
-    retries: f64,
+    retry_budget: f64,
 }
 
-impl Task {
+impl PlacementTask {
     async fn run(mut self, mut rx: mpsc::Receiver<Msg>) {
-        let mut drain = tokio::time::interval(DRAIN_EVERY);
+        let mut drain = tokio::time::interval(DRAIN_INTERVAL);
         drain.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
-            let waits = self.waiting.values().any(|queue| !queue.is_empty());
+            let has_waiting = self.waiting.values().any(|queue| !queue.is_empty());
             tokio::select! {
                 msg = rx.recv() => match msg {
                     Some(Msg::Place(req, reply)) => self.place(req, reply),
-                    Some(Msg::Done { target, took, answered }) => {
-                        self.placer.done(&target, took, answered, Instant::now());
+                    Some(Msg::Ended { target, took, completed }) => {
+                        self.placer.record_ended(&target, took, completed, Instant::now());
                     }
-                    Some(Msg::Serves(target, version)) => {
-                        self.placer.serves(target, version, Instant::now());
+                    Some(Msg::ObservedVersion(target, version)) => {
+                        self.placer.observe_version(target, version, Instant::now());
                     }
                     None => return,
                 },
                 changed = self.snapshots.changed() => match changed {
                     Ok(()) => {
                         let snapshot = self.snapshots.borrow_and_update().clone();
-                        self.placer.update(&snapshot, Instant::now());
+                        self.placer.apply_snapshot(&snapshot, Instant::now());
                     }
                     Err(_) => return,
                 },
-                _ = drain.tick(), if waits => {}
+                _ = drain.tick(), if has_waiting => {}
             }
-            if waits {
+            if has_waiting {
                 self.drain();
             }
         }
     }
 
     fn place(&mut self, req: Box<PlaceRequest>, reply: Reply) {
-        if let Err(refusal) = self.take_retry(&req) {
+        if let Err(refusal) = self.charge_retry(&req) {
             let _ = reply.send(Err(refusal));
             return;
         }
@@ -220,23 +220,23 @@
             return;
         };
         let queue_free = self.waiting.get(&req.pool).is_none_or(FairQueue::is_empty);
-        if queue_free && is_short(&choice, &req) {
+        if queue_free && is_wait_acceptable(&choice, &req) {
             self.send(choice, reply, now);
             return;
         }
-        self.hold_back(choice, req, reply, now);
+        self.enqueue(choice, req, reply, now);
     }
 
-    fn take_retry(&mut self, req: &PlaceRequest) -> Result<(), Refusal> {
+    fn charge_retry(&mut self, req: &PlaceRequest) -> Result<(), Refusal> {
         if !req.is_retry {
-            let gained = f64::from(req.policy.limits.retry_percent) / 100.0;
-            self.retries = (self.retries + gained).min(RETRY_RESERVE);
+            let earned = f64::from(req.policy.limits.retry_percent) / 100.0;
+            self.retry_budget = (self.retry_budget + earned).min(MAX_RETRY_BUDGET);
             return Ok(());
         }
-        if self.retries < 1.0 {
+        if self.retry_budget < 1.0 {
             return Err(Refusal::NoRetries);
         }
-        self.retries -= 1.0;
+        self.retry_budget -= 1.0;
         Ok(())
     }
 
@@ -244,12 +244,12 @@
         let Choice { placed, work, .. } = choice;
         let target = placed.target.clone();
         if reply.send(Ok(placed)).is_ok() {
-            self.placer.sent(&target, work, now);
+            self.placer.record_sent(&target, work, now);
         }
     }
 
     /// Queues a request, or refuses it immediately if it could not start before its deadline.
-    fn hold_back(&mut self, choice: Choice, req: Box<PlaceRequest>, reply: Reply, now: Instant) {
+    fn enqueue(&mut self, choice: Choice, req: Box<PlaceRequest>, reply: Reply, now: Instant) {
         let waiting: usize = self.waiting.values().map(FairQueue::len).sum();
         if waiting >= self.max_waiting {
             let _ = reply.send(Err(Refusal::Full));
@@ -257,10 +257,10 @@
         }
         let engines = self.placer.capacity(&req.pool, req.version).max(1);
         let queue = self.waiting.entry(req.pool.clone()).or_default();
-        let before = Duration::from_micros(queue.cost_before(req.class, &req.org).0) / engines;
-        let begins = now + choice.wait + before;
-        if begins > req.deadline {
-            let retry_after = begins - req.deadline;
+        let queue_wait = Duration::from_micros(queue.cost_before(req.class, &req.org).0) / engines;
+        let starts_at = now + choice.wait + queue_wait;
+        if starts_at > req.deadline {
+            let retry_after = starts_at - req.deadline;
             let _ = reply.send(Err(Refusal::TooLate { retry_after }));
             return;
         }
@@ -276,55 +276,55 @@
         let now = Instant::now();
         let pools: Vec<PoolId> = self.waiting.keys().cloned().collect();
         for pool in pools {
-            for ticket in self.first_tickets(&pool) {
-                match self.look_at(&pool, ticket, now) {
+            for ticket in self.tickets_to_check(&pool) {
+                match self.check_waiting(&pool, ticket, now) {
                     Next::Send(choice, waiting) => self.send(*choice, waiting.reply, now),
-                    Next::Dropped | Next::Wait => {}
+                    Next::Removed | Next::Wait => {}
                 }
             }
         }
     }
 
-    fn first_tickets(&self, pool: &PoolId) -> Vec<Ticket> {
+    fn tickets_to_check(&self, pool: &PoolId) -> Vec<Ticket> {
         let queue = self.waiting.get(pool);
-        queue.map_or_else(Vec::new, |queue| queue.tickets().take(SCANNED).collect())
+        queue.map_or_else(Vec::new, |queue| queue.tickets().take(SCAN_LIMIT).collect())
     }
 
     /// Checks whether a waiting request can be sent.
-    fn look_at(&mut self, pool: &PoolId, ticket: Ticket, now: Instant) -> Next {
+    fn check_waiting(&mut self, pool: &PoolId, ticket: Ticket, now: Instant) -> Next {
         let Some(waiting) = self.waiting.get(pool).and_then(|queue| queue.get(ticket)) else {
             return Next::Wait;
         };
         if waiting.reply.is_closed() {
-            return self.drop_waiting(pool, ticket, None);
+            return self.remove_unsent(pool, ticket, None);
         }
         if now >= waiting.req.deadline {
-            let retry_after = LATE_RETRY;
-            return self.drop_waiting(pool, ticket, Some(Refusal::TooLate { retry_after }));
+            let retry_after = DEADLINE_RETRY_AFTER;
+            return self.remove_unsent(pool, ticket, Some(Refusal::TooLate { retry_after }));
         }
         let Some(choice) = self.placer.choose(&waiting.req, now) else {
-            return self.drop_waiting(pool, ticket, Some(Refusal::NoEngine));
+            return self.remove_unsent(pool, ticket, Some(Refusal::NoEngine));
         };
-        if !is_short(&choice, &waiting.req) {
+        if !is_wait_acceptable(&choice, &waiting.req) {
             return Next::Wait;
         }
-        match self.take(pool, ticket) {
+        match self.remove(pool, ticket) {
             Some(waiting) => Next::Send(Box::new(choice), waiting),
             None => Next::Wait,
         }
     }
 
-    fn take(&mut self, pool: &PoolId, ticket: Ticket) -> Option<Waiting> {
+    fn remove(&mut self, pool: &PoolId, ticket: Ticket) -> Option<Waiting> {
         self.waiting.get_mut(pool)?.take(ticket)
     }
 
     /// Removes a request from the queue without sending it, and returns the reason to its caller if
     /// that is still connected.
-    fn drop_waiting(&mut self, pool: &PoolId, ticket: Ticket, refusal: Option<Refusal>) -> Next {
-        if let (Some(waiting), Some(refusal)) = (self.take(pool, ticket), refusal) {
+    fn remove_unsent(&mut self, pool: &PoolId, ticket: Ticket, refusal: Option<Refusal>) -> Next {
+        if let (Some(waiting), Some(refusal)) = (self.remove(pool, ticket), refusal) {
             let _ = waiting.reply.send(Err(refusal));
         }
-        Next::Dropped
+        Next::Removed
     }
 }
 
@@ -333,12 +333,12 @@
     /// Send it to the chosen engine.
     Send(Box<Choice>, Waiting),
     /// It was removed from the queue without being sent.
-    Dropped,
+    Removed,
     /// Keep it in the queue.
     Wait,
 }
 
-fn is_short(choice: &Choice, req: &PlaceRequest) -> bool {
+fn is_wait_acceptable(choice: &Choice, req: &PlaceRequest) -> bool {
     let allowed = Duration::from_millis(req.policy.limits.engine_queue_ms);
     match req.class {
         PriorityClass::Urgent => choice.wait <= allowed * URGENT_QUEUE_FACTOR,
--- a/crates/sillpin-entry/src/runs/accounting.rs
+++ b/crates/sillpin-entry/src/runs/accounting.rs
@@ -1,10 +1,10 @@
 //! Reports on requests that ended: metrics, samples for arms, decision records.
 
 use super::drive::{Delivery, Driver};
-use crate::arms::{Answered, Sample};
+use crate::arms::{Completed, Sample};
 use crate::front::Failure;
 use crate::front::documents::Provenance;
-use crate::keeper_link::News;
+use crate::keeper_link::Report;
 use crate::metrics::PromptWork;
 use crate::placement::Placed;
 use opentelemetry::KeyValue;
@@ -16,11 +16,11 @@
 use sillpin_telemetry::{event, events};
 
 impl<E: Engine> Driver<E> {
-    pub(super) fn note_use(&self, placed: &Placed) {
+    pub(super) fn report_prompt_use(&self, placed: &Placed) {
         if self.plan.blocks.is_empty() {
             return;
         }
-        self.app.keeper.tell(News::Used(PromptUse {
+        self.app.keeper.report(Report::PromptUsed(PromptUse {
             blocks: self.plan.blocks.clone(),
             target: placed.target.clone(),
             addr: placed.addr,
@@ -28,16 +28,16 @@
         }));
     }
 
-    pub(super) async fn answered(mut self, summary: RunSummary) {
-        self.ran = Outcome::Ran;
+    pub(super) async fn completed(mut self, summary: RunSummary) {
+        self.outcome = Outcome::Ran;
         let labels = &self.plan.labels;
-        self.app.metrics.ended(labels, Outcome::Ran, true);
+        self.app.metrics.count_request(labels, Outcome::Ran, true);
         self.app.metrics.prompt_work(labels, prompt_work(&summary));
-        self.record_pace();
+        self.record_token_interval();
         self.count_in_arm(Some(&summary));
         event!(self.app.log, events::REQUEST_COMPLETED, "request" => %self.call.request,
             "tokens" => summary.tokens, "cached" => %summary.cached_tokens);
-        self.record(Outcome::Ran);
+        self.report_decision(Outcome::Ran);
         let provenance = Provenance {
             weight_version: self.plan.version,
             revision: self.plan.revision,
@@ -45,65 +45,69 @@
         let _ = self.tx.send(Delivery::End(summary, provenance)).await;
     }
 
-    fn record_pace(&self) {
+    fn record_token_interval(&self) {
         let (Some(first), Some(last)) = (self.first_token, self.last_token) else {
             return;
         };
         let gaps = self.tokens.saturating_sub(1);
         if gaps > 0 {
-            let whole = last - (self.plan.began + first);
+            let duration = last - (self.plan.started_at + first);
             self.app
                 .metrics
-                .between_tokens(&self.plan.labels, whole / gaps);
+                .between_tokens(&self.plan.labels, duration / gaps);
         }
     }
 
     pub(super) async fn failed(mut self, failure: Failure) {
         self.app
             .metrics
-            .ended(&self.plan.labels, failure.outcome, false);
+            .count_request(&self.plan.labels, failure.outcome, false);
         self.count_in_arm(None);
         event!(self.app.log, events::REQUEST_FAILED, "request" => %self.call.request,
             "outcome" => %failure.outcome, "error" => %failure);
-        self.record(failure.outcome);
+        self.report_decision(failure.outcome);
         let _ = self.tx.send(Delivery::Failed(failure)).await;
     }
 
-    pub(super) fn caller_gone(mut self) {
-        self.app.metrics.ended(&self.plan.labels, self.ran, false);
-        self.record(self.ran);
+    pub(super) fn caller_disconnected(mut self) {
+        self.app
+            .metrics
+            .count_request(&self.plan.labels, self.outcome, false);
+        self.report_decision(self.outcome);
     }
 
     fn count_in_arm(&self, summary: Option<&RunSummary>) {
-        let answered = summary.map(|summary| Answered {
+        let completed = summary.map(|summary| Completed {
             first_token: self.first_token.unwrap_or_default(),
             work: prompt_work(summary),
         });
         self.app.arms.count(Sample {
             revision: self.plan.revision,
             arm: self.plan.arm.clone(),
-            answered,
+            completed,
         });
     }
 
-    fn record(&mut self, outcome: Outcome) {
+    fn report_decision(&mut self, outcome: Outcome) {
         self.span
             .set_attribute(KeyValue::new("outcome", outcome.to_string()));
-        self.app.keeper.tell(News::Record(Box::new(DecisionRecord {
-            request: self.call.request,
-            by: self.app.cfg.box_id.clone(),
-            zone: self.app.cfg.zone.clone(),
-            org: self.call.org.clone(),
-            pool: Some(self.plan.pool.clone()),
-            model: Some(self.call.asked.model.clone()),
-            class: self.call.class,
-            revision: self.plan.revision,
-            arm: self.plan.arm.clone(),
-            blocks: self.plan.block_count,
-            attempts: std::mem::take(&mut self.attempts),
-            outcome,
-            first_token_us: self.first_token.map(|after| after.as_micros() as u64),
-        })));
+        self.app
+            .keeper
+            .report(Report::Record(Box::new(DecisionRecord {
+                request: self.call.request,
+                by: self.app.cfg.box_id.clone(),
+                zone: self.app.cfg.zone.clone(),
+                org: self.call.org.clone(),
+                pool: Some(self.plan.pool.clone()),
+                model: Some(self.call.body.model.clone()),
+                class: self.call.class,
+                revision: self.plan.revision,
+                arm: self.plan.arm.clone(),
+                blocks: self.plan.block_count,
+                attempts: std::mem::take(&mut self.attempts),
+                outcome,
+                first_token_us: self.first_token.map(|after| after.as_micros() as u64),
+            })));
     }
 }
 
--- a/crates/sillpin-entry/src/runs/attempt.rs
+++ b/crates/sillpin-entry/src/runs/attempt.rs
@@ -11,34 +11,34 @@
     peer: SocketAddr,
     id: AttemptId,
     stream: Option<E::Stream>,
-    silence: Duration,
-    over: bool,
+    idle_timeout: Duration,
+    ended: bool,
 }
 
 impl<E: Engine> Attempt<E> {
-    /// Sends the order to the engine and waits up to `accept` for it to be accepted.
+    /// Sends the order to the engine and waits up to `accept_timeout` for it to be accepted.
     pub(super) async fn start(
         engine: E,
         peer: SocketAddr,
         order: &RunOrder,
-        accept: Duration,
-        silence: Duration,
+        accept_timeout: Duration,
+        idle_timeout: Duration,
     ) -> Result<Self, EngineError> {
         let mut attempt = Self {
             engine,
             peer,
             id: order.attempt,
             stream: None,
-            silence,
-            over: false,
+            idle_timeout,
+            ended: false,
         };
-        match attempt.engine.run(peer, order, accept).await {
+        match attempt.engine.run(peer, order, accept_timeout).await {
             Ok(stream) => {
                 attempt.stream = Some(stream);
                 Ok(attempt)
             }
             Err(e) => {
-                attempt.over = e.outcome == sillpin_core::Outcome::NotRun;
+                attempt.ended = e.outcome == sillpin_core::Outcome::NotRun;
                 Err(e)
             }
         }
@@ -49,16 +49,16 @@
         let Some(stream) = &mut self.stream else {
             return Ok(None);
         };
-        let next = tokio::time::timeout(self.silence, stream.next()).await;
-        let silent = EngineError {
+        let next = tokio::time::timeout(self.idle_timeout, stream.next()).await;
+        let timed_out = EngineError {
             step: "wait for a token",
             peer: self.peer,
             fault: EngineFault::Timeout,
             outcome: sillpin_core::Outcome::Unknown,
         };
-        let next = next.unwrap_or(Err(silent));
+        let next = next.unwrap_or(Err(timed_out));
         if let Ok(Some(RunEvent::End { .. })) = next {
-            self.over = true;
+            self.ended = true;
         }
         next
     }
@@ -67,10 +67,13 @@
     pub(super) async fn resume(
         &mut self,
         cursor: u32,
-        accept: Duration,
+        accept_timeout: Duration,
     ) -> Result<(), EngineError> {
         self.stream = None;
-        let resumed = self.engine.resume(self.peer, self.id, cursor, accept).await;
+        let resumed = self
+            .engine
+            .resume(self.peer, self.id, cursor, accept_timeout)
+            .await;
         self.stream = Some(resumed?);
         Ok(())
     }
@@ -78,7 +81,7 @@
 
 impl<E: Engine> Drop for Attempt<E> {
     fn drop(&mut self) {
-        if self.over {
+        if self.ended {
             return;
         }
         let (engine, peer, id) = (self.engine.clone(), self.peer, self.id);
--- a/crates/sillpin-entry/src/runs/call.rs
+++ b/crates/sillpin-entry/src/runs/call.rs
@@ -4,7 +4,7 @@
 use super::plan::plan;
 use crate::app::App;
 use crate::front::Failure;
-use crate::front::documents::{ModelRequest, Provenance, Writer};
+use crate::front::documents::{ModelRequest, Provenance, ResponseWriter};
 use hyper::header::{CACHE_CONTROL, CONTENT_TYPE, HeaderValue};
 use hyper::{Response, StatusCode};
 use sillpin_core::{OrgId, PriorityClass, RequestId};
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc;
 
 /// Number of deliveries buffered for the caller before reading from the engine pauses.
-const DELIVERIES: usize = 64;
+const DELIVERY_QUEUE_LEN: usize = 64;
 
 /// A request for a model.
 pub struct Call {
@@ -28,11 +28,11 @@
     /// Maximum time to the first token that the caller sets.
     pub deadline: Option<Duration>,
     /// Its idempotency key, if the request runs at most once.
-    pub once_key: Option<String>,
+    pub idempotency_key: Option<String>,
     /// BLAKE3 hash of its body, in hexadecimal.
     pub digest: String,
     /// The parsed body.
-    pub asked: ModelRequest,
+    pub body: ModelRequest,
 }
 
 /// Serves a request for a model.
@@ -42,21 +42,21 @@
     span: ActiveSpan,
 ) -> Result<Response<Body>, Failure> {
     let plan = plan(&app, &call, None)?;
-    let writer = Writer {
+    let writer = ResponseWriter {
         request: call.request,
-        dialect: call.asked.dialect,
-        model: call.asked.model.clone(),
+        dialect: call.body.dialect,
+        model: call.body.model.clone(),
     };
-    let stream = call.asked.stream;
-    let (tx, mut rx) = mpsc::channel(DELIVERIES);
+    let stream = call.body.stream;
+    let (tx, mut rx) = mpsc::channel(DELIVERY_QUEUE_LEN);
     tokio::spawn(Driver::new(app, call, plan, tx, span).run());
     if !stream {
-        return whole(&writer, &mut rx).await;
+        return complete_response(&writer, &mut rx).await;
     }
     let first = match rx.recv().await {
         Some(Delivery::Failed(failure)) => return Err(failure),
         Some(delivery) => delivery,
-        None => return Err(lost_driver()),
+        None => return Err(driver_ended()),
     };
     let (body_tx, body) = Body::channel();
     tokio::spawn(forward(writer, first, rx, body_tx));
@@ -67,13 +67,13 @@
     Ok(resp)
 }
 
-fn lost_driver() -> Failure {
+fn driver_ended() -> Failure {
     Failure::unknown("the request's task ended")
 }
 
 /// Collects the complete response.
-async fn whole(
-    writer: &Writer,
+async fn complete_response(
+    writer: &ResponseWriter,
     rx: &mut mpsc::Receiver<Delivery>,
 ) -> Result<Response<Body>, Failure> {
     let mut text = String::new();
@@ -86,16 +86,18 @@
             }
         }
     }
-    Err(lost_driver())
+    Err(driver_ended())
 }
 
 fn document(
-    writer: &Writer,
+    writer: &ResponseWriter,
     provenance: Provenance,
     text: &str,
     summary: RunSummary,
 ) -> Response<Body> {
-    let mut resp = Response::new(Body::full(writer.whole(text, summary, provenance)));
+    let mut resp = Response::new(Body::full(
+        writer.complete_document(text, summary, provenance),
+    ));
     *resp.status_mut() = StatusCode::OK;
     let media_type = HeaderValue::from_static(JSON_MEDIA_TYPE);
     resp.headers_mut().insert(CONTENT_TYPE, media_type);
@@ -105,7 +107,7 @@
 /// Writes deliveries as server-sent events. A response that fails after its head was sent ends with
 /// an error event and a broken body, never with the end mark.
 async fn forward(
-    writer: Writer,
+    writer: ResponseWriter,
     first: Delivery,
     mut rx: mpsc::Receiver<Delivery>,
     tx: BodySender,
--- a/crates/sillpin-entry/src/runs/drive.rs
+++ b/crates/sillpin-entry/src/runs/drive.rs
@@ -3,11 +3,11 @@
 use super::Call;
 use super::idempotency;
 use super::plan::{Plan, plan};
-use super::send::Broken;
+use super::send::RunError;
 use crate::app::App;
 use crate::front::Failure;
 use crate::front::documents::Provenance;
-use crate::keeper_link::News;
+use crate::keeper_link::Report;
 use crate::placement::{PlaceRequest, Placed};
 use opentelemetry::KeyValue;
 use opentelemetry::trace::{Span, SpanKind};
@@ -50,7 +50,7 @@
     pub(super) last_token: Option<Instant>,
     pub(super) excluded: Vec<TargetId>,
     pub(super) attempts: Vec<AttemptRecord>,
-    pub(super) ran: Outcome,
+    pub(super) outcome: Outcome,
     pub(super) replans: u32,
 }
 
@@ -74,115 +74,115 @@
             last_token: None,
             excluded: Vec::new(),
             attempts: Vec::new(),
-            ran: Outcome::NotRun,
+            outcome: Outcome::NotRun,
             replans: 0,
         }
     }
 
     /// Executes the request and reports its outcome.
     pub(super) async fn run(mut self) {
-        let gone = self.tx.clone();
+        let caller = self.tx.clone();
         let result = tokio::select! {
-            result = self.carry_out() => Some(result),
-            () = gone.closed() => None,
+            result = self.execute() => Some(result),
+            () = caller.closed() => None,
         };
         match result {
-            Some(Ok(summary)) => self.answered(summary).await,
+            Some(Ok(summary)) => self.completed(summary).await,
             Some(Err(failure)) => self.failed(failure).await,
-            None => self.caller_gone(),
+            None => self.caller_disconnected(),
         }
     }
 
-    async fn carry_out(&mut self) -> Result<RunSummary, Failure> {
+    async fn execute(&mut self) -> Result<RunSummary, Failure> {
         let mut claim = idempotency::claim(&self.app, &self.call).await?;
-        let mut hints = self.look_up().await;
+        let mut hints = self.look_up_blocks().await;
         loop {
             let placed = match self.place(&hints).await {
-                Err(e) if self.is_unplaced(&e) && self.plan_again().await => {
-                    hints = self.look_up().await;
+                Err(e) if self.can_replan(&e) && self.replan().await => {
+                    hints = self.look_up_blocks().await;
                     continue;
                 }
                 placed => placed?,
             };
-            let begun = Instant::now();
+            let started_at = Instant::now();
             let target = placed.target.clone();
             let result = self.attempt(&placed, claim.as_mut()).await;
             self.app
                 .placer
-                .done(target.clone(), begun.elapsed(), result.is_ok());
+                .request_ended(target.clone(), started_at.elapsed(), result.is_ok());
             match result {
                 Ok(summary) => return Ok(summary),
-                Err(Broken::CallerGone) => return Err(Failure::unknown("the caller has gone")),
-                Err(Broken::Engine(EngineError {
+                Err(RunError::CallerGone) => return Err(Failure::unknown("the caller has gone")),
+                Err(RunError::Engine(EngineError {
                     fault: EngineFault::OtherVersion(version),
                     ..
                 })) => {
-                    self.follow_version(target, version);
-                    hints = self.look_up().await;
+                    self.handle_other_version(target, version);
+                    hints = self.look_up_blocks().await;
                 }
-                Err(Broken::Engine(e)) => self.after_failure(target, e)?,
+                Err(RunError::Engine(e)) => self.handle_engine_error(target, e)?,
             }
         }
     }
 
     /// Returns whether a refused request can be planned again: no part of it was sent.
-    fn is_unplaced(&self, failure: &Failure) -> bool {
-        failure.kind == "unavailable" && self.ran == Outcome::NotRun
+    fn can_replan(&self, failure: &Failure) -> bool {
+        failure.kind == "unavailable" && self.outcome == Outcome::NotRun
     }
 
     /// Waits for a newer snapshot and plans the request again, for instance because its weight
     /// version was replaced. Returns false if there is no newer snapshot or the request was planned
     /// too often.
-    async fn plan_again(&mut self) -> bool {
+    async fn replan(&mut self) -> bool {
         self.replans += 1;
         if self.replans > MAX_REPLANS {
             return false;
         }
         let mut snapshot = self.app.snapshot.clone();
         let wait = REPLAN_WAIT.min(self.plan.deadline.saturating_duration_since(Instant::now()));
-        let news = tokio::time::timeout(wait, snapshot.changed()).await;
-        let Some(plan) = news
+        let changed = tokio::time::timeout(wait, snapshot.changed()).await;
+        let Some(plan) = changed
             .ok()
             .and_then(|_| plan(&self.app, &self.call, None).ok())
         else {
             return false;
         };
-        self.adopt(plan);
+        self.replace_plan(plan);
         true
     }
 
     /// Handles an engine's refusal because it serves another version. A run that has not started is
     /// planned again for that version; a run that has started keeps its own.
-    fn follow_version(&mut self, target: TargetId, version: WeightVersion) {
-        self.app.placer.serves(target.clone(), version);
-        let has_begun = self.ran != Outcome::NotRun;
+    fn handle_other_version(&mut self, target: TargetId, version: WeightVersion) {
+        self.app.placer.observe_version(target.clone(), version);
+        let has_started = self.outcome != Outcome::NotRun;
         self.replans += 1;
         let plan = plan(&self.app, &self.call, Some(version)).ok();
-        match plan.filter(|_| !has_begun && self.replans <= MAX_REPLANS) {
+        match plan.filter(|_| !has_started && self.replans <= MAX_REPLANS) {
             Some(plan) => {
                 self.attempts.pop();
-                self.adopt(plan);
+                self.replace_plan(plan);
             }
             None => self.excluded.push(target),
         }
     }
 
-    fn adopt(&mut self, plan: Plan) {
-        let (began, deadline) = (self.plan.began, self.plan.deadline);
+    fn replace_plan(&mut self, plan: Plan) {
+        let (started_at, deadline) = (self.plan.started_at, self.plan.deadline);
         self.plan = Plan {
-            began,
+            started_at,
             deadline,
             ..plan
         };
         self.excluded.clear();
     }
 
-    async fn look_up(&mut self) -> BlockHints {
+    async fn look_up_blocks(&mut self) -> BlockHints {
         if self.plan.blocks.is_empty() {
             return BlockHints::default();
         }
         let mut span = self.child_span("look up", SpanKind::Client);
-        let wait = self.app.cfg.look_up;
+        let wait = self.app.cfg.lookup_timeout;
         let hints = self
             .app
             .keeper
@@ -203,10 +203,10 @@
         let is_retry = !self.attempts.is_empty();
         let allowed = usize::from(self.plan.policy.limits.max_attempts);
         if self.attempts.len() >= allowed {
-            return Err(self.give_up(format!("{allowed} attempts failed")));
+            return Err(self.final_failure(format!("{allowed} attempts failed")));
         }
         let deadline = if self.first_token.is_some() {
-            Instant::now() + self.app.cfg.limits.silence
+            Instant::now() + self.app.cfg.limits.idle_timeout
         } else {
             self.plan.deadline
         };
@@ -225,31 +225,31 @@
         };
         match self.app.placer.place(req).await {
             Ok(placed) => Ok(placed),
-            Err(refusal) if self.ran == Outcome::NotRun => Err(refusal.into()),
-            Err(refusal) => Err(self.give_up(refusal.to_string())),
+            Err(refusal) if self.outcome == Outcome::NotRun => Err(refusal.into()),
+            Err(refusal) => Err(self.final_failure(refusal.to_string())),
         }
     }
 
     /// Returns the failure of a request that gets no further attempt.
-    fn give_up(&self, detail: String) -> Failure {
-        if self.ran == Outcome::NotRun {
+    fn final_failure(&self, detail: String) -> Failure {
+        if self.outcome == Outcome::NotRun {
             return Failure::unavailable(detail, Duration::from_secs(1));
         }
         Failure::unknown(detail)
     }
 
     /// Handles a failed attempt; returns an error if no further attempt may follow.
-    fn after_failure(&mut self, target: TargetId, e: EngineError) -> Result<(), Failure> {
+    fn handle_engine_error(&mut self, target: TargetId, e: EngineError) -> Result<(), Failure> {
         event!(self.app.log, events::ATTEMPT_FAILED, "request" => %self.call.request,
             "target" => %target, "error" => %e);
         if e.fault == EngineFault::Crossed {
             event!(self.app.log, events::RESPONSE_MISMATCHED, "target" => %target);
         }
         if matches!(e.fault, EngineFault::Unreachable | EngineFault::Cut) {
-            self.app.keeper.tell(News::Suspect(target.clone()));
+            self.app.keeper.report(Report::Unreachable(target.clone()));
         }
         self.excluded.push(target);
-        if self.call.once_key.is_some() && self.ran != Outcome::NotRun {
+        if self.call.idempotency_key.is_some() && self.outcome != Outcome::NotRun {
             let detail = format!("the call was sent once and its answer did not come whole: {e}");
             return Err(Failure::unknown(detail));
         }
--- a/crates/sillpin-entry/src/runs/idempotency.rs
+++ b/crates/sillpin-entry/src/runs/idempotency.rs
@@ -3,7 +3,7 @@
 use super::Call;
 use crate::app::App;
 use crate::front::Failure;
-use crate::keeper_link::News;
+use crate::keeper_link::Report;
 use hyper::StatusCode;
 use sillpin_core::switches::{Mechanism, is_off};
 use sillpin_core::{OrgId, Outcome, RequestId};
@@ -24,7 +24,7 @@
 }
 
 /// The call to claim.
-pub struct Claimed<'a> {
+pub struct ClaimedCall<'a> {
     /// The organisation.
     pub org: &'a OrgId,
     /// The idempotency key.
@@ -37,7 +37,7 @@
 
 impl Claim {
     /// Claims a call. Must be called before any part of it is sent.
-    pub async fn make<E: Engine>(app: &App<E>, call: Claimed<'_>) -> Result<Self, Failure> {
+    pub async fn acquire<E: Engine>(app: &App<E>, call: ClaimedCall<'_>) -> Result<Self, Failure> {
         let key = ClaimKey {
             org: call.org.clone(),
             key_hash: blake3::hash(call.key.as_bytes()).to_hex().to_string(),
@@ -64,11 +64,11 @@
                 Err(Failure::unavailable(detail, RETRY_AFTER))
             }
             ClaimReply::Taken(outcome) => {
-                claim.forget();
-                Err(Failure::taken(outcome))
+                claim.disarm();
+                Err(Failure::already_sent(outcome))
             }
             ClaimReply::OtherCall => {
-                claim.forget();
+                claim.disarm();
                 let detail = "this idempotency key was used for another call";
                 let status = StatusCode::UNPROCESSABLE_ENTITY;
                 Err(Failure::refused(
@@ -81,22 +81,22 @@
         }
     }
 
-    fn forget(mut self) {
+    fn disarm(mut self) {
         self.outcome = Outcome::Unknown;
     }
 
     /// Records that the call may be executed from now on.
-    pub fn may_have_run(&mut self) {
+    pub fn set_unknown(&mut self) {
         self.outcome = Outcome::Unknown;
     }
 
     /// Records that the call was not executed: the target was not reached, or refused it.
-    pub fn was_not_sent(&mut self) {
+    pub fn set_not_run(&mut self) {
         self.outcome = Outcome::NotRun;
     }
 
     /// Records that the call was executed.
-    pub fn ran(&mut self) {
+    pub fn set_ran(&mut self) {
         self.outcome = Outcome::Ran;
     }
 }
@@ -104,7 +104,7 @@
 impl Drop for Claim {
     fn drop(&mut self) {
         if self.outcome != Outcome::Unknown {
-            self.keeper.tell(News::EndClaim(ClaimEnd {
+            self.keeper.report(Report::EndClaim(ClaimEnd {
                 key: self.key.clone(),
                 request: self.request,
                 outcome: self.outcome,
@@ -115,14 +115,14 @@
 
 /// Claims a model request if it carries an idempotency key.
 pub(super) async fn claim<E: Engine>(app: &App<E>, call: &Call) -> Result<Option<Claim>, Failure> {
-    let Some(key) = &call.once_key else {
+    let Some(key) = &call.idempotency_key else {
         return Ok(None);
     };
-    let claimed = Claimed {
+    let claimed = ClaimedCall {
         org: &call.org,
         key,
         request: call.request,
         digest: &call.digest,
     };
-    Claim::make(app, claimed).await.map(Some)
+    Claim::acquire(app, claimed).await.map(Some)
 }
--- a/crates/sillpin-entry/src/runs/plan.rs
+++ b/crates/sillpin-entry/src/runs/plan.rs
@@ -27,7 +27,7 @@
     pub(super) home: u64,
     pub(super) blocks: Vec<BlockName>,
     pub(super) block_count: u32,
-    pub(super) began: Instant,
+    pub(super) started_at: Instant,
     pub(super) deadline: Instant,
     pub(super) labels: Labels,
 }
@@ -38,30 +38,33 @@
     call: &Call,
     version: Option<WeightVersion>,
 ) -> Result<Plan, Failure> {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let snapshot = app.snapshot();
     let in_force = snapshot.in_force.as_ref();
     let in_force =
         in_force.ok_or_else(|| Failure::unavailable("no bundle yet", Duration::from_secs(1)))?;
-    let asked = &call.asked;
-    let block_count = asked.prompt.len().div_ceil(BLOCK_BYTES);
-    if block_count as u64 > app.cfg.limits.blocks {
-        let detail = format!("the prompt has more than {} blocks", app.cfg.limits.blocks);
+    let body = &call.body;
+    let block_count = body.prompt.len().div_ceil(BLOCK_BYTES);
+    if block_count as u64 > app.cfg.limits.max_blocks {
+        let detail = format!(
+            "the prompt has more than {} blocks",
+            app.cfg.limits.max_blocks
+        );
         return Err(Failure::too_long(detail));
     }
-    let pool = in_force.bundle.pool_of_model(&asked.model);
+    let pool = in_force.bundle.pool_of_model(&body.model);
     let pool =
-        pool.ok_or_else(|| Failure::not_found(format!("no pool serves model {}", asked.model)))?;
+        pool.ok_or_else(|| Failure::not_found(format!("no pool serves model {}", body.model)))?;
     let mut scope = PromptScope {
         org: call.org.clone(),
-        model: asked.model.clone(),
-        adapter: asked.adapter.clone(),
+        model: body.model.clone(),
+        adapter: body.adapter.clone(),
         version: WeightVersion(0),
     };
     let key = &app.cfg.block_key;
-    let share_point = scope.home_hash(key, &asked.prompt, usize::from(u8::MAX));
+    let arm_hash = scope.home_hash(key, &body.prompt, usize::from(u8::MAX));
     let stopped = |arm: &ArmName| in_force.stopped.contains(arm);
-    let arm = in_force.bundle.arm(&app.cfg.zone, share_point, stopped);
+    let arm = in_force.bundle.arm(&app.cfg.zone, arm_hash, stopped);
     let policy = arm.map_or(&in_force.bundle.control, |arm| &arm.policy);
     let arm = match arm {
         Some(arm) => arm.name.clone(),
@@ -70,15 +73,17 @@
             .map_err(|_| Failure::unknown("no control arm"))?,
     };
     let home_blocks = usize::from(policy.placement.home_blocks);
-    let home = scope.home_hash(key, &asked.prompt, home_blocks);
-    let version = version.or_else(|| version_for(&snapshot, pool, home));
+    let home = scope.home_hash(key, &body.prompt, home_blocks);
+    let version = version.or_else(|| choose_version(&snapshot, pool, home));
     let version = version.ok_or_else(|| {
         let detail = format!("no engine of pool {pool} is in reach");
         Failure::unavailable(detail, Duration::from_secs(1))
     })?;
     scope.version = version;
     let allowed = Duration::from_millis(policy.priorities.first_token_deadline_ms(call.class));
-    let allowed = call.deadline.map_or(allowed, |asked| asked.min(allowed));
+    let allowed = call
+        .deadline
+        .map_or(allowed, |requested| requested.min(allowed));
     Ok(Plan {
         revision: in_force.revision,
         labels: Labels {
@@ -93,18 +98,18 @@
         pool: pool.clone(),
         version,
         home,
-        blocks: scope.block_names(key, &asked.prompt),
+        blocks: scope.block_names(key, &body.prompt),
         block_count: block_count as u32,
-        began,
-        deadline: began + allowed,
+        started_at,
+        deadline: started_at + allowed,
     })
 }
 
 /// Returns the weight version for a prompt. While the weights of a pool are being replaced, both
 /// versions are served; prompts are divided in proportion to the engines of each version.
-fn version_for(snapshot: &Snapshot, pool: &PoolId, home: u64) -> Option<WeightVersion> {
+fn choose_version(snapshot: &Snapshot, pool: &PoolId, home: u64) -> Option<WeightVersion> {
     let mut engines: BTreeMap<WeightVersion, u64> = BTreeMap::new();
-    for target in snapshot.usable(pool, TargetKind::Engine) {
+    for target in snapshot.usable_targets(pool, TargetKind::Engine) {
         if let Some(version) = target.version() {
             *engines.entry(version).or_default() += 1;
         }
--- a/crates/sillpin-entry/src/runs/send.rs
+++ b/crates/sillpin-entry/src/runs/send.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 
 /// Reason for which an attempt ended without the end mark.
-pub(super) enum Broken {
+pub(super) enum RunError {
     /// The engine failed, or the connection to it.
     Engine(EngineError),
     /// The caller has disconnected.
@@ -24,20 +24,20 @@
 
 impl<E: Engine> Driver<E> {
     fn order(&self, placed: &Placed) -> RunOrder {
-        let asked = &self.call.asked;
+        let body = &self.call.body;
         RunOrder {
             attempt: AttemptId::generate(),
-            model: asked.model.clone(),
+            model: body.model.clone(),
             version: self.plan.version,
-            adapter: asked.adapter.clone(),
+            adapter: body.adapter.clone(),
             blocks: self.plan.blocks.clone(),
-            prompt: asked.prompt.clone(),
+            prompt: body.prompt.clone(),
             delivered: self.delivered.clone(),
             start_index: self.tokens,
-            max_tokens: asked.max_tokens,
+            max_tokens: body.max_tokens,
             priority: self.plan.policy.priorities.engine_priority(self.call.class),
-            imports: placed.imports.iter().map(object).collect(),
-            parameters: asked.parameters.clone(),
+            imports: placed.imports.iter().map(object_ref).collect(),
+            parameters: body.parameters.clone(),
         }
     }
 
@@ -46,22 +46,22 @@
         &mut self,
         placed: &Placed,
         claim: Option<&mut Claim>,
-    ) -> Result<RunSummary, Broken> {
+    ) -> Result<RunSummary, RunError> {
         let mut span = self.child_span("target", SpanKind::Client);
         span.set_attribute(KeyValue::new("target", placed.target.to_string()));
         let order = self.order(placed);
         let result = self.send_and_read(placed, &order, claim).await;
-        let said = match &result {
+        let result_text = match &result {
             Ok(_) => "answered".to_owned(),
-            Err(Broken::CallerGone) => "caller gone".to_owned(),
-            Err(Broken::Engine(e)) => e.to_string(),
+            Err(RunError::CallerGone) => "caller gone".to_owned(),
+            Err(RunError::Engine(e)) => e.to_string(),
         };
-        span.set_attribute(KeyValue::new("result", said.clone()));
+        span.set_attribute(KeyValue::new("result", result_text.clone()));
         self.attempts.push(AttemptRecord {
             target: placed.target.clone(),
             version: Some(self.plan.version),
             candidates: placed.candidates.clone(),
-            result: said,
+            result: result_text,
         });
         result
     }
@@ -71,27 +71,33 @@
         placed: &Placed,
         order: &RunOrder,
         mut claim: Option<&mut Claim>,
-    ) -> Result<RunSummary, Broken> {
+    ) -> Result<RunSummary, RunError> {
         let limits = self.app.cfg.limits;
         if let Some(claim) = claim.as_deref_mut() {
-            claim.may_have_run();
+            claim.set_unknown();
         }
         let engine = self.app.engine.clone();
-        let started = Attempt::start(engine, placed.addr, order, limits.attempt, limits.silence);
+        let started = Attempt::start(
+            engine,
+            placed.addr,
+            order,
+            limits.accept_timeout,
+            limits.idle_timeout,
+        );
         let mut attempt = match started.await {
             Ok(attempt) => attempt,
             Err(e) => {
                 if let Some(claim) = claim.filter(|_| e.outcome == Outcome::NotRun) {
-                    claim.was_not_sent();
+                    claim.set_not_run();
                 }
-                self.ran = self.ran.max(e.outcome);
-                return Err(Broken::Engine(e));
+                self.outcome = self.outcome.max(e.outcome);
+                return Err(RunError::Engine(e));
             }
         };
-        self.ran = Outcome::Unknown;
+        self.outcome = Outcome::Unknown;
         let read = self.read_with_resume(&mut attempt, placed).await;
         if let (Ok(_), Some(claim)) = (&read, claim) {
-            claim.ran();
+            claim.set_ran();
         }
         read
     }
@@ -102,22 +108,22 @@
         &mut self,
         attempt: &mut Attempt<E>,
         placed: &Placed,
-    ) -> Result<RunSummary, Broken> {
+    ) -> Result<RunSummary, RunError> {
         let mut resumed_at = None;
         loop {
-            let broken = match self.read(attempt, placed).await {
-                Err(Broken::Engine(e)) => e,
+            let error = match self.read(attempt, placed).await {
+                Err(RunError::Engine(e)) => e,
                 done => return done,
             };
             let made_progress = resumed_at != Some(self.tokens);
-            let can_resume = matches!(broken.fault, EngineFault::Cut | EngineFault::Timeout);
+            let can_resume = matches!(error.fault, EngineFault::Cut | EngineFault::Timeout);
             if !can_resume || !made_progress {
-                return Err(Broken::Engine(broken));
+                return Err(RunError::Engine(error));
             }
             resumed_at = Some(self.tokens);
-            let accept = self.app.cfg.limits.attempt;
-            if attempt.resume(self.tokens, accept).await.is_err() {
-                return Err(Broken::Engine(broken));
+            let accept_timeout = self.app.cfg.limits.accept_timeout;
+            if attempt.resume(self.tokens, accept_timeout).await.is_err() {
+                return Err(RunError::Engine(error));
             }
         }
     }
@@ -128,26 +134,26 @@
         &mut self,
         attempt: &mut Attempt<E>,
         placed: &Placed,
-    ) -> Result<RunSummary, Broken> {
-        let mut noted = false;
+    ) -> Result<RunSummary, RunError> {
+        let mut use_reported = false;
         loop {
-            match attempt.next().await.map_err(Broken::Engine)? {
+            match attempt.next().await.map_err(RunError::Engine)? {
                 Some(RunEvent::Token { text, .. }) => {
-                    if !std::mem::replace(&mut noted, true) {
-                        self.note_use(placed);
+                    if !std::mem::replace(&mut use_reported, true) {
+                        self.report_prompt_use(placed);
                     }
                     self.deliver(text).await?;
                 }
                 Some(RunEvent::End { summary, .. }) => return Ok(summary),
-                None => return Err(Broken::CallerGone),
+                None => return Err(RunError::CallerGone),
             }
         }
     }
 
-    async fn deliver(&mut self, text: String) -> Result<(), Broken> {
+    async fn deliver(&mut self, text: String) -> Result<(), RunError> {
         let now = Instant::now();
         if self.first_token.is_none() {
-            let after = now - self.plan.began;
+            let after = now - self.plan.started_at;
             self.first_token = Some(after);
             self.app.metrics.first_token(&self.plan.labels, after);
         }
@@ -155,17 +161,17 @@
         self.tokens += 1;
         self.delivered.push_str(&text);
         let sent = self.tx.send(Delivery::Token(text)).await;
-        sent.map_err(|_| Broken::CallerGone)
+        sent.map_err(|_| RunError::CallerGone)
     }
 }
 
-fn object(kept: &StoredObject) -> ObjectRef {
+fn object_ref(stored: &StoredObject) -> ObjectRef {
     ObjectRef {
-        block: kept.block,
-        generation: kept.generation,
-        store: kept.store.clone(),
-        addr: kept.addr,
-        len: kept.len,
-        checksum: kept.checksum.clone(),
+        block: stored.block,
+        generation: stored.generation,
+        store: stored.store.clone(),
+        addr: stored.addr,
+        len: stored.len,
+        checksum: stored.checksum.clone(),
     }
 }
--- a/crates/sillpin-entry/src/services.rs
+++ b/crates/sillpin-entry/src/services.rs
@@ -7,8 +7,8 @@
 
 use crate::app::App;
 use crate::front::{Failure, body, headers};
-use crate::keeper_link::News;
-use crate::runs::idempotency::{Claim, Claimed};
+use crate::keeper_link::Report;
+use crate::runs::idempotency::{Claim, ClaimedCall};
 use crate::snapshot::Target;
 use bytes::Bytes;
 use hyper::body::{Body as _, Incoming};
@@ -26,13 +26,13 @@
 use std::time::Duration;
 
 /// Maximum length of a body that is buffered for retries.
-const HELD_BODY_LEN: u64 = 64 << 10;
+const MAX_BUFFERED_LEN: u64 = 64 << 10;
 
 /// Maximum number of attempts of one call.
 const MAX_ATTEMPTS: usize = 3;
 
 /// Headers that are not forwarded: those of a single connection, and the caller's API key.
-const NOT_PASSED_ON: &[HeaderName] = &[
+const NOT_FORWARDED: &[HeaderName] = &[
     header::AUTHORIZATION,
     header::CONNECTION,
     header::HOST,
@@ -45,7 +45,7 @@
 ];
 
 /// A call that is being forwarded.
-struct Passing<'a> {
+struct ForwardedCall<'a> {
     pool: PoolId,
     path: String,
     org: &'a OrgId,
@@ -55,21 +55,21 @@
 
 /// The body of a call: buffered, or streamed once.
 enum CallBody {
-    Held(Bytes),
+    Buffered(Bytes),
     Streamed(Option<Incoming>),
 }
 
 impl CallBody {
     fn take(&mut self) -> Option<Body> {
         match self {
-            CallBody::Held(bytes) => Some(Body::full(bytes.clone())),
+            CallBody::Buffered(bytes) => Some(Body::full(bytes.clone())),
             CallBody::Streamed(body) => body.take().map(Body::Incoming),
         }
     }
 }
 
 /// Forwards a call; `rest` is the path after the prefix: the pool, then the path at the service.
-pub async fn pass_on<E: Engine>(
+pub async fn forward<E: Engine>(
     app: &App<E>,
     request: RequestId,
     span: ActiveSpan,
@@ -88,18 +88,18 @@
         .unwrap_or_default();
     let path = format!("/{path}{query}");
     require_pool(app, &pool)?;
-    let once_key = headers::idempotency_key(req.headers())?;
+    let idempotency_key = headers::idempotency_key(req.headers())?;
     let (parts, incoming) = req.into_parts();
-    let mut passing = Passing {
+    let mut call = ForwardedCall {
         pool,
         path,
         org: &org,
         parts,
         span,
     };
-    match once_key {
-        Some(key) => run_once(app, request, &mut passing, &key, incoming).await,
-        None => run_any(app, &mut passing, incoming).await,
+    match idempotency_key {
+        Some(key) => forward_once(app, request, &mut call, &key, incoming).await,
+        None => forward_repeatable(app, &mut call, incoming).await,
     }
 }
 
@@ -115,40 +115,36 @@
     )))
 }
 
-async fn run_once<E: Engine>(
+async fn forward_once<E: Engine>(
     app: &App<E>,
     request: RequestId,
-    passing: &mut Passing<'_>,
+    call: &mut ForwardedCall<'_>,
     key: &str,
     incoming: Incoming,
 ) -> Result<Response<Body>, Failure> {
     let limits = app.cfg.limits;
-    let bytes = body::read(incoming, limits.once_body_len, limits.body_time).await?;
-    let digest = digest(passing, &bytes);
-    let claimed = Claimed {
-        org: passing.org,
+    let bytes = body::read(incoming, limits.at_most_once_body_len, limits.body_timeout).await?;
+    let digest = digest(call, &bytes);
+    let claimed = ClaimedCall {
+        org: call.org,
         key,
         request,
         digest: &digest,
     };
-    let mut claim = Claim::make(app, claimed).await?;
-    claim.may_have_run();
-    let result = send(app, passing, CallBody::Held(bytes)).await;
+    let mut claim = Claim::acquire(app, claimed).await?;
+    claim.set_unknown();
+    let result = send(app, call, CallBody::Buffered(bytes)).await;
     match &result {
-        Ok(_) => claim.ran(),
-        Err(failure) if failure.outcome == sillpin_core::Outcome::NotRun => claim.was_not_sent(),
+        Ok(_) => claim.set_ran(),
+        Err(failure) if failure.outcome == sillpin_core::Outcome::NotRun => claim.set_not_run(),
         Err(_) => {}
     }
     result
 }
 
-fn digest(passing: &Passing<'_>, bytes: &[u8]) -> String {
+fn digest(call: &ForwardedCall<'_>, bytes: &[u8]) -> String {
     let mut hasher = blake3::Hasher::new();
-    for part in [
-        passing.parts.method.as_str(),
-        passing.pool.as_str(),
-        &passing.path,
-    ] {
+    for part in [call.parts.method.as_str(), call.pool.as_str(), &call.path] {
         hasher.update(&(part.len() as u64).to_le_bytes());
         hasher.update(part.as_bytes());
     }
@@ -156,46 +152,47 @@
     hasher.finalize().to_hex().to_string()
 }
 
-async fn run_any<E: Engine>(
+async fn forward_repeatable<E: Engine>(
     app: &App<E>,
-    passing: &mut Passing<'_>,
+    call: &mut ForwardedCall<'_>,
     incoming: Incoming,
 ) -> Result<Response<Body>, Failure> {
     let is_short = incoming
         .size_hint()
         .upper()
-        .is_some_and(|len| len <= HELD_BODY_LEN);
+        .is_some_and(|len| len <= MAX_BUFFERED_LEN);
     let call_body = if is_short {
-        let limit = HELD_BODY_LEN as usize;
-        CallBody::Held(body::read(incoming, limit, app.cfg.limits.body_time).await?)
+        let limit = MAX_BUFFERED_LEN as usize;
+        CallBody::Buffered(body::read(incoming, limit, app.cfg.limits.body_timeout).await?)
     } else {
         CallBody::Streamed(Some(incoming))
     };
-    send(app, passing, call_body).await
+    send(app, call, call_body).await
 }
 
 /// Sends a call to one target after another until one is reached.
 async fn send<E: Engine>(
     app: &App<E>,
-    passing: &mut Passing<'_>,
+    call: &mut ForwardedCall<'_>,
     mut call_body: CallBody,
 ) -> Result<Response<Body>, Failure> {
     let mut tried = Vec::new();
-    let unreached = |detail: String| Failure::unavailable(detail, Duration::from_secs(1));
+    let unavailable = |detail: String| Failure::unavailable(detail, Duration::from_secs(1));
     while tried.len() < MAX_ATTEMPTS {
-        let Some(target) = choose(app, &passing.pool, &tried) else {
+        let Some(target) = choose_target(app, &call.pool, &tried) else {
             break;
         };
-        let Some(out) = call_body.take() else {
-            return Err(unreached("the target was not reached".to_owned()));
+        let Some(out_body) = call_body.take() else {
+            return Err(unavailable("the target was not reached".to_owned()));
         };
         let attempt = AttemptId::generate();
-        match send_to(app, passing, &target, attempt, out).await {
-            Ok(resp) => return check(app, &target, attempt, resp),
+        match send_to(app, call, &target, attempt, out_body).await {
+            Ok(resp) => return check_attempt(app, &target, attempt, resp),
             Err(e) => {
                 event!(app.log, events::ATTEMPT_FAILED,
                     "target" => %target.entry.id, "error" => %e);
-                app.keeper.tell(News::Suspect(target.entry.id.clone()));
+                app.keeper
+                    .report(Report::Unreachable(target.entry.id.clone()));
                 if e.sent == Sent::Maybe {
                     return Err(Failure::unknown(e.to_string()));
                 }
@@ -203,75 +200,79 @@
         }
         tried.push(target.entry.id.clone());
     }
-    Err(unreached(format!(
+    Err(unavailable(format!(
         "no target of pool {} is in reach",
-        passing.pool
+        call.pool
     )))
 }
 
 /// Chooses the less busy of two random targets that were not tried, from this zone if it has any.
-fn choose<E: Engine>(
+fn choose_target<E: Engine>(
     app: &App<E>,
     pool: &PoolId,
     tried: &[sillpin_core::TargetId],
 ) -> Option<Target> {
     let snapshot = app.snapshot();
-    let usable = snapshot.usable(pool, TargetKind::Service);
+    let usable = snapshot.usable_targets(pool, TargetKind::Service);
     let untried: Vec<&Target> = usable.filter(|t| !tried.contains(&t.entry.id)).collect();
-    let near: Vec<&Target> = untried
+    let same_zone: Vec<&Target> = untried
         .iter()
         .copied()
         .filter(|t| t.entry.zone == app.cfg.zone)
         .collect();
-    let among = if near.is_empty() { untried } else { near };
+    let candidates = if same_zone.is_empty() {
+        untried
+    } else {
+        same_zone
+    };
     let running = |t: &Target| t.load.as_ref().map_or(0, |load| load.running);
-    let two = among.sample(&mut rand::rng(), 2);
+    let two = candidates.sample(&mut rand::rng(), 2);
     two.min_by_key(|t| running(t)).map(|t| (*t).clone())
 }
 
 async fn send_to<E: Engine>(
     app: &App<E>,
-    passing: &mut Passing<'_>,
+    call: &mut ForwardedCall<'_>,
     target: &Target,
     attempt: AttemptId,
-    out: Body,
+    out_body: Body,
 ) -> Result<Response<Incoming>, CallError> {
-    let parent = passing.span.span_context().clone();
+    let parent = call.span.span_context().clone();
     let mut span = app.traces.span("target", SpanKind::Client, Some(&parent));
     span.set_attribute(KeyValue::new("target", target.entry.id.to_string()));
-    let req = outgoing(passing, target, attempt, &span, out);
+    let req = outgoing_request(call, target, attempt, &span, out_body);
     let peer = target.entry.addr;
     let step = "pass a call on";
-    let silence = app.cfg.limits.silence;
-    let sent = tokio::time::timeout(silence, app.client.send(step, peer, req)).await;
+    let idle_timeout = app.cfg.limits.idle_timeout;
+    let sent = tokio::time::timeout(idle_timeout, app.client.send(step, peer, req)).await;
     sent.unwrap_or_else(|_| {
         Err(CallError {
             step,
             peer,
             sent: Sent::Maybe,
-            fault: sillpin_http::client::CallFault::Timeout(silence),
+            fault: sillpin_http::client::CallFault::Timeout(idle_timeout),
         })
     })
 }
 
-fn outgoing(
-    passing: &Passing<'_>,
+fn outgoing_request(
+    call: &ForwardedCall<'_>,
     target: &Target,
     attempt: AttemptId,
     span: &ActiveSpan,
-    out: Body,
+    out_body: Body,
 ) -> Request<Body> {
-    let mut req = Request::new(out);
-    *req.method_mut() = passing.parts.method.clone();
-    let uri = format!("http://{}{}", target.entry.addr, passing.path);
+    let mut req = Request::new(out_body);
+    *req.method_mut() = call.parts.method.clone();
+    let uri = format!("http://{}{}", target.entry.addr, call.path);
     *req.uri_mut() = uri.parse::<Uri>().unwrap_or_default();
-    let passed = passing.parts.headers.iter();
-    for (name, value) in passed.filter(|(name, _)| !NOT_PASSED_ON.contains(name)) {
+    let forwarded = call.parts.headers.iter();
+    for (name, value) in forwarded.filter(|(name, _)| !NOT_FORWARDED.contains(name)) {
         req.headers_mut().append(name.clone(), value.clone());
     }
     let set = [
         (headers::ATTEMPT, attempt.to_string()),
-        (headers::ORGANISATION, passing.org.to_string()),
+        (headers::ORGANISATION, call.org.to_string()),
         (TRACEPARENT, traceparent(span)),
     ];
     for (name, value) in set {
@@ -283,7 +284,7 @@
 }
 
 /// Returns the response for the caller, unless it echoes the id of another attempt.
-fn check<E: Engine>(
+fn check_attempt<E: Engine>(
     app: &App<E>,
     target: &Target,
     attempt: AttemptId,
@@ -295,7 +296,7 @@
         return Err(Failure::unknown("the target answered for another call"));
     }
     let (mut parts, incoming) = resp.into_parts();
-    for name in NOT_PASSED_ON {
+    for name in NOT_FORWARDED {
         parts.headers.remove(name);
     }
     parts.version = hyper::Version::HTTP_11;
--- a/crates/sillpin-entry/src/settings.rs
+++ b/crates/sillpin-entry/src/settings.rs
@@ -164,23 +164,23 @@
     /// Maximum length of a request head, in bytes.
     pub head_len: usize,
     /// Time within which a request head must arrive.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Maximum length of the body of a model request, in bytes.
     pub body_len: usize,
     /// Time within which a request body must arrive.
-    pub body_time: Duration,
+    pub body_timeout: Duration,
     /// Maximum number of blocks in a prompt.
-    pub blocks: u64,
+    pub max_blocks: u64,
     /// Maximum number of tokens generated for a request.
     pub max_tokens: u32,
     /// Maximum number of requests waiting for an engine.
-    pub waiting: usize,
+    pub max_waiting: usize,
     /// Time within which a target must accept a request.
-    pub attempt: Duration,
+    pub accept_timeout: Duration,
     /// Maximum wait for the next token of a response, or for the head of a service's response.
-    pub silence: Duration,
+    pub idle_timeout: Duration,
     /// Maximum length of the body of a call that runs at most once, in bytes.
-    pub once_body_len: usize,
+    pub at_most_once_body_len: usize,
 }
 
 /// The entry's settings.
@@ -201,7 +201,7 @@
     /// Time for which a stopping entry still accepts requests.
     pub drain_lag: Duration,
     /// Maximum wait for hints.
-    pub look_up: Duration,
+    pub lookup_timeout: Duration,
     /// Limits and timeouts.
     pub limits: Limits,
     /// Address of the trace collector.
@@ -221,7 +221,7 @@
             http_listen: loaded.get("entry", "http-listen")?,
             keeper: loaded.get("entry", "keeper")?,
             drain_lag: millis(loaded, "entry", "drain-lag-ms")?,
-            look_up: millis(loaded, "entry", "look-up-ms")?,
+            lookup_timeout: millis(loaded, "entry", "look-up-ms")?,
             limits: limits(loaded)?,
             collector: collectors.first().copied(),
         })
@@ -235,14 +235,14 @@
 fn limits(loaded: &Loaded) -> Result<Limits, Faults> {
     Ok(Limits {
         head_len: loaded.get("limits", "head-bytes")?,
-        head_time: millis(loaded, "limits", "head-ms")?,
+        head_timeout: millis(loaded, "limits", "head-ms")?,
         body_len: loaded.get("limits", "body-bytes")?,
-        body_time: millis(loaded, "limits", "body-ms")?,
-        blocks: loaded.get("limits", "blocks")?,
+        body_timeout: millis(loaded, "limits", "body-ms")?,
+        max_blocks: loaded.get("limits", "blocks")?,
         max_tokens: loaded.get("limits", "max-tokens")?,
-        waiting: loaded.get("limits", "waiting")?,
-        attempt: millis(loaded, "limits", "attempt-ms")?,
-        silence: millis(loaded, "limits", "silence-ms")?,
-        once_body_len: loaded.get("limits", "once-body-bytes")?,
+        max_waiting: loaded.get("limits", "waiting")?,
+        accept_timeout: millis(loaded, "limits", "attempt-ms")?,
+        idle_timeout: millis(loaded, "limits", "silence-ms")?,
+        at_most_once_body_len: loaded.get("limits", "once-body-bytes")?,
     })
 }
--- a/crates/sillpin-entry/src/snapshot.rs
+++ b/crates/sillpin-entry/src/snapshot.rs
@@ -72,12 +72,12 @@
     /// The bundle in force; `None` before the first one.
     pub in_force: Option<InForce>,
     /// Organisations by the hash of each of their API keys.
-    pub keys: Arc<HashMap<[u8; 32], OrgId>>,
+    pub orgs_by_key_hash: Arc<HashMap<[u8; 32], OrgId>>,
 }
 
 impl Snapshot {
     /// Returns the snapshot with an update from the keeper applied.
-    pub fn after(&self, update: FleetUpdate) -> Self {
+    pub fn with_update(&self, update: FleetUpdate) -> Self {
         let mut next = self.clone();
         if update.complete {
             next.targets.clear();
@@ -86,10 +86,10 @@
             next.targets.insert(view.entry.id.clone(), view.into());
         }
         if let Some(accepted) = update.bundle {
-            next.adopt(accepted);
+            next.apply_bundle(accepted);
         }
         if let Some(list) = update.organisations {
-            next.keys = Arc::new(keys_of(&list));
+            next.orgs_by_key_hash = Arc::new(index_by_key_hash(&list));
         }
         if let (Some(stopped), Some(in_force)) = (update.stopped_arms, &mut next.in_force) {
             in_force.stopped = stopped;
@@ -98,7 +98,7 @@
     }
 
     /// Puts a bundle into force if its revision is higher. The keeper has verified its signature.
-    fn adopt(&mut self, accepted: sillpin_bundle::Accepted) {
+    fn apply_bundle(&mut self, accepted: sillpin_bundle::Accepted) {
         let current = self.in_force.as_ref().map(|f| f.revision);
         if current.is_some_and(|current| accepted.revision <= current) {
             return;
@@ -113,7 +113,7 @@
     }
 
     /// Returns the targets of a pool and kind that may receive new requests.
-    pub fn usable<'a>(
+    pub fn usable_targets<'a>(
         &'a self,
         pool: &'a PoolId,
         kind: TargetKind,
@@ -124,14 +124,14 @@
     }
 }
 
-fn keys_of(list: &[Organisation]) -> HashMap<[u8; 32], OrgId> {
-    let mut keys = HashMap::new();
+fn index_by_key_hash(list: &[Organisation]) -> HashMap<[u8; 32], OrgId> {
+    let mut orgs = HashMap::new();
     for org in list {
         for hash in &org.key_hashes {
             if let Ok(hash) = blake3::Hash::from_hex(hash) {
-                keys.insert(*hash.as_bytes(), org.id.clone());
+                orgs.insert(*hash.as_bytes(), org.id.clone());
             }
         }
     }
-    keys
+    orgs
 }
--- a/crates/sillpin-entry/tests/place.rs
+++ b/crates/sillpin-entry/tests/place.rs
@@ -28,7 +28,7 @@
         ],
         ..FleetUpdate::default()
     };
-    let snapshot = Snapshot::default().after(update);
+    let snapshot = Snapshot::default().with_update(update);
     let (tx, rx) = watch::channel(Arc::new(snapshot));
     let placer = start("zone".parse().unwrap(), rx, 100);
     (placer, tx)
@@ -61,42 +61,42 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_whose_engine_is_busy_does_not_hold_up_others() {
+async fn request_for_a_busy_engine_does_not_block_others() {
     let (placer, _snapshots) = placer(100);
-    let begun = Instant::now();
-    let (waits, goes) = (placer.clone(), placer.clone());
+    let started_at = Instant::now();
+    let (to_busy, to_idle) = (placer.clone(), placer.clone());
     let waiting = tokio::spawn(async move {
         let req = request(home_at(0), PriorityClass::Normal, Duration::from_secs(15));
-        waits.place(req).await
+        to_busy.place(req).await
     });
     tokio::task::yield_now().await;
     let req = request(home_at(1), PriorityClass::Normal, Duration::from_secs(15));
-    assert_eq!(goes.place(req).await.unwrap().target.as_str(), NAMES[1]);
+    assert_eq!(to_idle.place(req).await.unwrap().target.as_str(), NAMES[1]);
     assert!(
-        begun.elapsed() < Duration::from_millis(50),
+        started_at.elapsed() < Duration::from_millis(50),
         "{:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
     assert_eq!(waiting.await.unwrap().unwrap().target.as_str(), NAMES[0]);
-    let waited = begun.elapsed();
+    let waited = started_at.elapsed();
     assert!((1_500..1_700).contains(&waited.as_millis()), "{waited:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_cannot_begin_in_time_is_refused_at_once() {
+async fn request_that_cannot_start_before_its_deadline_is_refused_immediately() {
     let (placer, _snapshots) = placer(1_000);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let req = request(home_at(0), PriorityClass::Normal, Duration::from_secs(15));
     let refusal = placer.place(req).await.unwrap_err();
     assert!(matches!(refusal, Refusal::TooLate { .. }), "{refusal}");
-    assert!(begun.elapsed() < Duration::from_millis(50));
+    assert!(started_at.elapsed() < Duration::from_millis(50));
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_most_urgent_may_queue_longer_at_an_engine() {
+async fn urgent_requests_may_queue_longer_at_an_engine() {
     let (placer, _snapshots) = placer(50);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let req = request(home_at(0), PriorityClass::Urgent, Duration::from_secs(5));
     placer.place(req).await.unwrap();
-    assert!(begun.elapsed() < Duration::from_millis(50));
+    assert!(started_at.elapsed() < Duration::from_millis(50));
 }
--- a/crates/sillpin-entry/tests/program.rs
+++ b/crates/sillpin-entry/tests/program.rs
@@ -4,7 +4,7 @@
 mod program;
 
 #[test]
-fn faulty_settings_are_refused_with_every_fault() {
+fn all_faults_in_the_settings_are_reported() {
     let faulty = "[box]\nid = a\nzone = Z\ncolour = red\n";
     let (ok, out, err) = program::run(env!("CARGO_BIN_EXE_sillpin-entry"), faulty, &["--check"]);
     let text = out + &err;
