--- a/crates/sillpin-entry/src/arms.rs
+++ b/crates/sillpin-entry/src/arms.rs
@@ -88,6 +88,7 @@
     ArmsHandle { tx }
 }
 
+/// Sums over the requests of one arm.
 struct Window {
     first_tokens: Histogram<u64>,
     failed: u32,
--- a/crates/sillpin-entry/src/front/auth.rs
+++ b/crates/sillpin-entry/src/front/auth.rs
@@ -27,8 +27,8 @@
     let key = key.ok_or_else(|| refused("header authorization is not `Bearer KEY`"))?;
     let hash = blake3::hash(key.trim().as_bytes());
     let found = snapshot.orgs_by_key_hash.get_key_value(hash.as_bytes());
-    let same = |known: &[u8; 32]| blake3::Hash::from_bytes(*known) == hash;
-    let found = found.filter(|(known, _)| same(known));
+    let same = |candidate: &[u8; 32]| blake3::Hash::from_bytes(*candidate) == hash;
+    let found = found.filter(|(candidate, _)| same(candidate));
     found
         .map(|(_, org)| org.clone())
         .ok_or_else(|| refused("the key is not known"))
--- a/crates/sillpin-entry/src/front/documents.rs
+++ b/crates/sillpin-entry/src/front/documents.rs
@@ -17,6 +17,7 @@
     Chat,
 }
 
+/// Fields of a request body. Its name is part of the error text for malformed JSON.
 #[derive(Deserialize)]
 struct Common {
     model: ModelId,
@@ -34,6 +35,7 @@
     parameters: serde_json::Map<String, serde_json::Value>,
 }
 
+/// A chat message. Its name is part of the error text for malformed JSON.
 #[derive(Deserialize)]
 struct Message {
     role: String,
--- a/crates/sillpin-entry/src/front/headers.rs
+++ b/crates/sillpin-entry/src/front/headers.rs
@@ -37,7 +37,7 @@
     Ok(Some(text))
 }
 
-fn parsed<T: FromStr>(
+fn parse_header<T: FromStr>(
     headers: &HeaderMap,
     name: &'static str,
     accepted: &str,
@@ -51,13 +51,13 @@
 
 /// Returns the priority class of a request.
 pub fn priority_class(headers: &HeaderMap) -> Result<PriorityClass, Failure> {
-    let priority_class = parsed(headers, PRIORITY, "urgent, normal or batch")?;
+    let priority_class = parse_header(headers, PRIORITY, "urgent, normal or batch")?;
     Ok(priority_class.unwrap_or_default())
 }
 
 /// Returns the maximum time to the first token that a request sets.
 pub fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, Failure> {
-    let millis: Option<u64> = parsed(headers, DEADLINE, "a whole number of milliseconds")?;
+    let millis: Option<u64> = parse_header(headers, DEADLINE, "a whole number of milliseconds")?;
     if millis == Some(0) {
         return Err(Failure::bad_request(format!(
             "header {DEADLINE} must be above 0"
--- a/crates/sillpin-entry/src/keeper_link.rs
+++ b/crates/sillpin-entry/src/keeper_link.rs
@@ -158,6 +158,7 @@
     }
 }
 
+/// Keeps the connection to the keeper and polls it for changes of the fleet.
 struct FleetPoller {
     addr: SocketAddr,
     log: Logger,
--- a/crates/sillpin-entry/src/metrics.rs
+++ b/crates/sillpin-entry/src/metrics.rs
@@ -76,11 +76,11 @@
         ]
     }
 
-    /// Counts a request by its outcome; `answered` if it got a complete response.
-    pub fn count_request(&self, labels: &Labels, outcome: Outcome, answered: bool) {
+    /// Counts a request by its outcome; `completed` if it got a complete response.
+    pub fn count_request(&self, labels: &Labels, outcome: Outcome, completed: bool) {
         let mut labels = self.key_values(labels);
         labels.push(KeyValue::new("outcome", outcome.to_string()));
-        labels.push(KeyValue::new("answered", answered));
+        labels.push(KeyValue::new("answered", completed));
         self.requests.add(1, &labels);
     }
 
--- a/crates/sillpin-entry/src/placement/backlog.rs
+++ b/crates/sillpin-entry/src/placement/backlog.rs
@@ -26,11 +26,16 @@
 /// The estimate for one engine.
 #[derive(Debug)]
 pub struct Backlog {
+    /// Estimated time to process the prompts that wait at the engine, at `updated_at`.
     queued_work: Duration,
     updated_at: Instant,
+    /// Sequence number of the last load report applied.
     sequence: Option<u64>,
+    /// Time and work of the requests sent within `REPORT_LAG`.
     recent_sends: VecDeque<(Instant, Duration)>,
+    /// Requests sent by this entry that have not ended.
     in_flight: u32,
+    /// Moving average of the time from sending a request to its end.
     mean_run: Duration,
     cooldown_until: Option<Instant>,
 }
@@ -48,6 +53,7 @@
         }
     }
 
+    /// Subtracts the time since the last update from the queued work.
     fn advance(&mut self, now: Instant) {
         self.queued_work = self.queued_work.saturating_sub(now - self.updated_at);
         self.updated_at = now;
@@ -85,12 +91,12 @@
         self.in_flight += 1;
     }
 
-    /// Records that a request ended after `took`.
-    pub fn record_ended(&mut self, took: Duration, completed: bool, now: Instant) {
+    /// Records that a request ended after `duration`.
+    pub fn record_ended(&mut self, duration: Duration, completed: bool, now: Instant) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if completed {
             self.mean_run =
-                self.mean_run.mul_f64(1.0 - MEAN_RUN_WEIGHT) + took.mul_f64(MEAN_RUN_WEIGHT);
+                self.mean_run.mul_f64(1.0 - MEAN_RUN_WEIGHT) + duration.mul_f64(MEAN_RUN_WEIGHT);
         } else {
             self.cooldown_until = Some(now + COOLDOWN);
         }
--- a/crates/sillpin-entry/src/placement/placer.rs
+++ b/crates/sillpin-entry/src/placement/placer.rs
@@ -33,6 +33,7 @@
     engines: HashMap<PoolId, Vec<Engine>>,
     observed_versions: HashMap<TargetId, (WeightVersion, Instant)>,
     rng: SmallRng,
+    /// Number of decisions so far, for round-robin placement.
     turn: usize,
 }
 
@@ -91,8 +92,8 @@
                 .clone()
                 .filter(|_| is_engine && target.is_usable());
             let Some(load) = load else { continue };
-            let known = backlogs.remove(&target.entry.id);
-            let mut backlog = known.unwrap_or_else(|| Backlog::new(now));
+            let previous = backlogs.remove(&target.entry.id);
+            let mut backlog = previous.unwrap_or_else(|| Backlog::new(now));
             backlog.apply_report(&load, now);
             let engine = Engine {
                 target: target.clone(),
@@ -220,16 +221,17 @@
     pub fn record_ended(
         &mut self,
         target: &TargetId,
-        took: Duration,
+        duration: Duration,
         completed: bool,
         now: Instant,
     ) {
         if let Some(backlog) = self.backlog(target) {
-            backlog.record_ended(took, completed, now);
+            backlog.record_ended(duration, completed, now);
         }
     }
 }
 
+/// Returns the number of stored blocks and the time to fetch one of them.
 fn stored_blocks(objects: &[StoredObject]) -> Kept {
     let Some(first) = objects.first() else {
         return Kept::default();
--- a/crates/sillpin-entry/src/placement/task.rs
+++ b/crates/sillpin-entry/src/placement/task.rs
@@ -99,7 +99,7 @@
     Place(Box<PlaceRequest>, Reply),
     Ended {
         target: TargetId,
-        took: Duration,
+        duration: Duration,
         completed: bool,
     },
     ObservedVersion(TargetId, WeightVersion),
@@ -129,10 +129,10 @@
     }
 
     /// Reports that a placed request ended.
-    pub fn request_ended(&self, target: TargetId, took: Duration, completed: bool) {
+    pub fn request_ended(&self, target: TargetId, duration: Duration, completed: bool) {
         let msg = Msg::Ended {
             target,
-            took,
+            duration,
             completed,
         };
         let _ = self.tx.try_send(msg);
@@ -164,6 +164,7 @@
     PlacerHandle { tx }
 }
 
+/// A request that waits for an engine.
 struct Waiting {
     req: Box<PlaceRequest>,
     reply: Reply,
@@ -186,8 +187,8 @@
             tokio::select! {
                 msg = rx.recv() => match msg {
                     Some(Msg::Place(req, reply)) => self.place(req, reply),
-                    Some(Msg::Ended { target, took, completed }) => {
-                        self.placer.record_ended(&target, took, completed, Instant::now());
+                    Some(Msg::Ended { target, duration, completed }) => {
+                        self.placer.record_ended(&target, duration, completed, Instant::now());
                     }
                     Some(Msg::ObservedVersion(target, version)) => {
                         self.placer.observe_version(target, version, Instant::now());
@@ -227,6 +228,7 @@
         self.enqueue(choice, req, reply, now);
     }
 
+    /// Takes a retry from the budget. A request that is not a retry adds to it.
     fn charge_retry(&mut self, req: &PlaceRequest) -> Result<(), Refusal> {
         if !req.is_retry {
             let earned = f64::from(req.policy.limits.retry_percent) / 100.0;
@@ -338,6 +340,7 @@
     Wait,
 }
 
+/// Returns whether the wait at the chosen engine is within the policy's limit.
 fn is_wait_acceptable(choice: &Choice, req: &PlaceRequest) -> bool {
     let allowed = Duration::from_millis(req.policy.limits.engine_queue_ms);
     match req.class {
--- a/crates/sillpin-entry/src/runs/accounting.rs
+++ b/crates/sillpin-entry/src/runs/accounting.rs
@@ -16,6 +16,7 @@
 use sillpin_telemetry::{event, events};
 
 impl<E: Engine> Driver<E> {
+    /// Reports to the keeper that the prompt's blocks are cached at an engine.
     pub(super) fn report_prompt_use(&self, placed: &Placed) {
         if self.plan.blocks.is_empty() {
             return;
@@ -28,6 +29,7 @@
         }));
     }
 
+    /// Records a complete response and delivers its end.
     pub(super) async fn completed(mut self, summary: RunSummary) {
         self.outcome = Outcome::Ran;
         let labels = &self.plan.labels;
@@ -45,6 +47,7 @@
         let _ = self.tx.send(Delivery::End(summary, provenance)).await;
     }
 
+    /// Records the mean time between tokens, if there were at least two.
     fn record_token_interval(&self) {
         let (Some(first), Some(last)) = (self.first_token, self.last_token) else {
             return;
@@ -58,6 +61,7 @@
         }
     }
 
+    /// Records a failed request and delivers the failure.
     pub(super) async fn failed(mut self, failure: Failure) {
         self.app
             .metrics
@@ -69,6 +73,7 @@
         let _ = self.tx.send(Delivery::Failed(failure)).await;
     }
 
+    /// Records a request whose caller has disconnected.
     pub(super) fn caller_disconnected(mut self) {
         self.app
             .metrics
--- a/crates/sillpin-entry/src/runs/drive.rs
+++ b/crates/sillpin-entry/src/runs/drive.rs
@@ -44,12 +44,17 @@
     pub(super) plan: Plan,
     pub(super) tx: mpsc::Sender<Delivery>,
     pub(super) span: ActiveSpan,
+    /// Text of the tokens passed on, from which another engine can continue.
     pub(super) delivered: String,
+    /// Number of tokens passed on.
     pub(super) tokens: u32,
+    /// Time to first token.
     pub(super) first_token: Option<Duration>,
     pub(super) last_token: Option<Instant>,
+    /// Engines that must not be tried again.
     pub(super) excluded: Vec<TargetId>,
     pub(super) attempts: Vec<AttemptRecord>,
+    /// Whether the request was executed, as far as is known.
     pub(super) outcome: Outcome,
     pub(super) replans: u32,
 }
@@ -167,6 +172,7 @@
         }
     }
 
+    /// Replaces the plan but keeps its start and deadline.
     fn replace_plan(&mut self, plan: Plan) {
         let (started_at, deadline) = (self.plan.started_at, self.plan.deadline);
         self.plan = Plan {
@@ -177,6 +183,7 @@
         self.excluded.clear();
     }
 
+    /// Requests hints for the prompt's blocks from the keeper.
     async fn look_up_blocks(&mut self) -> BlockHints {
         if self.plan.blocks.is_empty() {
             return BlockHints::default();
--- a/crates/sillpin-entry/src/runs/idempotency.rs
+++ b/crates/sillpin-entry/src/runs/idempotency.rs
@@ -81,6 +81,7 @@
         }
     }
 
+    /// Drops the claim without a report to the keeper, because another request holds it.
     fn disarm(mut self) {
         self.outcome = Outcome::Unknown;
     }
--- a/crates/sillpin-entry/src/runs/plan.rs
+++ b/crates/sillpin-entry/src/runs/plan.rs
@@ -24,8 +24,11 @@
     pub(super) policy: Arc<PolicySet>,
     pub(super) pool: PoolId,
     pub(super) version: WeightVersion,
+    /// Hash of the prompt, which determines its home engines.
     pub(super) home: u64,
+    /// Names of the complete blocks of the prompt.
     pub(super) blocks: Vec<BlockName>,
+    /// Number of blocks, including an incomplete last one.
     pub(super) block_count: u32,
     pub(super) started_at: Instant,
     pub(super) deadline: Instant,
--- a/crates/sillpin-entry/src/services.rs
+++ b/crates/sillpin-entry/src/services.rs
@@ -106,8 +106,8 @@
 fn require_pool<E: Engine>(app: &App<E>, pool: &PoolId) -> Result<(), Failure> {
     let snapshot = app.snapshot();
     let bundle = snapshot.in_force.as_ref().map(|f| f.bundle.clone());
-    let known = bundle.and_then(|bundle| bundle.pools.get(pool).map(|p| p.kind));
-    if known == Some(TargetKind::Service) {
+    let kind = bundle.and_then(|bundle| bundle.pools.get(pool).map(|p| p.kind));
+    if kind == Some(TargetKind::Service) {
         return Ok(());
     }
     Err(Failure::not_found(format!(
