--- a/crates/sillpin-entry/src/settings.rs
+++ b/crates/sillpin-entry/src/settings.rs
@@ -21,7 +21,7 @@
         keys: &[Key::required(
             "secret",
             Kind::Text,
-            "Secret that keys block names; the same on all boxes",
+            "Secret from which the key of block names is derived; must be the same on all boxes",
         )
         .secret()],
     },
@@ -35,7 +35,7 @@
                 "127.0.0.1:0",
                 "Listener for health and metrics",
             ),
-            Key::required("keeper", Kind::Addr, "The keeper of this box"),
+            Key::required("keeper", Kind::Addr, "Address of the keeper of this box"),
             Key::optional(
                 "threads",
                 Kind::Number { min: 1, max: 256 },
@@ -49,13 +49,13 @@
                     max: 600_000,
                 },
                 "5000",
-                "How long a stopping entry still accepts, for the balancer's lag",
+                "Time in ms for which a stopping entry still accepts requests, until the load balancer has reacted",
             ),
             Key::optional(
                 "look-up-ms",
                 Kind::Number { min: 0, max: 1_000 },
                 "5",
-                "Longest wait for hints of who holds a prompt's blocks",
+                "Maximum wait in ms for the keeper's hints on where a prompt's blocks are cached",
             ),
         ],
     },
@@ -69,7 +69,7 @@
                     max: 1_048_576,
                 },
                 "16384",
-                "Longest head of a request",
+                "Maximum length of a request head in bytes",
             ),
             Key::optional(
                 "head-ms",
@@ -78,7 +78,7 @@
                     max: 600_000,
                 },
                 "10000",
-                "Longest time for a request's head to arrive",
+                "Time in ms within which a request head must arrive",
             ),
             Key::optional(
                 "body-bytes",
@@ -87,7 +87,7 @@
                     max: 67_108_864,
                 },
                 "8388608",
-                "Longest body of a request for a model",
+                "Maximum length of the body of a model request in bytes",
             ),
             Key::optional(
                 "body-ms",
@@ -96,7 +96,7 @@
                     max: 600_000,
                 },
                 "15000",
-                "Longest time for a request's body to arrive",
+                "Time in ms within which a request body must arrive",
             ),
             Key::optional(
                 "blocks",
@@ -105,7 +105,7 @@
                     max: 100_000,
                 },
                 "2000",
-                "Most blocks in a prompt",
+                "Maximum number of blocks in a prompt",
             ),
             Key::optional(
                 "max-tokens",
@@ -114,7 +114,7 @@
                     max: 1_000_000,
                 },
                 "8192",
-                "Most tokens generated for a request",
+                "Maximum number of tokens generated for a request",
             ),
             Key::optional(
                 "waiting",
@@ -123,7 +123,7 @@
                     max: 1_000_000,
                 },
                 "2000",
-                "Most requests that wait in this entry",
+                "Maximum number of requests waiting for an engine in this entry",
             ),
             Key::optional(
                 "attempt-ms",
@@ -132,7 +132,7 @@
                     max: 600_000,
                 },
                 "2000",
-                "Longest wait for a target to accept a request",
+                "Time in ms within which a target must accept a request",
             ),
             Key::optional(
                 "silence-ms",
@@ -141,7 +141,7 @@
                     max: 600_000,
                 },
                 "30000",
-                "Longest silence of a target during an answer",
+                "Maximum wait in ms for the next token of a response, or for the head of a service's response",
             ),
             Key::optional(
                 "once-body-bytes",
@@ -150,7 +150,7 @@
                     max: 16_777_216,
                 },
                 "1048576",
-                "Longest body of a call that runs at most once",
+                "Maximum length in bytes of the body of a call that runs at most once",
             ),
         ],
     },
