--- a/crates/sillpin-entry/src/arms.rs
+++ b/crates/sillpin-entry/src/arms.rs
@@ -132,9 +132,11 @@
     histogram.unwrap_or_else(|_| unreachable!("the bounds are constant and valid"))
 }
 
+/// The task that sums samples, checks the guard and reports to the keeper.
 struct ArmsTask {
     box_id: BoxId,
     zone: ZoneId,
+    /// Sums since the revision came into force.
     totals: HashMap<ArmName, Window>,
     snapshots: watch::Receiver<Arc<Snapshot>>,
     keeper: KeeperLink,
@@ -201,6 +203,7 @@
         self.keeper.report(Report::Arms(figures.collect()));
     }
 
+    /// Returns an arm's sample over the current and the previous window.
     fn sample(&self, arm: &ArmName) -> ArmSample {
         let mut all = micros_histogram();
         let mut failed = 0;
@@ -218,6 +221,7 @@
         }
     }
 
+    /// Reports the arms that breach the guard of the bundle in force.
     fn check_guard(&self) {
         let snapshot = self.snapshots.borrow().clone();
         let Some(in_force) = snapshot.in_force.as_ref() else {
--- a/crates/sillpin-entry/src/keeper_link.rs
+++ b/crates/sillpin-entry/src/keeper_link.rs
@@ -131,6 +131,7 @@
         }
     }
 
+    /// Sends a batch of reports; drops them if the keeper is unreachable.
     async fn send_batch(&self, batch: Vec<Report>) {
         let Some(client) = self.client() else { return };
         let (mut prompts_used, mut records) = (Vec::new(), Vec::new());
--- a/crates/sillpin-entry/src/placement/task.rs
+++ b/crates/sillpin-entry/src/placement/task.rs
@@ -95,6 +95,7 @@
 
 type Reply = oneshot::Sender<Result<Placed, Refusal>>;
 
+/// A message to the placement task.
 enum Msg {
     Place(Box<PlaceRequest>, Reply),
     Ended {
@@ -170,11 +171,14 @@
     reply: Reply,
 }
 
+/// The state of the placement task.
 struct PlacementTask {
     placer: Placer,
     snapshots: watch::Receiver<Arc<Snapshot>>,
+    /// Waiting requests, one queue per pool.
     waiting: HashMap<PoolId, FairQueue<Waiting>>,
     max_waiting: usize,
+    /// Retries that may still be made.
     retry_budget: f64,
 }
 
--- a/crates/sillpin-entry/src/runs/mod.rs
+++ b/crates/sillpin-entry/src/runs/mod.rs
@@ -1,6 +1,6 @@
 //! Executes model requests: claim, attempts, resumption, continuation.
 //!
-//! One task per request ([`drive`]) passes tokens to the response. The response's head is sent with
+//! One task per request (`drive`) passes tokens to the response. The response's head is sent with
 //! the first token, so that an earlier failure still gets its own status. What follows a failed
 //! attempt:
 //!
--- a/crates/sillpin-entry/src/services.rs
+++ b/crates/sillpin-entry/src/services.rs
@@ -115,6 +115,7 @@
     )))
 }
 
+/// Forwards a call that runs at most once, under a claim.
 async fn forward_once<E: Engine>(
     app: &App<E>,
     request: RequestId,
@@ -142,6 +143,7 @@
     result
 }
 
+/// Returns the BLAKE3 hash of method, pool, path and body, in hexadecimal.
 fn digest(call: &ForwardedCall<'_>, bytes: &[u8]) -> String {
     let mut hasher = blake3::Hasher::new();
     for part in [call.parts.method.as_str(), call.pool.as_str(), &call.path] {
@@ -152,6 +154,7 @@
     hasher.finalize().to_hex().to_string()
 }
 
+/// Forwards a call that may be retried if its body is buffered.
 async fn forward_repeatable<E: Engine>(
     app: &App<E>,
     call: &mut ForwardedCall<'_>,
