--- a/crates/sillpin-entry/benches/decision.rs
+++ b/crates/sillpin-entry/benches/decision.rs
@@ -1,8 +1,8 @@
-//! Time of one whole decision of an entry, by number of engines.
+//! Measures the time of one complete placement decision, by number of engines.
 
 #![allow(
     missing_docs,
-    reason = "the macro of the library writes a function without"
+    reason = "criterion's macro generates a function without documentation"
 )]
 
 #[path = "../tests/support/engine.rs"]
@@ -10,8 +10,8 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use sillpin_core::{PriorityClass, WeightVersion};
-use sillpin_entry::place::PlaceRequest;
-use sillpin_entry::place::placer::Placer;
+use sillpin_entry::placement::PlaceRequest;
+use sillpin_entry::placement::placer::Placer;
 use sillpin_entry::snapshot::Snapshot;
 use sillpin_rpc::directory::BlockHints;
 use sillpin_rpc::entry_link::{FleetUpdate, TargetView};
@@ -57,7 +57,10 @@
             ..FleetUpdate::default()
         };
         let mut placer = Placer::new("zone-0".parse().unwrap());
-        placer.update(&Arc::new(Snapshot::default().after(update)), Instant::now());
+        placer.apply_snapshot(
+            &Arc::new(Snapshot::default().with_update(update)),
+            Instant::now(),
+        );
         group.bench_with_input(BenchmarkId::from_parameter(count), &count, |b, _| {
             let mut req = request(0);
             b.iter(|| {
--- a/crates/sillpin-entry/src/front/failure.rs
+++ b/crates/sillpin-entry/src/front/failure.rs
@@ -1,6 +1,6 @@
-//! What a caller is told when there is no whole answer.
+//! Problem documents for requests that get no complete response.
 
-use crate::place::Refusal;
+use crate::placement::Refusal;
 use hyper::{Response, StatusCode, header};
 use sillpin_core::outcome::PROBLEM_MEDIA_TYPE;
 use sillpin_core::switches::{Mechanism, is_off};
@@ -8,26 +8,26 @@
 use sillpin_http::Body;
 use std::time::Duration;
 
-/// A request that gets a problem document instead of an answer.
+/// A request that gets a problem document instead of a response.
 #[derive(Debug, Clone, PartialEq, Eq, derive_more::Display, derive_more::Error)]
 #[display("{title}: {detail}")]
 pub struct Failure {
     /// HTTP status.
     pub status: StatusCode,
-    /// Machine-readable name.
+    /// Name of the problem, for programs.
     pub kind: &'static str,
-    /// The same in words.
+    /// Name of the problem, for people.
     pub title: &'static str,
-    /// What happened to this request in particular.
+    /// Description of what happened to this request.
     pub detail: String,
-    /// Whether the request was carried out.
+    /// Whether the request was executed.
     pub outcome: Outcome,
-    /// When asking again may help.
+    /// Time after which a retry may succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl Failure {
-    /// A request that is refused as it stands.
+    /// A request that is refused without being executed.
     pub fn refused(
         status: StatusCode,
         kind: &'static str,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// A request that cannot be understood.
+    /// A request that cannot be parsed.
     pub fn bad_request(detail: impl Into<String>) -> Self {
         Self::refused(
             StatusCode::BAD_REQUEST,
@@ -69,7 +69,7 @@
         )
     }
 
-    /// A request that cannot be served now, and was not run.
+    /// A request that cannot be served now and was not executed.
     pub fn unavailable(detail: impl Into<String>, retry_after: Duration) -> Self {
         Self {
             retry_after: Some(retry_after),
@@ -82,7 +82,7 @@
         }
     }
 
-    /// A request that was sent and whose answer did not come whole.
+    /// A request that was sent to a target and got no complete response.
     pub fn unknown(detail: impl Into<String>) -> Self {
         let outcome = if is_off(Mechanism::Outcome) {
             Outcome::NotRun
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Another request holds the claim of a call that runs at most once.
-    pub fn taken(outcome: Outcome) -> Self {
+    /// A call that runs at most once and whose idempotency key is claimed by another request.
+    pub fn already_sent(outcome: Outcome) -> Self {
         let detail = match outcome {
             Outcome::Ran => "a request with this idempotency key was carried out",
             _ => {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The document and status for the caller.
+    /// Returns the HTTP response with the problem document.
     pub fn response(&self, request: RequestId) -> Response<Body> {
         let text = serde_json::to_vec(&self.problem(request)).unwrap_or_default();
         let mut resp = Response::new(Body::full(text));
@@ -130,7 +130,7 @@
         if let Some(after) = self.retry_after {
             headers.insert(
                 header::RETRY_AFTER,
-                header::HeaderValue::from(whole_secs(after)),
+                header::HeaderValue::from(ceil_secs(after)),
             );
         }
         if self.status == StatusCode::UNAUTHORIZED {
@@ -140,7 +140,7 @@
         resp
     }
 
-    /// The document for the caller.
+    /// Returns the problem document.
     pub fn problem(&self, request: RequestId) -> Problem {
         Problem {
             kind: format!("urn:sillpin:problem:{}", self.kind),
@@ -149,23 +149,23 @@
             detail: self.detail.clone(),
             outcome: self.outcome,
             request_id: Some(request),
-            retry_after: self.retry_after.map(whole_secs),
+            retry_after: self.retry_after.map(ceil_secs),
         }
     }
 }
 
-fn whole_secs(time: Duration) -> u64 {
+fn ceil_secs(time: Duration) -> u64 {
     time.as_millis().div_ceil(1_000).max(1) as u64
 }
 
-/// When to ask again after a refusal that names no time.
-const DEFAULT_RETRY: Duration = Duration::from_secs(1);
+/// Retry-After for refusals that give no time.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl From<Refusal> for Failure {
     fn from(refusal: Refusal) -> Self {
         let retry_after = match refusal {
             Refusal::TooLate { retry_after } => retry_after,
-            Refusal::NoEngine | Refusal::Full | Refusal::NoRetries => DEFAULT_RETRY,
+            Refusal::NoEngine | Refusal::Full | Refusal::NoRetries => DEFAULT_RETRY_AFTER,
         };
         let unavailable = Self::unavailable(refusal.to_string(), retry_after);
         match refusal {
--- a/crates/sillpin-entry/src/keeper_link.rs
+++ b/crates/sillpin-entry/src/keeper_link.rs
@@ -1,8 +1,8 @@
-//! The connection to the keeper of this box.
+//! The RPC connection to the keeper of this box.
 //!
-//! One task keeps the snapshot up to date by a waiting call. When the keeper is gone the entry goes
-//! on with its last snapshot: look-ups then give no hints, and calls that run at most once are
-//! refused as not run.
+//! One task keeps the snapshot up to date by long polling. While the keeper is unreachable the
+//! entry continues with its last snapshot: lookups return no hints, and calls that run at most once
+//! are refused without being executed.
 
 use crate::snapshot::Snapshot;
 use sillpin_core::{ArmName, BlockName, Revision, TargetId};
@@ -23,63 +23,63 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// How long a call for changes waits.
-const FLEET_WAIT: Duration = Duration::from_secs(2);
+/// Time for which the keeper holds a poll open if there are no changes.
+const FLEET_POLL_TIME: Duration = Duration::from_secs(2);
 
-/// Longest wait for any other answer.
+/// Timeout of other calls.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest wait for a claim: the keeper's own deadline and the way.
+/// Timeout of a claim: the keeper's own deadline plus the round trip.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Pause before the next try to reach the keeper.
+/// Delay before reconnecting to the keeper.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
 
-/// News that may wait for the keeper; more is dropped.
-const NEWS_QUEUE: usize = 4_096;
+/// Maximum number of queued reports; further ones are dropped.
+const REPORT_QUEUE_LEN: usize = 4_096;
 
-/// How long news waits for more.
-const NEWS_EVERY: Duration = Duration::from_millis(100);
+/// Time for which reports are collected into one batch.
+const BATCH_TIME: Duration = Duration::from_millis(100);
 
-/// News for the keeper that nobody waits for.
+/// A report to the keeper that is sent without waiting for the result.
 #[derive(Debug)]
-pub enum News {
-    /// A prompt was answered.
-    Used(PromptUse),
-    /// A request ended.
+pub enum Report {
+    /// A prompt whose blocks are now cached at an engine.
+    PromptUsed(PromptUse),
+    /// The decision record of a request that ended.
     Record(Box<DecisionRecord>),
-    /// A guard stops an arm.
+    /// An arm to stop because the guard detected a breach.
     StopArm(Revision, ArmName, Breach),
-    /// A target refused connections or broke them.
-    Suspect(TargetId),
-    /// A claim ended.
+    /// A target that refused or broke connections.
+    Unreachable(TargetId),
+    /// The outcome of a claimed call.
     EndClaim(ClaimEnd),
-    /// What the arms have measured so far.
+    /// Measurements of the arms so far.
     Arms(Vec<ArmFigures>),
 }
 
-/// Speaks to the keeper.
+/// Handle for calls and reports to the keeper.
 #[derive(Clone)]
 pub struct KeeperLink {
     client: watch::Receiver<Option<EntryLinkClient>>,
-    news: mpsc::Sender<News>,
+    reports: mpsc::Sender<Report>,
 }
 
-/// Starts the tasks that speak to the keeper at `addr`.
+/// Starts the tasks that communicate with the keeper at `addr`.
 pub fn start(addr: SocketAddr, log: Logger) -> (KeeperLink, watch::Receiver<Arc<Snapshot>>) {
     let (client_tx, client) = watch::channel(None);
     let (snapshot_tx, snapshot) = watch::channel(Arc::new(Snapshot::default()));
-    let (news, news_rx) = mpsc::channel(NEWS_QUEUE);
-    let follower = Follower {
+    let (reports, reports_rx) = mpsc::channel(REPORT_QUEUE_LEN);
+    let poller = FleetPoller {
         addr,
         log,
         client: client_tx,
         snapshot: snapshot_tx,
-        known: FleetPosition::default(),
+        position: FleetPosition::default(),
     };
-    tokio::spawn(follower.run());
-    let link = KeeperLink { client, news };
-    tokio::spawn(link.clone().send_news(news_rx));
+    tokio::spawn(poller.run());
+    let link = KeeperLink { client, reports };
+    tokio::spawn(link.clone().send_reports(reports_rx));
     (link, snapshot)
 }
 
@@ -88,7 +88,7 @@
         self.client.borrow().clone()
     }
 
-    /// Hints for a prompt's blocks; none when the keeper does not answer in time.
+    /// Returns hints for the blocks of a prompt; none if the keeper does not reply in time.
     pub async fn find_blocks(&self, blocks: Vec<BlockName>, wait: Duration) -> BlockHints {
         let Some(client) = self.client() else {
             return BlockHints::default();
@@ -99,7 +99,8 @@
         reply.ok().and_then(Result::ok).unwrap_or_default()
     }
 
-    /// Claims a call that runs at most once.
+    /// Claims a call that runs at most once. The claim is unavailable if the keeper does not reply
+    /// in time.
     pub async fn claim(&self, req: ClaimRequest) -> ClaimReply {
         let Some(client) = self.client() else {
             return ClaimReply::Unavailable;
@@ -112,38 +113,39 @@
             .unwrap_or(ClaimReply::Unavailable)
     }
 
-    /// Tells the keeper something; dropped when too much waits.
-    pub fn tell(&self, news: News) {
-        let _ = self.news.try_send(news);
+    /// Queues a report; it is dropped if the queue is full.
+    pub fn report(&self, report: Report) {
+        let _ = self.reports.try_send(report);
     }
 
-    async fn send_news(self, mut rx: mpsc::Receiver<News>) {
+    async fn send_reports(self, mut rx: mpsc::Receiver<Report>) {
         let mut batch = Vec::new();
-        while rx.recv_many(&mut batch, NEWS_QUEUE).await > 0 {
+        while rx.recv_many(&mut batch, REPORT_QUEUE_LEN).await > 0 {
             let urgent = batch
                 .iter()
-                .any(|news| matches!(news, News::Suspect(_) | News::EndClaim(_)));
+                .any(|report| matches!(report, Report::Unreachable(_) | Report::EndClaim(_)));
             self.send_batch(std::mem::take(&mut batch)).await;
             if !urgent {
-                tokio::time::sleep(NEWS_EVERY).await;
+                tokio::time::sleep(BATCH_TIME).await;
             }
         }
     }
 
-    async fn send_batch(&self, batch: Vec<News>) {
+    /// Sends a batch of reports; drops them if the keeper is unreachable.
+    async fn send_batch(&self, batch: Vec<Report>) {
         let Some(client) = self.client() else { return };
         let (mut prompts_used, mut records) = (Vec::new(), Vec::new());
-        for news in batch {
+        for report in batch {
             let cx = within(CALL_TIMEOUT);
-            match news {
-                News::Used(prompt) => prompts_used.push(prompt),
-                News::Record(record) => records.push(*record),
-                News::StopArm(revision, arm, breach) => {
+            match report {
+                Report::PromptUsed(prompt) => prompts_used.push(prompt),
+                Report::Record(record) => records.push(*record),
+                Report::StopArm(revision, arm, breach) => {
                     drop(client.stop_arm(cx, revision, arm, breach).await);
                 }
-                News::Suspect(target) => drop(client.report_unreachable(cx, target).await),
-                News::EndClaim(end) => drop(client.end_claim(cx, end).await),
-                News::Arms(figures) => drop(client.arms(cx, figures).await),
+                Report::Unreachable(target) => drop(client.report_unreachable(cx, target).await),
+                Report::EndClaim(end) => drop(client.end_claim(cx, end).await),
+                Report::Arms(figures) => drop(client.arms(cx, figures).await),
             }
         }
         if !prompts_used.is_empty() {
@@ -157,46 +159,48 @@
     }
 }
 
-struct Follower {
+/// Keeps the connection to the keeper and polls it for changes of the fleet.
+struct FleetPoller {
     addr: SocketAddr,
     log: Logger,
     client: watch::Sender<Option<EntryLinkClient>>,
     snapshot: watch::Sender<Arc<Snapshot>>,
-    known: FleetPosition,
+    position: FleetPosition,
 }
 
-impl Follower {
+impl FleetPoller {
     async fn run(mut self) {
-        let mut lost_since: Option<Instant> = None;
+        let mut unreachable_since: Option<Instant> = None;
         loop {
             if let Ok(transport) = connect(self.addr).await {
                 let client = EntryLinkClient::new(Config::default(), transport).spawn();
                 self.client.send_replace(Some(client.clone()));
-                if lost_since.take().is_some() {
+                if unreachable_since.take().is_some() {
                     event!(self.log, events::KEEPER_RECOVERED, "keeper" => %self.addr);
                 }
-                self.follow(client).await;
+                self.poll_fleet(client).await;
                 self.client.send_replace(None);
             }
-            if lost_since.is_none() {
+            if unreachable_since.is_none() {
                 event!(self.log, events::KEEPER_UNREACHABLE, "keeper" => %self.addr);
-                lost_since = Some(Instant::now());
+                unreachable_since = Some(Instant::now());
             }
             tokio::time::sleep(RECONNECT_PAUSE).await;
         }
     }
 
-    async fn follow(&mut self, client: EntryLinkClient) {
+    async fn poll_fleet(&mut self, client: EntryLinkClient) {
         loop {
-            let wait_ms = FLEET_WAIT.as_millis() as u64;
-            let timeout = FLEET_WAIT + CALL_TIMEOUT;
-            let call = client.fleet(within(timeout), self.known, wait_ms);
+            let wait_ms = FLEET_POLL_TIME.as_millis() as u64;
+            let timeout = FLEET_POLL_TIME + CALL_TIMEOUT;
+            let call = client.fleet(within(timeout), self.position, wait_ms);
             let Ok(Ok(update)) = tokio::time::timeout(timeout, call).await else {
                 return;
             };
-            self.known = update.known;
-            let before = self.snapshot.borrow().clone();
-            self.snapshot.send_replace(Arc::new(before.after(update)));
+            self.position = update.known;
+            let previous = self.snapshot.borrow().clone();
+            self.snapshot
+                .send_replace(Arc::new(previous.with_update(update)));
         }
     }
 }
--- a/crates/sillpin-entry/src/metrics.rs
+++ b/crates/sillpin-entry/src/metrics.rs
@@ -1,5 +1,5 @@
-//! The entry's instruments. Labels: organisation, pool, class, revision, arm, outcome; each with a
-//! bounded set of values.
+//! The entry's metrics. Labels: organisation, pool, class, revision, arm and outcome, each with a
+//! bounded number of values.
 
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Histogram, Meter};
@@ -8,22 +8,22 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// What a request is counted by.
+/// Label values of a request.
 #[derive(Debug, Clone)]
 pub struct Labels {
     /// Its organisation.
     pub org: OrgId,
     /// Its pool.
     pub pool: PoolId,
-    /// Its class.
+    /// Its priority class.
     pub class: PriorityClass,
-    /// The bundle's revision.
+    /// Revision of the bundle.
     pub revision: Revision,
     /// The arm.
     pub arm: ArmName,
 }
 
-/// Prompt work of an answered request.
+/// Origin of the prompt tokens of a completed request.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PromptWork {
     /// Tokens that were computed.
@@ -36,7 +36,7 @@
     pub link_bytes: u64,
 }
 
-/// The entry's instruments; clones share them.
+/// The entry's metrics; clones share the instruments.
 #[derive(Clone)]
 pub struct EntryMetrics {
     requests: Counter<u64>,
@@ -48,16 +48,16 @@
 }
 
 impl EntryMetrics {
-    /// Makes the instruments.
+    /// Creates the instruments.
     pub fn new(meter: &Meter) -> Self {
-        let seconds = |name| {
+        let seconds_histogram = |name| {
             let histogram = meter.f64_histogram(name).with_unit("s");
             histogram.with_boundaries(TIME_BOUNDS.to_vec()).build()
         };
         Self {
             requests: meter.u64_counter("sillpin_requests").build(),
-            first_token: seconds("sillpin_first_token"),
-            between_tokens: seconds("sillpin_between_tokens"),
+            first_token: seconds_histogram("sillpin_first_token"),
+            between_tokens: seconds_histogram("sillpin_between_tokens"),
             tokens: meter.u64_counter("sillpin_prompt_tokens").build(),
             link_bytes: meter.u64_counter("sillpin_link_bytes").build(),
             orgs: Arc::default(),
@@ -76,11 +76,11 @@
         ]
     }
 
-    /// Counts a request's outcome; `answered` if it got its whole answer.
-    pub fn ended(&self, labels: &Labels, outcome: Outcome, answered: bool) {
+    /// Counts a request by its outcome; `completed` if it got a complete response.
+    pub fn count_request(&self, labels: &Labels, outcome: Outcome, completed: bool) {
         let mut labels = self.key_values(labels);
         labels.push(KeyValue::new("outcome", outcome.to_string()));
-        labels.push(KeyValue::new("answered", answered));
+        labels.push(KeyValue::new("answered", completed));
         self.requests.add(1, &labels);
     }
 
@@ -90,13 +90,13 @@
             .record(after.as_secs_f64(), &self.key_values(labels));
     }
 
-    /// Records the mean time between the tokens of an answer.
+    /// Records the mean time between the tokens of a response.
     pub fn between_tokens(&self, labels: &Labels, mean: Duration) {
         self.between_tokens
             .record(mean.as_secs_f64(), &self.key_values(labels));
     }
 
-    /// Counts an answer's prompt work.
+    /// Adds the prompt tokens and fetched bytes of a response.
     pub fn prompt_work(&self, labels: &Labels, work: PromptWork) {
         let labels = self.key_values(labels);
         let count = |origin: &'static str, tokens: Tokens| {
--- a/crates/sillpin-entry/src/ops.rs
+++ b/crates/sillpin-entry/src/ops.rs
@@ -1,9 +1,9 @@
-//! Runs an entry: starts its tasks, serves, and drains on the stop.
+//! Runs an entry: starts its tasks, serves requests, and drains when it is stopped.
 
 use crate::app::App;
 use crate::metrics::EntryMetrics;
 use crate::settings::EntryConfig;
-use crate::{arms, front, keeper_link, place};
+use crate::{arms, front, keeper_link, placement};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
 use sillpin_http::server::{BindError, HeadLimits, listen};
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use tokio_util::sync::CancellationToken;
 
-/// Where an entry listens.
+/// Addresses at which an entry listens.
 #[derive(Debug, Clone, Copy)]
 pub struct Listening {
     /// For callers.
@@ -26,8 +26,9 @@
     pub http: SocketAddr,
 }
 
-/// Runs an entry until `stop`, then drains it: it says that it is not ready, accepts on for the
-/// balancer's lag, and ends when its last request has ended.
+/// Runs an entry until `stop` is cancelled, then drains it: readiness checks fail at once, new
+/// requests are accepted until the load balancer has had time to react (`drain_lag`), and the
+/// function returns when the last request has ended.
 pub async fn run(
     cfg: EntryConfig,
     telemetry: Telemetry,
@@ -47,24 +48,24 @@
         callers: callers_at,
         http: http_at,
     });
-    tokio::spawn(log_readiness(app.clone()));
+    tokio::spawn(log_when_ready(app.clone()));
 
     let closed = CancellationToken::new();
     let limits = HeadLimits {
         max_len: app.cfg.limits.head_len,
-        timeout: app.cfg.limits.head_time,
+        timeout: app.cfg.limits.head_timeout,
     };
-    let serving = app.clone();
+    let caller_app = app.clone();
     let callers = Server::on(callers)
         .limits(limits)
         .run(closed.clone(), move |req| {
-            front::handle(serving.clone(), req)
+            front::handle(caller_app.clone(), req)
         });
     let callers = tokio::spawn(callers);
     let metrics = Arc::new(metrics);
-    let watched = app.clone();
+    let operator_app = app.clone();
     tokio::spawn(Server::on(http).run(CancellationToken::new(), move |req| {
-        operators(watched.clone(), metrics.clone(), req)
+        serve_operators(operator_app.clone(), metrics.clone(), req)
     }));
 
     stop.cancelled().await;
@@ -86,7 +87,7 @@
 ) -> App<HttpEngine> {
     let client = Client::default();
     let (keeper, snapshot) = keeper_link::start(cfg.keeper, log.clone());
-    let placer = place::start(cfg.zone.clone(), snapshot.clone(), cfg.limits.waiting);
+    let placer = placement::start(cfg.zone.clone(), snapshot.clone(), cfg.limits.max_waiting);
     let arms = arms::start(&cfg, snapshot.clone(), keeper.clone());
     App {
         cfg: Arc::new(cfg),
@@ -103,7 +104,7 @@
     }
 }
 
-async fn log_readiness(mut app: App<HttpEngine>) {
+async fn log_when_ready(mut app: App<HttpEngine>) {
     let ready = app
         .snapshot
         .wait_for(|snapshot| snapshot.in_force.is_some());
@@ -115,7 +116,7 @@
     event!(app.log, events::ENTRY_READY, "revision" => %revision);
 }
 
-async fn operators(
+async fn serve_operators(
     app: App<HttpEngine>,
     metrics: Arc<Metrics>,
     req: Request<Incoming>,
--- a/crates/sillpin-entry/src/place/task.rs
+++ b/crates/sillpin-entry/src/placement/task.rs
@@ -1,4 +1,4 @@
-//! The task that places requests and holds back those for which no engine is free.
+//! The task that places requests and queues those for which no engine is free.
 
 use super::placer::{Choice, Placer};
 use crate::snapshot::Snapshot;
@@ -14,105 +14,106 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
 
-/// Messages that may wait.
-const QUEUE_LEN: usize = 4_096;
+/// Maximum number of messages queued for the task.
+const MESSAGE_QUEUE_LEN: usize = 4_096;
 
-/// Time between two looks whether waiting requests can go.
-const DRAIN_EVERY: Duration = Duration::from_millis(5);
+/// Interval at which waiting requests are checked.
+const DRAIN_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Retries saved up at the most, and had at first.
-const RETRY_RESERVE: f64 = 20.0;
+/// Maximum and initial value of the retry budget, in retries.
+const MAX_RETRY_BUDGET: f64 = 20.0;
 
-/// Waiting requests looked at, in the order in which they go: one whose engine is busy does not
-/// hold up those behind it whose engines are free.
-const SCANNED: usize = 32;
+/// Maximum number of waiting requests checked per pool, in queue order, so that a request whose
+/// engine is busy does not block later ones whose engines are free.
+const SCAN_LIMIT: usize = 32;
 
-/// Factor by which the queue of an engine may be longer for the most urgent class, which engines
-/// take first.
+/// Factor by which an engine's queue may be longer for the urgent class, which engines process
+/// first.
 const URGENT_QUEUE_FACTOR: u32 = 4;
 
-/// When to ask again after a deadline passed while waiting.
-const LATE_RETRY: Duration = Duration::from_secs(1);
+/// Retry-After for a request whose deadline passed while it was waiting.
+const DEADLINE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A request to place.
 pub struct PlaceRequest {
     /// Its organisation.
     pub org: OrgId,
-    /// Its class.
+    /// Its priority class.
     pub class: PriorityClass,
     /// Its pool.
     pub pool: PoolId,
-    /// Weight version that it is pinned to.
+    /// Weight version that the request is pinned to.
     pub version: WeightVersion,
-    /// Where its prompt hashes to.
+    /// Hash of its prompt, which determines its home engines.
     pub home: u64,
-    /// Blocks of its prompt, the broken one at the end included.
+    /// Number of blocks of its prompt, including an incomplete last one.
     pub blocks: u32,
-    /// Who holds them.
+    /// Engines and stores that hold these blocks.
     pub hints: BlockHints,
-    /// Engines that have failed it.
+    /// Engines at which the request failed.
     pub excluded: Vec<TargetId>,
-    /// Whether it was placed before.
+    /// Whether the request was placed before.
     pub is_retry: bool,
-    /// Its arm's policy.
+    /// Policy of its arm.
     pub policy: Arc<PolicySet>,
-    /// When its first token is due.
+    /// Deadline of its first token.
     pub deadline: Instant,
 }
 
-/// Where a request goes.
+/// The engine for a request.
 #[derive(Debug, Clone)]
 pub struct Placed {
     /// The engine.
     pub target: TargetId,
-    /// Where the engine listens.
+    /// Address of the engine.
     pub addr: SocketAddr,
-    /// Kept objects to fetch.
+    /// Stored blocks that the engine fetches.
     pub imports: Vec<StoredObject>,
-    /// Candidates, the best first.
+    /// Candidates, best first.
     pub candidates: Vec<CandidateRecord>,
 }
 
-/// Why a request is not placed. It was not run.
+/// Reason for which a request was not placed. It was not executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display)]
 pub enum Refusal {
-    /// No engine serves what it asks for now.
+    /// No engine can run the request now.
     #[display("no engine can take the request now")]
     NoEngine,
-    /// Its first token would come too late.
+    /// The request cannot start before the deadline of its first token.
     #[display("the request cannot begin before its deadline")]
     TooLate {
-        /// When to ask again.
+        /// Time after which a retry may succeed.
         retry_after: Duration,
     },
-    /// Too many requests wait.
+    /// Too many requests are waiting.
     #[display("too many requests wait")]
     Full,
-    /// Too many requests were retried lately.
+    /// The retry budget is used up.
     #[display("too many retries")]
     NoRetries,
 }
 
 type Reply = oneshot::Sender<Result<Placed, Refusal>>;
 
+/// A message to the placement task.
 enum Msg {
     Place(Box<PlaceRequest>, Reply),
-    Done {
+    Ended {
         target: TargetId,
-        took: Duration,
-        answered: bool,
+        duration: Duration,
+        completed: bool,
     },
-    Serves(TargetId, WeightVersion),
+    ObservedVersion(TargetId, WeightVersion),
 }
 
-/// Speaks to the placing task.
+/// Handle of the placement task.
 #[derive(Clone)]
 pub struct PlacerHandle {
     tx: mpsc::Sender<Msg>,
 }
 
 impl PlacerHandle {
-    /// Places a request; waits while no engine is free and its deadline can be met.
+    /// Places a request. Waits while no engine is free, up to the request's deadline.
     pub async fn place(&self, req: PlaceRequest) -> Result<Placed, Refusal> {
         let (tx, rx) = oneshot::channel();
         let deadline = req.deadline;
@@ -123,94 +124,98 @@
         match tokio::time::timeout_at(deadline, rx).await {
             Ok(placed) => placed.unwrap_or(Err(Refusal::NoEngine)),
             Err(_) => Err(Refusal::TooLate {
-                retry_after: LATE_RETRY,
+                retry_after: DEADLINE_RETRY_AFTER,
             }),
         }
     }
 
-    /// Tells that a placed request ended.
-    pub fn done(&self, target: TargetId, took: Duration, answered: bool) {
-        let msg = Msg::Done {
+    /// Reports that a placed request ended.
+    pub fn request_ended(&self, target: TargetId, duration: Duration, completed: bool) {
+        let msg = Msg::Ended {
             target,
-            took,
-            answered,
+            duration,
+            completed,
         };
         let _ = self.tx.try_send(msg);
     }
 
-    /// Tells that an engine itself said which version it serves: load reports lag behind.
-    pub fn serves(&self, target: TargetId, version: WeightVersion) {
-        let _ = self.tx.try_send(Msg::Serves(target, version));
+    /// Reports the version that an engine itself returned, because load reports lag behind.
+    pub fn observe_version(&self, target: TargetId, version: WeightVersion) {
+        let _ = self.tx.try_send(Msg::ObservedVersion(target, version));
     }
 }
 
-/// Starts the task of an entry in `zone`; at most `max_waiting` requests wait.
+/// Starts the placement task of an entry in `zone`; at most `max_waiting` requests wait.
 pub fn start(
     zone: ZoneId,
     mut snapshots: watch::Receiver<Arc<Snapshot>>,
     max_waiting: usize,
 ) -> PlacerHandle {
-    let (tx, rx) = mpsc::channel(QUEUE_LEN);
+    let (tx, rx) = mpsc::channel(MESSAGE_QUEUE_LEN);
     let mut placer = Placer::new(zone);
-    placer.update(&snapshots.borrow_and_update(), Instant::now());
-    let task = Task {
+    placer.apply_snapshot(&snapshots.borrow_and_update(), Instant::now());
+    let task = PlacementTask {
         placer,
         snapshots,
         waiting: HashMap::new(),
         max_waiting,
-        retries: RETRY_RESERVE,
+        retry_budget: MAX_RETRY_BUDGET,
     };
     tokio::spawn(task.run(rx));
     PlacerHandle { tx }
 }
 
+/// A request that waits for an engine.
 struct Waiting {
     req: Box<PlaceRequest>,
     reply: Reply,
 }
 
-struct Task {
+/// The state of the placement task.
+struct PlacementTask {
     placer: Placer,
     snapshots: watch::Receiver<Arc<Snapshot>>,
+    /// Waiting requests, one queue per pool.
     waiting: HashMap<PoolId, FairQueue<Waiting>>,
     max_waiting: usize,
-    retries: f64,
+    /// Retries that may still be made.
+    retry_budget: f64,
 }
 
-impl Task {
+impl PlacementTask {
     async fn run(mut self, mut rx: mpsc::Receiver<Msg>) {
-        let mut drain = tokio::time::interval(DRAIN_EVERY);
+        let mut drain = tokio::time::interval(DRAIN_INTERVAL);
         drain.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
-            let waits = self.waiting.values().any(|queue| !queue.is_empty());
+            let has_waiting = self.waiting.values().any(|queue| !queue.is_empty());
             tokio::select! {
                 msg = rx.recv() => match msg {
                     Some(Msg::Place(req, reply)) => self.place(req, reply),
-                    Some(Msg::Done { target, took, answered }) => {
-                        self.placer.done(&target, took, answered, Instant::now());
+                    Some(Msg::Ended { target, duration, completed }) => {
+                        self.placer.record_ended(&target, duration, completed, Instant::now());
                     }
-                    Some(Msg::Serves(target, version)) => {
-                        self.placer.serves(target, version, Instant::now());
+                    Some(Msg::ObservedVersion(target, version)) => {
+                        self.placer.observe_version(target, version, Instant::now());
                     }
                     None => return,
                 },
                 changed = self.snapshots.changed() => match changed {
                     Ok(()) => {
                         let snapshot = self.snapshots.borrow_and_update().clone();
-                        self.placer.update(&snapshot, Instant::now());
+                        self.placer.apply_snapshot(&snapshot, Instant::now());
                     }
                     Err(_) => return,
                 },
-                _ = drain.tick(), if waits => {}
+                _ = drain.tick(), if has_waiting => {}
             }
-            if waits {
+            if has_waiting {
                 self.drain();
             }
         }
     }
 
     fn place(&mut self, req: Box<PlaceRequest>, reply: Reply) {
-        if let Err(refusal) = self.take_retry(&req) {
+        if let Err(refusal) = self.charge_retry(&req) {
             let _ = reply.send(Err(refusal));
             return;
         }
@@ -220,23 +225,24 @@
             return;
         };
         let queue_free = self.waiting.get(&req.pool).is_none_or(FairQueue::is_empty);
-        if queue_free && is_short(&choice, &req) {
+        if queue_free && is_wait_acceptable(&choice, &req) {
             self.send(choice, reply, now);
             return;
         }
-        self.hold_back(choice, req, reply, now);
+        self.enqueue(choice, req, reply, now);
     }
 
-    fn take_retry(&mut self, req: &PlaceRequest) -> Result<(), Refusal> {
+    /// Takes a retry from the budget. A request that is not a retry adds to it.
+    fn charge_retry(&mut self, req: &PlaceRequest) -> Result<(), Refusal> {
         if !req.is_retry {
-            let gained = f64::from(req.policy.limits.retry_percent) / 100.0;
-            self.retries = (self.retries + gained).min(RETRY_RESERVE);
+            let earned = f64::from(req.policy.limits.retry_percent) / 100.0;
+            self.retry_budget = (self.retry_budget + earned).min(MAX_RETRY_BUDGET);
             return Ok(());
         }
-        if self.retries < 1.0 {
+        if self.retry_budget < 1.0 {
             return Err(Refusal::NoRetries);
         }
-        self.retries -= 1.0;
+        self.retry_budget -= 1.0;
         Ok(())
     }
 
@@ -244,12 +250,12 @@
         let Choice { placed, work, .. } = choice;
         let target = placed.target.clone();
         if reply.send(Ok(placed)).is_ok() {
-            self.placer.sent(&target, work, now);
+            self.placer.record_sent(&target, work, now);
         }
     }
 
-    /// Queues a request, or refuses it at once if it could not begin in time.
-    fn hold_back(&mut self, choice: Choice, req: Box<PlaceRequest>, reply: Reply, now: Instant) {
+    /// Queues a request, or refuses it immediately if it could not start before its deadline.
+    fn enqueue(&mut self, choice: Choice, req: Box<PlaceRequest>, reply: Reply, now: Instant) {
         let waiting: usize = self.waiting.values().map(FairQueue::len).sum();
         if waiting >= self.max_waiting {
             let _ = reply.send(Err(Refusal::Full));
@@ -257,10 +263,10 @@
         }
         let engines = self.placer.capacity(&req.pool, req.version).max(1);
         let queue = self.waiting.entry(req.pool.clone()).or_default();
-        let before = Duration::from_micros(queue.cost_before(req.class, &req.org).0) / engines;
-        let begins = now + choice.wait + before;
-        if begins > req.deadline {
-            let retry_after = begins - req.deadline;
+        let queue_wait = Duration::from_micros(queue.cost_before(req.class, &req.org).0) / engines;
+        let starts_at = now + choice.wait + queue_wait;
+        if starts_at > req.deadline {
+            let retry_after = starts_at - req.deadline;
             let _ = reply.send(Err(Refusal::TooLate { retry_after }));
             return;
         }
@@ -270,73 +276,76 @@
         queue.push(class, org, weight, cost, Waiting { req, reply });
     }
 
-    /// Sends what can go, and refuses what has run out of time.
+    /// Sends the waiting requests whose engines are free and refuses those whose deadline has
+    /// passed.
     fn drain(&mut self) {
         let now = Instant::now();
         let pools: Vec<PoolId> = self.waiting.keys().cloned().collect();
         for pool in pools {
-            for ticket in self.first_tickets(&pool) {
-                match self.look_at(&pool, ticket, now) {
+            for ticket in self.tickets_to_check(&pool) {
+                match self.check_waiting(&pool, ticket, now) {
                     Next::Send(choice, waiting) => self.send(*choice, waiting.reply, now),
-                    Next::Dropped | Next::Wait => {}
+                    Next::Removed | Next::Wait => {}
                 }
             }
         }
     }
 
-    fn first_tickets(&self, pool: &PoolId) -> Vec<Ticket> {
+    fn tickets_to_check(&self, pool: &PoolId) -> Vec<Ticket> {
         let queue = self.waiting.get(pool);
-        queue.map_or_else(Vec::new, |queue| queue.tickets().take(SCANNED).collect())
+        queue.map_or_else(Vec::new, |queue| queue.tickets().take(SCAN_LIMIT).collect())
     }
 
-    /// Looks whether a waiting request can go.
-    fn look_at(&mut self, pool: &PoolId, ticket: Ticket, now: Instant) -> Next {
+    /// Checks whether a waiting request can be sent.
+    fn check_waiting(&mut self, pool: &PoolId, ticket: Ticket, now: Instant) -> Next {
         let Some(waiting) = self.waiting.get(pool).and_then(|queue| queue.get(ticket)) else {
             return Next::Wait;
         };
         if waiting.reply.is_closed() {
-            return self.drop_waiting(pool, ticket, None);
+            return self.remove_unsent(pool, ticket, None);
         }
         if now >= waiting.req.deadline {
-            let retry_after = LATE_RETRY;
-            return self.drop_waiting(pool, ticket, Some(Refusal::TooLate { retry_after }));
+            let retry_after = DEADLINE_RETRY_AFTER;
+            return self.remove_unsent(pool, ticket, Some(Refusal::TooLate { retry_after }));
         }
         let Some(choice) = self.placer.choose(&waiting.req, now) else {
-            return self.drop_waiting(pool, ticket, Some(Refusal::NoEngine));
+            return self.remove_unsent(pool, ticket, Some(Refusal::NoEngine));
         };
-        if !is_short(&choice, &waiting.req) {
+        if !is_wait_acceptable(&choice, &waiting.req) {
             return Next::Wait;
         }
-        match self.take(pool, ticket) {
+        match self.remove(pool, ticket) {
             Some(waiting) => Next::Send(Box::new(choice), waiting),
             None => Next::Wait,
         }
     }
 
-    fn take(&mut self, pool: &PoolId, ticket: Ticket) -> Option<Waiting> {
+    fn remove(&mut self, pool: &PoolId, ticket: Ticket) -> Option<Waiting> {
         self.waiting.get_mut(pool)?.take(ticket)
     }
 
-    /// Takes a request out unsent, and tells its caller why if it still listens.
-    fn drop_waiting(&mut self, pool: &PoolId, ticket: Ticket, refusal: Option<Refusal>) -> Next {
-        if let (Some(waiting), Some(refusal)) = (self.take(pool, ticket), refusal) {
+    /// Removes a request from the queue without sending it, and returns the reason to its caller if
+    /// that is still connected.
+    fn remove_unsent(&mut self, pool: &PoolId, ticket: Ticket, refusal: Option<Refusal>) -> Next {
+        if let (Some(waiting), Some(refusal)) = (self.remove(pool, ticket), refusal) {
             let _ = waiting.reply.send(Err(refusal));
         }
-        Next::Dropped
+        Next::Removed
     }
 }
 
 /// What to do with a waiting request.
 enum Next {
-    /// Send it.
+    /// Send it to the chosen engine.
     Send(Box<Choice>, Waiting),
-    /// It was taken out unsent.
-    Dropped,
-    /// Its engine is not free.
+    /// It was removed from the queue without being sent.
+    Removed,
+    /// Keep it in the queue.
     Wait,
 }
 
-fn is_short(choice: &Choice, req: &PlaceRequest) -> bool {
+/// Returns whether the wait at the chosen engine is within the policy's limit.
+fn is_wait_acceptable(choice: &Choice, req: &PlaceRequest) -> bool {
     let allowed = Duration::from_millis(req.policy.limits.engine_queue_ms);
     match req.class {
         PriorityClass::Urgent => choice.wait <= allowed * URGENT_QUEUE_FACTOR,
--- a/crates/sillpin-entry/src/runs/once.rs
+++ b/crates/sillpin-entry/src/runs/idempotency.rs
@@ -3,7 +3,7 @@
 use super::Call;
 use crate::app::App;
 use crate::front::Failure;
-use crate::keeper_link::News;
+use crate::keeper_link::Report;
 use hyper::StatusCode;
 use sillpin_core::switches::{Mechanism, is_off};
 use sillpin_core::{OrgId, Outcome, RequestId};
@@ -11,10 +11,11 @@
 use sillpin_targets::Engine;
 use std::time::Duration;
 
-/// When to ask again after a claim could not be made.
+/// Retry-After if a claim cannot be made.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// The right to send a call once. Dropping it unused releases it.
+/// The right to send a call once. Dropping it reports the outcome to the keeper unless that is
+/// unknown; a call that was not sent releases the claim.
 pub struct Claim {
     key: ClaimKey,
     request: RequestId,
@@ -22,21 +23,21 @@
     outcome: Outcome,
 }
 
-/// What a claim is for.
-pub struct Claimed<'a> {
+/// The call to claim.
+pub struct ClaimedCall<'a> {
     /// The organisation.
     pub org: &'a OrgId,
     /// The idempotency key.
     pub key: &'a str,
     /// The request.
     pub request: RequestId,
-    /// BLAKE3 of the call, in hexadecimal.
+    /// BLAKE3 hash of the call, in hexadecimal.
     pub digest: &'a str,
 }
 
 impl Claim {
-    /// Claims a call, before anything of it is sent.
-    pub async fn make<E: Engine>(app: &App<E>, call: Claimed<'_>) -> Result<Self, Failure> {
+    /// Claims a call. Must be called before any part of it is sent.
+    pub async fn acquire<E: Engine>(app: &App<E>, call: ClaimedCall<'_>) -> Result<Self, Failure> {
         let key = ClaimKey {
             org: call.org.clone(),
             key_hash: blake3::hash(call.key.as_bytes()).to_hex().to_string(),
@@ -63,11 +64,11 @@
                 Err(Failure::unavailable(detail, RETRY_AFTER))
             }
             ClaimReply::Taken(outcome) => {
-                claim.forget();
-                Err(Failure::taken(outcome))
+                claim.disarm();
+                Err(Failure::already_sent(outcome))
             }
             ClaimReply::OtherCall => {
-                claim.forget();
+                claim.disarm();
                 let detail = "this idempotency key was used for another call";
                 let status = StatusCode::UNPROCESSABLE_ENTITY;
                 Err(Failure::refused(
@@ -80,22 +81,23 @@
         }
     }
 
-    fn forget(mut self) {
+    /// Drops the claim without a report to the keeper, because another request holds it.
+    fn disarm(mut self) {
         self.outcome = Outcome::Unknown;
     }
 
-    /// From now on the call may have been carried out.
-    pub fn may_have_run(&mut self) {
+    /// Records that the call may be executed from now on.
+    pub fn set_unknown(&mut self) {
         self.outcome = Outcome::Unknown;
     }
 
-    /// The call was not sent after all: the target was not reached, or refused it.
-    pub fn was_not_sent(&mut self) {
+    /// Records that the call was not executed: the target was not reached, or refused it.
+    pub fn set_not_run(&mut self) {
         self.outcome = Outcome::NotRun;
     }
 
-    /// The call was carried out.
-    pub fn ran(&mut self) {
+    /// Records that the call was executed.
+    pub fn set_ran(&mut self) {
         self.outcome = Outcome::Ran;
     }
 }
@@ -103,7 +105,7 @@
 impl Drop for Claim {
     fn drop(&mut self) {
         if self.outcome != Outcome::Unknown {
-            self.keeper.tell(News::EndClaim(ClaimEnd {
+            self.keeper.report(Report::EndClaim(ClaimEnd {
                 key: self.key.clone(),
                 request: self.request,
                 outcome: self.outcome,
@@ -112,16 +114,16 @@
     }
 }
 
-/// Claims a model request that carries an idempotency key.
+/// Claims a model request if it carries an idempotency key.
 pub(super) async fn claim<E: Engine>(app: &App<E>, call: &Call) -> Result<Option<Claim>, Failure> {
-    let Some(key) = &call.once_key else {
+    let Some(key) = &call.idempotency_key else {
         return Ok(None);
     };
-    let claimed = Claimed {
+    let claimed = ClaimedCall {
         org: &call.org,
         key,
         request: call.request,
         digest: &call.digest,
     };
-    Claim::make(app, claimed).await.map(Some)
+    Claim::acquire(app, claimed).await.map(Some)
 }
--- a/crates/sillpin-entry/src/settings.rs
+++ b/crates/sillpin-entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! The entry's settings.
+//! Settings of the entry.
 
 use sillpin_core::block::BlockKey;
 use sillpin_core::{BoxId, ZoneId};
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What the entry reads.
+/// Settings that the entry reads.
 pub const SCHEMA: Schema = &[
     Section {
         name: "box",
@@ -21,7 +21,7 @@
         keys: &[Key::required(
             "secret",
             Kind::Text,
-            "Secret that keys block names; the same on all boxes",
+            "Secret from which the key of block names is derived; must be the same on all boxes",
         )
         .secret()],
     },
@@ -35,7 +35,7 @@
                 "127.0.0.1:0",
                 "Listener for health and metrics",
             ),
-            Key::required("keeper", Kind::Addr, "The keeper of this box"),
+            Key::required("keeper", Kind::Addr, "Address of the keeper of this box"),
             Key::optional(
                 "threads",
                 Kind::Number { min: 1, max: 256 },
@@ -49,13 +49,13 @@
                     max: 600_000,
                 },
                 "5000",
-                "How long a stopping entry still accepts, for the balancer's lag",
+                "Time in ms for which a stopping entry still accepts requests, until the load balancer has reacted",
             ),
             Key::optional(
                 "look-up-ms",
                 Kind::Number { min: 0, max: 1_000 },
                 "5",
-                "Longest wait for hints of who holds a prompt's blocks",
+                "Maximum wait in ms for the keeper's hints on where a prompt's blocks are cached",
             ),
         ],
     },
@@ -69,7 +69,7 @@
                     max: 1_048_576,
                 },
                 "16384",
-                "Longest head of a request",
+                "Maximum length of a request head in bytes",
             ),
             Key::optional(
                 "head-ms",
@@ -78,7 +78,7 @@
                     max: 600_000,
                 },
                 "10000",
-                "Longest time for a request's head to arrive",
+                "Time in ms within which a request head must arrive",
             ),
             Key::optional(
                 "body-bytes",
@@ -87,7 +87,7 @@
                     max: 67_108_864,
                 },
                 "8388608",
-                "Longest body of a request for a model",
+                "Maximum length of the body of a model request in bytes",
             ),
             Key::optional(
                 "body-ms",
@@ -96,7 +96,7 @@
                     max: 600_000,
                 },
                 "15000",
-                "Longest time for a request's body to arrive",
+                "Time in ms within which a request body must arrive",
             ),
             Key::optional(
                 "blocks",
@@ -105,7 +105,7 @@
                     max: 100_000,
                 },
                 "2000",
-                "Most blocks in a prompt",
+                "Maximum number of blocks in a prompt",
             ),
             Key::optional(
                 "max-tokens",
@@ -114,7 +114,7 @@
                     max: 1_000_000,
                 },
                 "8192",
-                "Most tokens generated for a request",
+                "Maximum number of tokens generated for a request",
             ),
             Key::optional(
                 "waiting",
@@ -123,7 +123,7 @@
                     max: 1_000_000,
                 },
                 "2000",
-                "Most requests that wait in this entry",
+                "Maximum number of requests waiting for an engine in this entry",
             ),
             Key::optional(
                 "attempt-ms",
@@ -132,7 +132,7 @@
                     max: 600_000,
                 },
                 "2000",
-                "Longest wait for a target to accept a request",
+                "Time in ms within which a target must accept a request",
             ),
             Key::optional(
                 "silence-ms",
@@ -141,7 +141,7 @@
                     max: 600_000,
                 },
                 "30000",
-                "Longest silence of a target during an answer",
+                "Maximum wait in ms for the next token of a response, or for the head of a service's response",
             ),
             Key::optional(
                 "once-body-bytes",
@@ -150,7 +150,7 @@
                     max: 16_777_216,
                 },
                 "1048576",
-                "Longest body of a call that runs at most once",
+                "Maximum length in bytes of the body of a call that runs at most once",
             ),
         ],
     },
@@ -158,58 +158,58 @@
     LOG_SECTION,
 ];
 
-/// Limits on what callers may ask and targets may take.
+/// Limits on requests, and timeouts of callers and targets.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Longest head of a request, in bytes.
+    /// Maximum length of a request head, in bytes.
     pub head_len: usize,
-    /// Longest time for a request's head.
-    pub head_time: Duration,
-    /// Longest body of a request for a model, in bytes.
+    /// Time within which a request head must arrive.
+    pub head_timeout: Duration,
+    /// Maximum length of the body of a model request, in bytes.
     pub body_len: usize,
-    /// Longest time for a request's body.
-    pub body_time: Duration,
-    /// Most blocks in a prompt.
-    pub blocks: u64,
-    /// Most tokens generated for a request.
+    /// Time within which a request body must arrive.
+    pub body_timeout: Duration,
+    /// Maximum number of blocks in a prompt.
+    pub max_blocks: u64,
+    /// Maximum number of tokens generated for a request.
     pub max_tokens: u32,
-    /// Most requests that wait here.
-    pub waiting: usize,
-    /// Longest wait for a target to accept a request.
-    pub attempt: Duration,
-    /// Longest silence of a target during an answer.
-    pub silence: Duration,
-    /// Longest body of a call that runs at most once, in bytes.
-    pub once_body_len: usize,
+    /// Maximum number of requests waiting for an engine.
+    pub max_waiting: usize,
+    /// Time within which a target must accept a request.
+    pub accept_timeout: Duration,
+    /// Maximum wait for the next token of a response, or for the head of a service's response.
+    pub idle_timeout: Duration,
+    /// Maximum length of the body of a call that runs at most once, in bytes.
+    pub at_most_once_body_len: usize,
 }
 
 /// The entry's settings.
 #[derive(Clone)]
 pub struct EntryConfig {
-    /// This box.
+    /// Name of this box.
     pub box_id: BoxId,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Keys block names.
+    /// Key of the hashes that name blocks.
     pub block_key: BlockKey,
-    /// Listener for callers.
+    /// Address of the listener for callers.
     pub listen: SocketAddr,
-    /// Listener for health and metrics.
+    /// Address of the listener for health and metrics.
     pub http_listen: SocketAddr,
-    /// The keeper of this box.
+    /// Address of the keeper of this box.
     pub keeper: SocketAddr,
-    /// How long a stopping entry still accepts.
+    /// Time for which a stopping entry still accepts requests.
     pub drain_lag: Duration,
-    /// Longest wait for hints.
-    pub look_up: Duration,
-    /// Limits.
+    /// Maximum wait for hints.
+    pub lookup_timeout: Duration,
+    /// Limits and timeouts.
     pub limits: Limits,
-    /// Collector of traces.
+    /// Address of the trace collector.
     pub collector: Option<SocketAddr>,
 }
 
 impl EntryConfig {
-    /// Takes the values out of checked settings.
+    /// Reads the configuration from checked settings.
     pub fn from_loaded(loaded: &Loaded) -> Result<Self, Faults> {
         let secret: String = loaded.get("fleet", "secret")?;
         let collectors: Vec<SocketAddr> = loaded.list("telemetry", "collector")?;
@@ -221,7 +221,7 @@
             http_listen: loaded.get("entry", "http-listen")?,
             keeper: loaded.get("entry", "keeper")?,
             drain_lag: millis(loaded, "entry", "drain-lag-ms")?,
-            look_up: millis(loaded, "entry", "look-up-ms")?,
+            lookup_timeout: millis(loaded, "entry", "look-up-ms")?,
             limits: limits(loaded)?,
             collector: collectors.first().copied(),
         })
@@ -235,14 +235,14 @@
 fn limits(loaded: &Loaded) -> Result<Limits, Faults> {
     Ok(Limits {
         head_len: loaded.get("limits", "head-bytes")?,
-        head_time: millis(loaded, "limits", "head-ms")?,
+        head_timeout: millis(loaded, "limits", "head-ms")?,
         body_len: loaded.get("limits", "body-bytes")?,
-        body_time: millis(loaded, "limits", "body-ms")?,
-        blocks: loaded.get("limits", "blocks")?,
+        body_timeout: millis(loaded, "limits", "body-ms")?,
+        max_blocks: loaded.get("limits", "blocks")?,
         max_tokens: loaded.get("limits", "max-tokens")?,
-        waiting: loaded.get("limits", "waiting")?,
-        attempt: millis(loaded, "limits", "attempt-ms")?,
-        silence: millis(loaded, "limits", "silence-ms")?,
-        once_body_len: loaded.get("limits", "once-body-bytes")?,
+        max_waiting: loaded.get("limits", "waiting")?,
+        accept_timeout: millis(loaded, "limits", "attempt-ms")?,
+        idle_timeout: millis(loaded, "limits", "silence-ms")?,
+        at_most_once_body_len: loaded.get("limits", "once-body-bytes")?,
     })
 }
--- a/crates/sillpin-entry/tests/place.rs
+++ b/crates/sillpin-entry/tests/place.rs
@@ -1,10 +1,10 @@
-//! Placement under load: who waits, who goes, who is refused at once.
+//! Placement under load: which requests wait, which are sent and which are refused.
 
 #[path = "support/engine.rs"]
 mod engine;
 
 use sillpin_core::{PriorityClass, WeightVersion};
-use sillpin_entry::place::{PlaceRequest, PlacerHandle, Refusal, start};
+use sillpin_entry::placement::{PlaceRequest, PlacerHandle, Refusal, start};
 use sillpin_entry::snapshot::Snapshot;
 use sillpin_policy::PolicySet;
 use sillpin_policy::rendezvous::{CandidateHash, top};
@@ -18,7 +18,7 @@
 
 const NAMES: [&str; 2] = ["engine-a", "engine-b"];
 
-/// A placer whose engine A has `busy` blocks to compute and whose engine B is idle.
+/// Returns a placer whose engine A has `busy` blocks to compute and whose engine B is idle.
 fn placer(busy: u64) -> (PlacerHandle, watch::Sender<Arc<Snapshot>>) {
     let update = FleetUpdate {
         complete: true,
@@ -28,20 +28,20 @@
         ],
         ..FleetUpdate::default()
     };
-    let snapshot = Snapshot::default().after(update);
+    let snapshot = Snapshot::default().with_update(update);
     let (tx, rx) = watch::channel(Arc::new(snapshot));
     let placer = start("zone".parse().unwrap(), rx, 100);
     (placer, tx)
 }
 
-/// A key whose home is the engine of this index.
+/// Returns a prompt hash whose home is the engine with this index.
 fn home_at(index: usize) -> u64 {
     let hashes = NAMES.map(CandidateHash::of);
     let all = || hashes.iter().enumerate().map(|(i, h)| (i, *h, 1.0));
     (0..).find(|key| top(*key, all(), 1) == [index]).unwrap()
 }
 
-/// A request that goes to its home alone.
+/// Returns a request that can only be placed at its home.
 fn request(home: u64, class: PriorityClass, deadline: Duration) -> PlaceRequest {
     let mut policy = PolicySet::default();
     policy.placement.kind = PlacementKind::Rendezvous;
@@ -61,42 +61,42 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_whose_engine_is_busy_does_not_hold_up_others() {
+async fn request_for_a_busy_engine_does_not_block_others() {
     let (placer, _snapshots) = placer(100);
-    let begun = Instant::now();
-    let (waits, goes) = (placer.clone(), placer.clone());
+    let started_at = Instant::now();
+    let (to_busy, to_idle) = (placer.clone(), placer.clone());
     let waiting = tokio::spawn(async move {
         let req = request(home_at(0), PriorityClass::Normal, Duration::from_secs(15));
-        waits.place(req).await
+        to_busy.place(req).await
     });
     tokio::task::yield_now().await;
     let req = request(home_at(1), PriorityClass::Normal, Duration::from_secs(15));
-    assert_eq!(goes.place(req).await.unwrap().target.as_str(), NAMES[1]);
+    assert_eq!(to_idle.place(req).await.unwrap().target.as_str(), NAMES[1]);
     assert!(
-        begun.elapsed() < Duration::from_millis(50),
+        started_at.elapsed() < Duration::from_millis(50),
         "{:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
     assert_eq!(waiting.await.unwrap().unwrap().target.as_str(), NAMES[0]);
-    let waited = begun.elapsed();
+    let waited = started_at.elapsed();
     assert!((1_500..1_700).contains(&waited.as_millis()), "{waited:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_cannot_begin_in_time_is_refused_at_once() {
+async fn request_that_cannot_start_before_its_deadline_is_refused_immediately() {
     let (placer, _snapshots) = placer(1_000);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let req = request(home_at(0), PriorityClass::Normal, Duration::from_secs(15));
     let refusal = placer.place(req).await.unwrap_err();
     assert!(matches!(refusal, Refusal::TooLate { .. }), "{refusal}");
-    assert!(begun.elapsed() < Duration::from_millis(50));
+    assert!(started_at.elapsed() < Duration::from_millis(50));
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_most_urgent_may_queue_longer_at_an_engine() {
+async fn urgent_requests_may_queue_longer_at_an_engine() {
     let (placer, _snapshots) = placer(50);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let req = request(home_at(0), PriorityClass::Urgent, Duration::from_secs(5));
     placer.place(req).await.unwrap();
-    assert!(begun.elapsed() < Duration::from_millis(50));
+    assert!(started_at.elapsed() < Duration::from_millis(50));
 }
--- a/crates/sillpin-gateway/src/control.rs
+++ b/crates/sillpin-gateway/src/control.rs
@@ -206,8 +206,8 @@
     pub key: PartKey,
     /// Tokens that have arrived.
     pub arrived: Tokens,
-    /// Tokens of capacity that it occupies.
-    pub capacity: Tokens,
+    /// Tokens of the store's capacity that it occupies.
+    pub reserved: Tokens,
 }
 
 /// An order to a cache store to free parts.
--- a/crates/sillpin-gateway/src/lib.rs
+++ b/crates/sillpin-gateway/src/lib.rs
@@ -11,7 +11,7 @@
 //! - [`fleet_state`]: the box's view of the fleet, with revision, source and age,
 //! - [`fatal`]: requests that crash the targets that run them,
 //! - [`place`]: selection of a target for a request,
-//! - [`kept`]: directory of the parts that cache stores hold, and which to free,
+//! - [`cache_stores`]: directory of the parts that cache stores hold, and which to free,
 //! - [`weights`]: loading of new weights on engines, by an elected leader,
 //! - [`peers`]: communication between boxes,
 //! - [`front`]: listeners, life cycle of a request, streams,
--- a/crates/sillpin-gateway/src/placement/allowed.rs
+++ b/crates/sillpin-gateway/src/placement/allowed.rs
@@ -103,11 +103,11 @@
 
     /// Returns when a version may no longer be used, if newer ones are wanted.
     fn usable_until(&self, desired: &DesiredVersions, version: WeightVersion) -> Option<Instant> {
-        let end_of_use = |named: &DesiredVersion| match named.witnessed
-            || !self.is_widely_served(named.version)
+        let end_of_use = |desired: &DesiredVersion| match desired.witnessed
+            || !self.is_widely_served(desired.version)
         {
-            true => named.since + self.limit,
-            false => named.since,
+            true => desired.since + self.limit,
+            false => desired.since,
         };
         desired.newer(version).map(end_of_use).min()
     }
--- a/crates/sillpin-gateway/tests/place.rs
+++ b/crates/sillpin-gateway/tests/place.rs
@@ -405,22 +405,22 @@
     let hash = IncarnationHash::of(&engine("e1", "za"));
     let observer = Loads::default();
     observer.signals(|signals| signals.replaced.record_observed(hash, Instant::now()));
-    let told = observer.signals(|signals| signals.replaced.updates_to_send(Instant::now()));
+    let updates = observer.signals(|signals| signals.replaced.updates_to_send(Instant::now()));
     fixture
         .loads
-        .signals(|signals| signals.replaced.apply_update(&told, Instant::now()));
+        .signals(|signals| signals.replaced.apply_update(&updates, Instant::now()));
     assert_ne!(fixture.choose(None).as_deref(), Some("e1"));
-    let observation = fixture
+    let forwarded = fixture
         .loads
         .signals(|signals| signals.replaced.updates_to_send(Instant::now()));
     assert!(
-        observation.is_empty(),
+        forwarded.is_empty(),
         "only the box that observed it sends it"
     );
     tokio::time::advance(Duration::from_secs(3)).await;
     fixture
         .loads
-        .signals(|signals| signals.replaced.apply_update(&told, Instant::now()));
+        .signals(|signals| signals.replaced.apply_update(&updates, Instant::now()));
     assert!(
         observer
             .signals(|signals| signals.replaced.updates_to_send(Instant::now()))
@@ -449,8 +449,8 @@
     let work = |zone: &'static str, ms: u32| {
         engines(zone).map(move |e| EngineWork(TargetHash::of(&e.id), ms, 100, 1))
     };
-    let told = work("za", here_ms).chain(work("zb", there_ms)).collect();
-    fixture.loads.apply_zone_totals(told, &[]);
+    let totals = work("za", here_ms).chain(work("zb", there_ms)).collect();
+    fixture.loads.apply_zone_totals(totals, &[]);
     let model = name("m");
     let plans = [(WeightVersion(1), plan_stored_in("zb"))];
     let prompt = PromptInputs {
@@ -481,13 +481,11 @@
             announced: Some(LimitSignal::Rate("2".parse().unwrap())),
             success: true,
         };
-        let incarnation = IncarnationHash::of(&limited_engine);
+        let hash = IncarnationHash::of(&limited_engine);
         let now = Instant::now();
-        fixture.loads.signals(|signals| {
-            signals
-                .limits
-                .record_response(incarnation, observation, now)
-        });
+        fixture
+            .loads
+            .signals(|signals| signals.limits.record_response(hash, observation, now));
         let model = name("m");
         let plans = [(WeightVersion(1), plan_stored_in("za"))];
         let prompt = || PromptInputs {
