--- a/crates/sillpin-gateway/tests/rollout.rs
+++ b/crates/sillpin-gateway/tests/rollout.rs
@@ -294,7 +294,7 @@
     }
 
     /// Requests weights as an operator. Returns when.
-    async fn want(&mut self, version: u64) -> Instant {
+    async fn request_weights(&mut self, version: u64) -> Instant {
         let requested_at = Instant::now();
         let value = ("ops/weights/m".to_owned(), version.to_string());
         self.read(Topic::Operators, vec![value]).await;
@@ -308,7 +308,7 @@
 async fn an_unanswered_order_is_repeated_immediately() {
     let mut scene = Scene::new(1).await;
     scene.engines.with("e00", |e| e.loses = 2);
-    let requested_at = scene.want(2).await;
+    let requested_at = scene.request_weights(2).await;
     let took = scene.engines.all_serve(&scene.ids, 2, requested_at).await;
     assert!(took < Duration::from_millis(2_700), "took {took:?}");
     let orders = scene.engines.with("e00", |e| e.ordered.len());
@@ -320,11 +320,11 @@
 async fn a_repeated_order_is_for_the_newest_weights() {
     let mut scene = Scene::new(1).await;
     scene.engines.with("e00", |e| e.loses = 1);
-    scene.want(2).await;
+    scene.request_weights(2).await;
     while scene.engines.with("e00", |e| e.ordered.is_empty()) {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    let requested_at = scene.want(3).await;
+    let requested_at = scene.request_weights(3).await;
     let took = scene.engines.all_serve(&scene.ids, 3, requested_at).await;
     assert!(took < Duration::from_millis(1_600), "took {took:?}");
     let versions: Vec<u64> = scene.engines.with("e00", |e| {
@@ -338,7 +338,7 @@
 async fn an_order_that_was_accepted_late_is_not_repeated() {
     let mut scene = Scene::new(1).await;
     scene.engines.with("e00", |e| e.loses = 1);
-    let requested_at = scene.want(2).await;
+    let requested_at = scene.request_weights(2).await;
     while scene.engines.with("e00", |e| e.ordered.is_empty()) {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -361,7 +361,7 @@
     for id in unresponsive {
         scene.engines.with(id, |e| e.unresponsive = true);
     }
-    let requested_at = scene.want(2).await;
+    let requested_at = scene.request_weights(2).await;
     let took = scene.engines.all_serve(others, 2, requested_at).await;
     assert!(took < Duration::from_millis(4_500), "took {took:?}");
     for id in unresponsive {
@@ -377,7 +377,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_slot_is_reused_soon_after_a_load_has_ended() {
     let mut scene = Scene::new(9).await;
-    let requested_at = scene.want(2).await;
+    let requested_at = scene.request_weights(2).await;
     let took = scene.engines.all_serve(&scene.ids, 2, requested_at).await;
     assert!(took < Duration::from_millis(3_650), "took {took:?}");
     let reports = |id: &String| scene.engines.with(id, |e| e.reports);
@@ -395,12 +395,12 @@
     for id in before.ids.clone() {
         before.engines.with(&id, |e| e.unresponsive = true);
     }
-    before.want(1).await;
-    let requested_at = before.want(2).await;
+    before.request_weights(1).await;
+    let requested_at = before.request_weights(2).await;
     tokio::time::sleep(Duration::from_secs(5)).await;
     before.leader.abort();
     let mut after = Scene::on(platform, 3).await;
-    after.want(2).await;
+    after.request_weights(2).await;
     let known_for = |scene: &Scene| {
         let view = scene.fleet.view();
         let wanted = view.wanted.get(&name::<sillpin_core::ModelId>("m"))?;
