--- a/crates/sillpin-gateway/benches/decision.rs
+++ b/crates/sillpin-gateway/benches/decision.rs
@@ -79,7 +79,7 @@
             token_bytes: 18_432,
             models: vec![name("m")],
         };
-        let (pool, zone, kept) = (name("llm"), name("z0"), CacheStores::default());
+        let (pool, zone, cache_stores) = (name("llm"), name("z0"), CacheStores::default());
         let mut number = 0;
         let label = if reported_late { "few" } else { "all" };
         group.bench_function(BenchmarkId::new(label, count), |b| {
@@ -89,7 +89,7 @@
                 let inputs = PlanInputs {
                     config: &config,
                     engine: &spec,
-                    kept: &kept,
+                    cache_stores: &cache_stores,
                     residency: anywhere(),
                     in_contact: true,
                     now,
--- a/crates/sillpin-gateway/src/cache_stores/reader.rs
+++ b/crates/sillpin-gateway/src/cache_stores/reader.rs
@@ -55,7 +55,7 @@
     /// This box.
     pub me: BoxEntry,
     /// State that the results update.
-    pub kept: CacheStores,
+    pub cache_stores: CacheStores,
     /// State of the fleet.
     pub fleet: FleetHandle,
     /// Load and liveness of boxes.
@@ -169,12 +169,12 @@
             if let Some(reader) = &store.reader {
                 reader.abort();
             }
-            self.kept.lock().forget(*addr);
+            self.cache_stores.lock().forget(*addr);
             false
         });
         for addr in configured {
             tracked.entry(addr).or_insert_with(|| {
-                self.kept.lock().track(addr, Instant::now());
+                self.cache_stores.lock().track(addr, Instant::now());
                 TrackedStore {
                     since: Instant::now(),
                     listing: Listing::Unscheduled,
@@ -201,7 +201,7 @@
             if store.reader.take().is_some() {
                 store.since = now;
             }
-            let last_confirmed = self.kept.lock().last_confirmed(*addr);
+            let last_confirmed = self.cache_stores.lock().last_confirmed(*addr);
             let is_due = is_due && last_confirmed.is_none();
             // In a large fleet the zone's reader sends its results to all others; they do not all poll dozens of stores whenever
             // one is lost.
@@ -222,7 +222,7 @@
                 fleet: self.fleet.clone(),
                 loads: self.loads.clone(),
                 updates: self.updates.clone(),
-                kept: self.kept.clone(),
+                cache_stores: self.cache_stores.clone(),
                 log: self.log.clone(),
             };
             store.reader = Some(tokio::spawn(reader.run()).abort_handle());
@@ -238,7 +238,7 @@
     fleet: FleetHandle,
     loads: Loads,
     updates: mpsc::Sender<ZoneUpdate>,
-    kept: CacheStores,
+    cache_stores: CacheStores,
     log: Logger,
 }
 
@@ -261,7 +261,7 @@
                     }
                 }
                 Err(e) => {
-                    self.kept.lock().forget(self.addr);
+                    self.cache_stores.lock().forget(self.addr);
                     if reachable {
                         event!(self.log, events::CACHE_STORE_UNREACHABLE,
                             "store" => self.addr.to_string(), "why" => &e.what);
@@ -302,13 +302,13 @@
     /// Returns whether to poll for changes right after the listing: a listing does not contain the engines' clock, without which
     /// nothing is fetched.
     fn needs_clock(&self, polls: u32) -> bool {
-        polls == 1 && !self.kept.lock().has_clock()
+        polls == 1 && !self.cache_stores.lock().has_clock()
     }
 
     /// Returns whether this box polls for its zone, or its data is too old to wait for the box that does.
     fn should_poll(&mut self) -> bool {
         let (view, now) = (self.fleet.view(), Instant::now());
-        let last_confirmed = self.kept.lock().last_confirmed(self.addr);
+        let last_confirmed = self.cache_stores.lock().last_confirmed(self.addr);
         let loads = &self.loads;
         let alive = |id: &BoxId| loads.may_be_alive(id, now);
         self.role
@@ -334,16 +334,18 @@
     }
 
     async fn poll(&self, requested_at: Instant) -> Result<(), ControlError> {
-        let position = self.kept.lock().position(self.addr);
+        let position = self.cache_stores.lock().position(self.addr);
         let Some(position) = position else {
             let list = self.control.list_store(self.addr).await?;
             event!(self.log, events::CACHE_STORE_LISTED, "store" => self.addr.to_string(),
                 "epoch" => list.epoch, "whole" => list.complete.len(), "partial" => list.partial.len());
             self.send_listing(&list, requested_at);
-            self.kept.lock().apply_list(self.addr, list, requested_at);
+            self.cache_stores
+                .lock()
+                .apply_list(self.addr, list, requested_at);
             return Ok(());
         };
-        let wait = match self.kept.lock().has_clock() {
+        let wait = match self.cache_stores.lock().has_clock() {
             true => POLL_TIMEOUT,
             false => Duration::ZERO,
         };
@@ -364,7 +366,7 @@
             // Boxes that miss it detect the gap from a digest.
             let _ = self.updates.try_send(ZoneUpdate::Store(update));
         }
-        if !self.kept.lock().apply_changes(
+        if !self.cache_stores.lock().apply_changes(
             self.addr,
             position.next,
             updates,
--- a/crates/sillpin-gateway/src/cache_stores/reclaimer.rs
+++ b/crates/sillpin-gateway/src/cache_stores/reclaimer.rs
@@ -41,7 +41,7 @@
     /// Client for calls to stores.
     pub control: C,
     /// Content of the stores.
-    pub kept: CacheStores,
+    pub cache_stores: CacheStores,
     /// State of the fleet.
     pub fleet: FleetHandle,
     /// Time of [`SuspendClock::now`] after which no order is sent.
@@ -108,11 +108,11 @@
 
     /// Returns the parts of a store that no box fetches.
     fn unused(&self, store: &StoreSpec, view: &View, now: Instant) -> Vec<PartKey> {
-        if !self.kept.retirements().has_any() {
+        if !self.cache_stores.retirements().has_any() {
             return Vec::new();
         }
-        let parts = self.kept.lock().complete_parts(store.addr);
-        let retirements = self.kept.retirements();
+        let parts = self.cache_stores.lock().complete_parts(store.addr);
+        let retirements = self.cache_stores.retirements();
         // Cached by salt: a store holds thousands of parts under a few salts.
         let mut shares: HashMap<Salt, f64> = HashMap::new();
         let share_of = |salt: &Salt| match salt.0.parse::<SaltParts>() {
@@ -178,7 +178,7 @@
             return;
         }
         let (position, until) = {
-            let directory = self.kept.lock();
+            let directory = self.cache_stores.lock();
             let until = directory.engine_time(from, time);
             (directory.position(store.addr), until)
         };
--- a/crates/sillpin-gateway/src/front/attempt.rs
+++ b/crates/sillpin-gateway/src/front/attempt.rs
@@ -334,7 +334,7 @@
         if status == StatusCode::MISDIRECTED_REQUEST || is_other {
             return;
         }
-        let said = SignalObservation {
+        let observation = SignalObservation {
             sent,
             signals: head.signals,
             success: status.is_success() && head.signed && !head.not_run,
@@ -343,7 +343,7 @@
         let life = IncarnationHash::of(target);
         let changes = self
             .loads
-            .signals(|signals| signals.record(life, said, Instant::now()));
+            .signals(|signals| signals.record(life, observation, Instant::now()));
         for change in changes {
             if let SignalChange::Limit(_) = change {
                 self.loads.limit_changed.notify_waiters();
--- a/crates/sillpin-gateway/src/front/dispatch.rs
+++ b/crates/sillpin-gateway/src/front/dispatch.rs
@@ -244,7 +244,7 @@
         let expected = prepared.chosen.queue_ms + prepared.prefill_ms;
         let expected = Duration::from_secs_f64(expected / 1000.0);
         let excess = took.saturating_sub(expected);
-        let mut fetch_shares = self.kept.fetch_shares();
+        let mut fetch_shares = self.cache_stores.fetch_shares();
         match prepared.source {
             Some(store) => {
                 fetch_shares.record_fetch(
--- a/crates/sillpin-gateway/src/front/selection.rs
+++ b/crates/sillpin-gateway/src/front/selection.rs
@@ -262,10 +262,10 @@
         let residency = self.residency(request);
         let targets = view.index.pool(pool)?.all.iter();
         let allowed = targets.filter(|target| residency.allows(&target.entry.zone));
-        let lives = allowed.map(|target| target.life);
+        let incarnations = allowed.map(|target| target.life);
         let wait = self
             .loads
-            .signals(|signals| signals.shortest_backoff(lives, Instant::now()))?;
+            .signals(|signals| signals.shortest_backoff(incarnations, Instant::now()))?;
         Some(wait + BACKOFF_SPREAD.mul_f64(rand::rng().random_range(0.0..1.0)))
     }
 
@@ -321,9 +321,9 @@
         let inputs = PlanInputs {
             config: &request.config,
             engine,
-            kept: &self.kept,
+            cache_stores: &self.cache_stores,
             residency: base.residency,
-            in_contact: self.kept.retirements().may_fetch(
+            in_contact: self.cache_stores.retirements().may_fetch(
                 view,
                 self.suspend_clock.suspended(),
                 now,
@@ -335,7 +335,9 @@
         let draw = rand::rng().random_range(0.0..1.0);
         let plan_for = |version: WeightVersion| {
             let mut plan = plan(prompt, &salt(prompt, version, org), &inputs);
-            plan.drop_busy_sources(|store| draw < self.kept.fetch_shares().share(store, now));
+            plan.drop_busy_sources(|store| {
+                draw < self.cache_stores.fetch_shares().share(store, now)
+            });
             (version, plan)
         };
         let serving = served_versions(view, base.pool, &prompt.model);
@@ -412,7 +414,7 @@
         };
         let zone = &chosen.target.zone;
         let fetch_time = request.route.latency_objective.mul_f64(FETCH_TIME_FACTOR);
-        let mut directory = self.kept.lock();
+        let mut directory = self.cache_stores.lock();
         let directives = plan.directives(version, zone, &mut directory, fetch_time, Instant::now());
         drop(directory);
         let parts = plan.shared.iter().zip(&directives.fetch);
--- a/crates/sillpin-gateway/src/front/shared.rs
+++ b/crates/sillpin-gateway/src/front/shared.rs
@@ -33,7 +33,7 @@
     /// View of the fleet.
     pub fleet: FleetHandle,
     /// Directory of the parts that cache stores hold.
-    pub kept: CacheStores,
+    pub cache_stores: CacheStores,
     /// Loads of targets.
     pub loads: Loads,
     /// Connections to targets.
@@ -67,7 +67,7 @@
     /// Loads of targets.
     pub loads: Loads,
     /// Directory of the parts that cache stores hold.
-    pub kept: CacheStores,
+    pub cache_stores: CacheStores,
     /// Record of requests that crash targets.
     pub fatal: FatalRequests,
     /// Counts time in which the box was suspended.
@@ -90,7 +90,7 @@
         let FleetHandles {
             fleet,
             loads,
-            kept,
+            cache_stores,
             fatal,
             suspend_clock,
         } = handles;
@@ -110,7 +110,7 @@
             fatal,
             crash_detector,
             fleet,
-            kept,
+            cache_stores,
             loads,
             pool,
             prober,
--- a/crates/sillpin-gateway/src/ops.rs
+++ b/crates/sillpin-gateway/src/ops.rs
@@ -182,7 +182,7 @@
     let handles = FleetHandles {
         fleet: fleet.clone(),
         loads,
-        kept: CacheStores::default(),
+        cache_stores: CacheStores::default(),
         fatal: FatalRequests::new(log.clone()),
         suspend_clock,
     };
@@ -197,7 +197,7 @@
     tokio::spawn(cache_stores::reader::run(Readers {
         control: adapter.control.clone(),
         me: me.clone(),
-        kept: shared.kept.clone(),
+        cache_stores: shared.cache_stores.clone(),
         loads: shared.loads.clone(),
         fleet: fleet.clone(),
         updates: zone_updates_tx,
@@ -307,7 +307,7 @@
     let answerer = PeerServer {
         fleet_key,
         fleet: fleet.clone(),
-        kept: shared.kept.clone(),
+        cache_stores: shared.cache_stores.clone(),
         log: log.clone(),
     };
     tokio::spawn(link::serve(listener, answerer, CancellationToken::new()));
@@ -335,7 +335,7 @@
         settings,
         fleet: fleet.clone(),
         loads: shared.loads.clone(),
-        kept: shared.kept.clone(),
+        cache_stores: shared.cache_stores.clone(),
         fatal: shared.fatal.clone(),
         suspend_clock: shared.suspend_clock.clone(),
         updates,
@@ -363,7 +363,7 @@
         control: adapter.control.clone(),
         fleet,
         loads: shared.loads.clone(),
-        kept: shared.kept.clone(),
+        cache_stores: shared.cache_stores.clone(),
         updates: updates_tx,
         stopping,
         log,
--- a/crates/sillpin-gateway/src/peers/link.rs
+++ b/crates/sillpin-gateway/src/peers/link.rs
@@ -73,13 +73,13 @@
     /// What this box knows of the fleet.
     pub fleet: FleetHandle,
     /// Directory of stored parts.
-    pub kept: CacheStores,
+    pub cache_stores: CacheStores,
     /// Log.
     pub log: Logger,
 }
 
 impl PeerServer {
-    fn copy(&self, topic: Topic, after: KvRevision) -> Option<TopicCopy> {
+    fn topic_copy(&self, topic: Topic, after: KvRevision) -> Option<TopicCopy> {
         let view = self.fleet.view();
         let known = view.known(topic);
         let age = known.confirmed?.elapsed();
@@ -90,8 +90,8 @@
         })
     }
 
-    fn kept(&self, store: SocketAddr, after: Option<Position>) -> Option<StoreCopy> {
-        let directory = self.kept.lock();
+    fn store_copy(&self, store: SocketAddr, after: Option<Position>) -> Option<StoreCopy> {
+        let directory = self.cache_stores.lock();
         let age = directory.last_confirmed(store)?.elapsed();
         let changes = after.and_then(|after| directory.changes_after(store, after));
         let content = match changes {
@@ -131,7 +131,7 @@
 struct Connection {
     server: PeerServer,
     published: DocumentTransfers,
-    kept: DocumentTransfers,
+    stored_parts: DocumentTransfers,
 }
 
 impl BoxLink for Connection {
@@ -145,7 +145,7 @@
         if fleet != self.server.fleet_key {
             return DocumentReply::Nothing;
         }
-        let document = self.server.copy(topic, after);
+        let document = self.server.topic_copy(topic, after);
         self.server.start_transfer(&self.published, document)
     }
 
@@ -159,16 +159,16 @@
             return DocumentReply::Nothing;
         }
         let copies = stores.into_iter();
-        let copies = copies.filter_map(|(store, after)| self.server.kept(store, after));
+        let copies = copies.filter_map(|(store, after)| self.server.store_copy(store, after));
         let copies: Vec<StoreCopy> = copies.collect();
         let document = (!copies.is_empty()).then_some(copies);
-        self.server.start_transfer(&self.kept, document)
+        self.server.start_transfer(&self.stored_parts, document)
     }
 
     async fn more(self, _: Context, transfer: TransferId, offset: u64) -> Option<Vec<u8>> {
         let now = Instant::now();
         let published = self.published.piece_at(transfer, offset, now);
-        published.or_else(|| self.kept.piece_at(transfer, offset, now))
+        published.or_else(|| self.stored_parts.piece_at(transfer, offset, now))
     }
 }
 
@@ -177,7 +177,7 @@
     let connection = Connection {
         server,
         published: DocumentTransfers::default(),
-        kept: DocumentTransfers::default(),
+        stored_parts: DocumentTransfers::default(),
     };
     transport::serve(listener, stop, |tcp| {
         let requests = BaseChannel::with_defaults(tcp).execute(connection.clone().serve());
--- a/crates/sillpin-gateway/src/peers/peer_client.rs
+++ b/crates/sillpin-gateway/src/peers/peer_client.rs
@@ -110,10 +110,15 @@
 
     /// Fetches what a box knows of some stores and applies it. One call covers all of them, because
     /// a box that lags lacks changes of dozens of stores.
-    pub async fn fetch_stores(&self, from: &BoxEntry, stores: Vec<SocketAddr>, kept: &CacheStores) {
+    pub async fn fetch_stores(
+        &self,
+        from: &BoxEntry,
+        stores: Vec<SocketAddr>,
+        cache_stores: &CacheStores,
+    ) {
         let mut fetch = self.begin(from, "kept parts", None);
         let positions: HashMap<SocketAddr, Option<Position>> = {
-            let directory = kept.lock();
+            let directory = cache_stores.lock();
             let positions = stores.iter();
             positions
                 .map(|store| (*store, directory.position(*store)))
@@ -134,7 +139,7 @@
         for copy in copies {
             let after = positions.get(&copy.store).copied().flatten();
             if let Some(requested_at) = began.checked_sub(Duration::from_millis(copy.age_ms)) {
-                apply_store_copy(copy, after, requested_at, kept);
+                apply_store_copy(copy, after, requested_at, cache_stores);
             }
         }
     }
@@ -272,7 +277,7 @@
     copy: StoreCopy,
     after: Option<Position>,
     requested_at: Instant,
-    kept: &CacheStores,
+    cache_stores: &CacheStores,
 ) {
     let StoreCopy {
         store,
@@ -280,7 +285,7 @@
         content,
         ..
     } = copy;
-    let mut directory = kept.lock();
+    let mut directory = cache_stores.lock();
     match content {
         StoreContent::Complete(complete) => {
             let partial = Vec::new();
--- a/crates/sillpin-gateway/src/peers/receiver.rs
+++ b/crates/sillpin-gateway/src/peers/receiver.rs
@@ -85,7 +85,7 @@
     /// Loads of targets.
     pub loads: Loads,
     /// Directory of stored parts.
-    pub kept: CacheStores,
+    pub cache_stores: CacheStores,
     /// Requests that crash the targets that run them.
     pub fatal: FatalRequests,
     /// Calls in progress.
@@ -178,10 +178,10 @@
         let silence = digest.targets_sync.age_ms.map(Duration::from_millis);
         let silence = silence.unwrap_or(Duration::MAX);
         let retired = digest.retired;
-        self.kept
+        self.cache_stores
             .retirements()
             .apply_update(from, retired, silence, now);
-        self.kept.lock().set_clock(digest.clock, now);
+        self.cache_stores.lock().set_clock(digest.clock, now);
         self.announce_new_box(&digest.from);
         self.fleet
             .send(FleetMsg::PeerSeen(digest.from.clone()))
@@ -367,7 +367,7 @@
     /// Fetches changes of stores that another box knows further than this one.
     fn fetch_stores(&self, theirs: &[StoreSyncSummary], from: &BoxEntry) {
         let lacking: Vec<SocketAddr> = {
-            let mut directory = self.kept.lock();
+            let mut directory = self.cache_stores.lock();
             let is_lacking = |theirs: &&StoreSyncSummary| lacks_changes(&mut directory, theirs);
             theirs.iter().filter(is_lacking).map(|of| of.addr).collect()
         };
@@ -378,7 +378,7 @@
         tokio::spawn(async move {
             receiver
                 .client
-                .fetch_stores(&from, lacking, &receiver.kept)
+                .fetch_stores(&from, lacking, &receiver.cache_stores)
                 .await;
             receiver.end_fetch(FetchKind::Stores);
         });
--- a/crates/sillpin-gateway/src/peers/receiver/zone.rs
+++ b/crates/sillpin-gateway/src/peers/receiver/zone.rs
@@ -31,7 +31,9 @@
         for update in &report.updates {
             self.apply_update(update.clone()).await;
         }
-        self.kept.retirements().apply_shares(&report.retired);
+        self.cache_stores
+            .retirements()
+            .apply_shares(&report.retired);
         self.fatal.apply_update(&report.fatal);
         self.apply_limits(&report.limits);
         let roster = self.zone_gossip.rosters.of(&self.fleet.view());
@@ -57,7 +59,7 @@
             self.loads.apply_zone_totals(sums.work, &members);
             self.loads
                 .signals(|signals| signals.replaced.apply_update(&sums.replaced, now));
-            self.kept.retirements().apply_shares(&sums.retired);
+            self.cache_stores.retirements().apply_shares(&sums.retired);
             self.fatal.apply_update(&sums.fatal);
             self.apply_limits(&sums.limits);
             let roster = self.zone_gossip.rosters.of(&self.fleet.view());
@@ -77,7 +79,9 @@
         for load in &summary.load_updates {
             self.apply_load_update(load.clone()).await;
         }
-        self.kept.retirements().apply_shares(&summary.retired);
+        self.cache_stores
+            .retirements()
+            .apply_shares(&summary.retired);
         self.fatal.apply_update(&summary.fatal);
         self.apply_limits(&summary.limits);
         self.zone_gossip
@@ -116,7 +120,7 @@
         let Some(requested_at) = queried_at(Some(age_ms)) else {
             return;
         };
-        let mut directory = self.kept.lock();
+        let mut directory = self.cache_stores.lock();
         let known = directory.position(addr);
         if known.is_some_and(|known| known.epoch == epoch && known.next >= next) {
             return;
@@ -176,7 +180,7 @@
         let Some(requested_at) = queried_at(Some(update.age_ms)) else {
             return;
         };
-        let mut directory = self.kept.lock();
+        let mut directory = self.cache_stores.lock();
         let begin = Position {
             epoch: update.epoch,
             next: update.since,
--- a/crates/sillpin-gateway/src/peers/sender.rs
+++ b/crates/sillpin-gateway/src/peers/sender.rs
@@ -49,10 +49,10 @@
 const FOREIGN_FAN_OUT: usize = 3;
 
 /// Boxes of each other zone that the speaker of a zone of a large fleet sends to in each round.
-const SPEAKER_FAN_OUT: usize = 2;
+const CROSS_ZONE_FAN_OUT: usize = 2;
 
 /// Name of the speaker role: the box that sends digests to other zones.
-const SPEAKER: &str = "speaker";
+const CROSS_ZONE_SENDER: &str = "speaker";
 
 /// Sends digests and updates.
 pub struct GossipSender {
@@ -67,7 +67,7 @@
     /// Loads of targets.
     pub loads: Loads,
     /// Directory of stored parts.
-    pub kept: CacheStores,
+    pub cache_stores: CacheStores,
     /// Time for which the box was suspended.
     pub suspend_clock: SuspendClock,
     /// Requests that crash the targets that run them.
@@ -98,7 +98,7 @@
             fleet_key: self.fleet_key,
             fleet: self.fleet.clone(),
             loads: self.loads.clone(),
-            kept: self.kept.clone(),
+            cache_stores: self.cache_stores.clone(),
             fatal: self.fatal.clone(),
             fetches: Arc::default(),
             client: PeerClient {
@@ -219,14 +219,17 @@
     async fn round(&self, socket: &UdpSocket, large: bool) {
         let view = self.fleet.view();
         let stores = view.config.as_ref().map(|config| config.stores.as_slice());
-        let fullness = self.kept.lock().fullness(stores.unwrap_or_default());
+        let fullness = self
+            .cache_stores
+            .lock()
+            .fullness(stores.unwrap_or_default());
         {
-            let mut retirements = self.kept.retirements();
+            let mut retirements = self.cache_stores.retirements();
             retirements.add_suspended_time(self.suspend_clock.suspended());
             retirements.update(&view, fullness, Instant::now());
         }
         self.loads
-            .signals(|words| words.add_suspended_time(self.suspend_clock.suspended()));
+            .signals(|signals| signals.add_suspended_time(self.suspend_clock.suspended()));
         if large {
             return;
         }
@@ -254,7 +257,7 @@
         let from = self.me.id.clone();
         let replaced = self
             .loads
-            .signals(|words| words.replaced.updates_to_send(Instant::now()));
+            .signals(|signals| signals.replaced.updates_to_send(Instant::now()));
         let update = WorkUpdate {
             from,
             work,
@@ -284,7 +287,7 @@
 
     pub(super) fn digest(&self, view: &View) -> Digest {
         let now = Instant::now();
-        let directory = self.kept.lock();
+        let directory = self.cache_stores.lock();
         let summary_of = |addr: SocketAddr| {
             Some(StoreSyncSummary {
                 addr,
@@ -305,17 +308,17 @@
             work: self.loads.updates_to_send(),
             replaced: self
                 .loads
-                .signals(|words| words.replaced.updates_to_send(now)),
+                .signals(|signals| signals.replaced.updates_to_send(now)),
             desired_ages: recent_ages(&view.desired, now),
             contact_ms: view
                 .operators_sync
                 .in_contact(now)
                 .map(|at| millis(now - at)),
-            retired: self.kept.retirements().updates_to_send(now),
+            retired: self.cache_stores.retirements().updates_to_send(now),
             fatal: self.fatal.record().updates_to_send(now),
             limits: self
                 .loads
-                .signals(|words| words.limits.updates_to_send(now)),
+                .signals(|signals| signals.limits.updates_to_send(now)),
             stopping: self.stopping.is_cancelled(),
         }
     }
@@ -347,7 +350,7 @@
             let picked = others.sample(&mut rng, FOREIGN_FAN_OUT);
             return picked.map(|peer| peer.gossip).collect();
         }
-        if !roles::is_reader(view, &self.me, SPEAKER) {
+        if !roles::is_reader(view, &self.me, CROSS_ZONE_SENDER) {
             return Vec::new();
         }
         let mut zones: Vec<_> = others.iter().map(|peer| peer.zone.clone()).collect();
@@ -358,7 +361,7 @@
             let there: Vec<&BoxEntry> = others.iter().copied().filter(|p| p.zone == zone).collect();
             picked.extend(
                 there
-                    .sample(&mut rng, SPEAKER_FAN_OUT)
+                    .sample(&mut rng, CROSS_ZONE_FAN_OUT)
                     .map(|peer| peer.gossip),
             );
         }
--- a/crates/sillpin-gateway/src/peers/zone_sender.rs
+++ b/crates/sillpin-gateway/src/peers/zone_sender.rs
@@ -94,7 +94,7 @@
             replaced: Vec::new(),
             operators_sync: sync_summary(view.operators_sync),
             targets_sync: sync_summary(view.targets_sync),
-            retired: self.kept.retirements().applied(),
+            retired: self.cache_stores.retirements().applied(),
             fatal: self.fatal.record().updates_to_send(now),
             limits: self
                 .loads
@@ -149,7 +149,7 @@
                     .signals(|signals| signals.replaced.updates_to_send(now)),
                 operators_sync: sync_summary(view.operators_sync),
                 targets_sync: sync_summary(view.targets_sync),
-                retired: self.kept.retirements().applied(),
+                retired: self.cache_stores.retirements().applied(),
                 fatal: fatal.clone(),
                 limits: limits.clone(),
                 updates,
@@ -176,7 +176,7 @@
     }
 
     async fn send_zone_summary(&self, socket: &UdpSocket, roster: &Roster, now: Instant) {
-        let retired = || self.kept.retirements().applied();
+        let retired = || self.cache_stores.retirements().applied();
         let summary =
             self.zone_gossip
                 .hub()
--- a/crates/sillpin-gateway/src/placement/load.rs
+++ b/crates/sillpin-gateway/src/placement/load.rs
@@ -328,11 +328,11 @@
         let now = Instant::now();
         self.limits()
             .retain_listed(|id| targets.contains_key(id), now);
-        let lives: HashSet<IncarnationHash> = targets
+        let incarnations: HashSet<IncarnationHash> = targets
             .values()
             .map(|entry| IncarnationHash::of(entry))
             .collect();
-        let is_listed = |life| lives.contains(&life);
+        let is_listed = |life| incarnations.contains(&life);
         self.signals(|signals| signals.retain_listed(is_listed, now));
         let mut table = self.lock();
         table.retain(|id, load| load.in_flight > 0 || targets.contains_key(id));
--- a/crates/sillpin-gateway/src/placement/parts.rs
+++ b/crates/sillpin-gateway/src/placement/parts.rs
@@ -32,19 +32,19 @@
 
 /// Reason for which a shared part is recomputed and not stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
-pub enum NotKept {
+pub enum RecomputeReason {
     /// It was computed with replaced weights.
     #[display("retired")]
     Retired,
     /// A store holds it, but this box is not in contact with the platform store.
     #[display("out-of-touch")]
-    OutOfTouch,
+    NoContact,
     /// No store's contents are known to be current.
     #[display("stores-unknown")]
     StoresUnknown,
     /// No store has capacity left.
     #[display("no-room")]
-    NoRoom,
+    NoCapacity,
     /// A store holds it, but its link can't take more fetches.
     #[display("link-busy")]
     LinkBusy,
@@ -54,7 +54,7 @@
     NoClock,
     /// Another request is saving it already.
     #[display("asked")]
-    Asked,
+    BeingSaved,
 }
 
 /// A shared part of a prompt, with the stores that it may be fetched from or saved to.
@@ -69,7 +69,7 @@
     /// If there are none, the stores that may hold it, which are equal in speed and capacity.
     pub homes: Vec<StoreSpec>,
     /// Reason for which the part is recomputed if it is neither fetched nor saved.
-    pub not_kept: NotKept,
+    pub recompute_reason: RecomputeReason,
 }
 
 /// The shared parts of a prompt under one salt.
@@ -106,7 +106,7 @@
     /// Specification of the pool's engines.
     pub engine: &'a EngineSpec,
     /// Contents of the stores.
-    pub kept: &'a CacheStores,
+    pub cache_stores: &'a CacheStores,
     /// Regions in which the prompt's parts may be stored.
     pub residency: Residency<'a>,
     /// Whether this box is in contact with the platform store, which it must be to fetch parts.
@@ -158,12 +158,12 @@
         tokens,
         sources: Vec::new(),
         homes: Vec::new(),
-        not_kept: NotKept::Retired,
+        recompute_reason: RecomputeReason::Retired,
     };
-    if inputs.kept.retirements().is_retired(salt, &key) {
+    if inputs.cache_stores.retirements().is_retired(salt, &key) {
         return recomputed;
     }
-    let directory = inputs.kept.lock();
+    let directory = inputs.cache_stores.lock();
     let used = |store: &StoreSpec| directory.used(store.addr);
     let mut homes = homes(&inputs.config.stores, &key.part, tokens, position);
     homes.retain(|store| inputs.residency.allows(&store.zone));
@@ -176,7 +176,7 @@
                 ..recomputed
             },
             false => SharedPart {
-                not_kept: NotKept::OutOfTouch,
+                recompute_reason: RecomputeReason::NoContact,
                 ..recomputed
             },
         };
@@ -189,13 +189,13 @@
     let is_like_first = |store: &&&StoreSpec| {
         store.first == usable[0].first && store.capacity == usable[0].capacity
     };
-    let not_kept = match (known.is_empty(), usable.is_empty()) {
-        (true, _) => NotKept::StoresUnknown,
-        (_, true) => NotKept::NoRoom,
-        _ => NotKept::Asked,
+    let recompute_reason = match (known.is_empty(), usable.is_empty()) {
+        (true, _) => RecomputeReason::StoresUnknown,
+        (_, true) => RecomputeReason::NoCapacity,
+        _ => RecomputeReason::BeingSaved,
     };
     SharedPart {
-        not_kept,
+        recompute_reason,
         homes: usable
             .iter()
             .filter(is_like_first)
@@ -294,9 +294,9 @@
             (None, None)
                 if directives.fetch_until.is_none() && !self.shared[index].sources.is_empty() =>
             {
-                format!("read-{}", NotKept::NoClock)
+                format!("read-{}", RecomputeReason::NoClock)
             }
-            (None, None) => format!("read-{}", self.shared[index].not_kept),
+            (None, None) => format!("read-{}", self.shared[index].recompute_reason),
         };
         let part = |(index, part): (usize, &SharedPart)| {
             format!("{}:{}:{}", part.key.part, part.tokens, action(index))
@@ -318,7 +318,7 @@
             .iter_mut()
             .filter(|part| !part.sources.is_empty())
         {
-            part.not_kept = NotKept::LinkBusy;
+            part.recompute_reason = RecomputeReason::LinkBusy;
             part.sources.retain(|store| !busy.contains(&store.addr));
         }
     }
--- a/crates/sillpin-gateway/src/placement/signals/limit.rs
+++ b/crates/sillpin-gateway/src/placement/signals/limit.rs
@@ -107,7 +107,7 @@
     at: Instant,
     /// When this box learned of the observation made at `at`; not adjusted for suspensions, because
     /// it is compared with the times at which requests were sent.
-    learned_at: Instant,
+    received_at: Instant,
     changed_at: Instant,
     /// Whether the target's last response to this box had a limit that could not be parsed.
     unreadable: bool,
@@ -151,7 +151,7 @@
                 (before.or(fallback), now)
             }
             None => {
-                let ends = known.is_some_and(|known| known.learned_at < observation.sent);
+                let ends = known.is_some_and(|known| known.received_at < observation.sent);
                 if before.is_none() || !observation.success || !ends {
                     return None;
                 }
@@ -206,7 +206,7 @@
             rate: None,
             last: None,
             at,
-            learned_at: now,
+            received_at: now,
             changed_at: now,
             unreadable: false,
             observed_at: None,
@@ -215,7 +215,7 @@
         known.rate = rate;
         known.last = rate.or(known.last);
         known.at = at;
-        known.learned_at = now;
+        known.received_at = now;
         if !is_significant(before, rate) {
             return None;
         }
@@ -244,7 +244,7 @@
         if let Some(rate) = known.rate {
             return Some(limit(rate.per_s()));
         }
-        let since_end = now.saturating_duration_since(known.learned_at);
+        let since_end = now.saturating_duration_since(known.received_at);
         let steps = (since_end.as_secs_f64() / LIFT_STEP_TIME.as_secs_f64()) as i32;
         let before = known.last?.per_s().max(1.0 / MAX_PERIOD.as_secs_f64());
         (steps < LIFT_STEPS).then(|| limit(before * 2f64.powi(steps + 1)))
--- a/crates/sillpin-gateway/src/weights/rollout.rs
+++ b/crates/sillpin-gateway/src/weights/rollout.rs
@@ -81,7 +81,7 @@
     /// Load of targets and liveness of boxes.
     pub loads: Loads,
     /// State of the cache stores.
-    pub kept: CacheStores,
+    pub cache_stores: CacheStores,
     /// Updates for all boxes.
     pub updates: mpsc::Sender<WeightLoadUpdate>,
     /// Cancelled when the box shuts down.
@@ -178,7 +178,7 @@
         let (limit, until) = watch::channel(leadership.orders_until);
         let reclaimer = Reclaimer {
             control: self.control.clone(),
-            kept: self.kept.clone(),
+            cache_stores: self.cache_stores.clone(),
             fleet: self.fleet.clone(),
             until: until.clone(),
             suspend_clock: self.election.suspend_clock.clone(),
--- a/crates/sillpin-gateway/tests/cache_stores/listing.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/listing.rs
@@ -148,17 +148,17 @@
         let me = box_entry(index);
         tokio::spawn(Fleet::new(me.id.clone(), TestKeys, log.clone()).run(port));
         let (updates, received) = mpsc::channel(100);
-        let kept = CacheStores::default();
+        let cache_stores = CacheStores::default();
         tokio::spawn(reader::run(Readers {
             control: store.clone(),
             me,
-            kept: kept.clone(),
+            cache_stores: cache_stores.clone(),
             loads: Loads::default(),
             fleet: fleet.clone(),
             updates,
             log,
         }));
-        boxes.push((kept, fleet, received));
+        boxes.push((cache_stores, fleet, received));
     }
     let began = Instant::now();
     let send_due = async |fleet: &FleetHandle, index: usize, at: Duration| {
@@ -176,8 +176,8 @@
         }
     }
     // A fetch also needs the engines' clock, for its deadline.
-    let knows = |(kept, _, _): &(CacheStores, _, _)| {
-        let directory = kept.lock();
+    let knows = |(cache_stores, _, _): &(CacheStores, _, _)| {
+        let directory = cache_stores.lock();
         directory.is_known(addr, Instant::now()) && directory.has_clock()
     };
     while !boxes.iter().all(knows) {
--- a/crates/sillpin-gateway/tests/common/engines.rs
+++ b/crates/sillpin-gateway/tests/common/engines.rs
@@ -262,7 +262,7 @@
     let inputs = PlanInputs {
         config: &FleetConfig::default(),
         engine: &engine,
-        kept: &CacheStores::default(),
+        cache_stores: &CacheStores::default(),
         residency: anywhere(),
         in_contact: true,
         now: Instant::now(),
--- a/crates/sillpin-gateway/tests/parts.rs
+++ b/crates/sillpin-gateway/tests/parts.rs
@@ -41,7 +41,7 @@
 /// Returns a plan made while the given stores hold `session`, and the instructions for an engine in
 /// `zone`.
 fn directives(in_a: bool, in_b: bool, zone: &str) -> (Plan, EngineDirectives) {
-    let (prompt, stores, kept) = (prompt(), stores(), CacheStores::default());
+    let (prompt, stores, cache_stores) = (prompt(), stores(), CacheStores::default());
     let now = Instant::now();
     let salt = salt(&prompt, VERSION, None);
     for (store, holds) in stores.iter().zip([in_a, in_b]) {
@@ -55,9 +55,9 @@
             complete: holds.then_some((key, Tokens(500))).into_iter().collect(),
             partial: Vec::new(),
         };
-        kept.lock().apply_list(store.addr, list, now);
+        cache_stores.lock().apply_list(store.addr, list, now);
     }
-    kept.lock().set_clock(Some(EngineTime(0)), now);
+    cache_stores.lock().set_clock(Some(EngineTime(0)), now);
     let config = FleetConfig {
         stores,
         ..FleetConfig::default()
@@ -71,14 +71,14 @@
     let inputs = PlanInputs {
         config: &config,
         engine: &engine,
-        kept: &kept,
+        cache_stores: &cache_stores,
         residency: anywhere(),
         in_contact: true,
         now,
     };
     let plan = plan(&prompt, &salt, &inputs);
     let zone: ZoneId = name(zone);
-    let directives = plan.directives(VERSION, &zone, &mut kept.lock(), FETCH_TIME, now);
+    let directives = plan.directives(VERSION, &zone, &mut cache_stores.lock(), FETCH_TIME, now);
     (plan, directives)
 }
 
--- a/crates/sillpin-gateway/tests/place.rs
+++ b/crates/sillpin-gateway/tests/place.rs
@@ -515,7 +515,7 @@
         max_output: Tokens(10),
     };
     let store = store("s", 7, zone, 1_722_605, 6);
-    let (kept, now) = (CacheStores::default(), Instant::now());
+    let (cache_stores, now) = (CacheStores::default(), Instant::now());
     let salt = salt(&prompt, WeightVersion(1), None);
     let key = PartKey {
         salt: salt.salt(),
@@ -527,7 +527,7 @@
         complete: vec![(key, Tokens(5_000))],
         partial: Vec::new(),
     };
-    kept.lock().apply_list(store.addr, list, now);
+    cache_stores.lock().apply_list(store.addr, list, now);
     let config = FleetConfig {
         stores: vec![store],
         ..FleetConfig::default()
@@ -541,7 +541,7 @@
     let inputs = PlanInputs {
         config: &config,
         engine: &engine,
-        kept: &kept,
+        cache_stores: &cache_stores,
         residency: anywhere(),
         in_contact: true,
         now,
--- a/crates/sillpin-gateway/tests/reclaimer.rs
+++ b/crates/sillpin-gateway/tests/reclaimer.rs
@@ -112,13 +112,13 @@
         listed,
         freed,
     };
-    let kept = CacheStores::default();
-    kept.lock().apply_list(addr, list(&[]), start);
-    kept.lock().set_clock(Some(EngineTime(0)), start);
+    let cache_stores = CacheStores::default();
+    cache_stores.lock().apply_list(addr, list(&[]), start);
+    cache_stores.lock().set_clock(Some(EngineTime(0)), start);
     let (_limit, until) = watch::channel(start + Duration::from_secs(60));
     let reclaimer = Reclaimer {
         control,
-        kept,
+        cache_stores,
         fleet,
         until,
         suspend_clock: SuspendClock::manual(),
--- a/crates/sillpin-gateway/tests/residency.rs
+++ b/crates/sillpin-gateway/tests/residency.rs
@@ -131,7 +131,7 @@
         salt: salt.salt(),
         part: PartId("kept".to_owned()),
     };
-    let kept = CacheStores::default();
+    let cache_stores = CacheStores::default();
     for (addr, complete) in [(near.addr, vec![]), (far.addr, vec![(key, Tokens(500))])] {
         let list = StoreListing {
             epoch: 1,
@@ -139,7 +139,7 @@
             complete,
             partial: vec![],
         };
-        kept.lock().apply_list(addr, list, now);
+        cache_stores.lock().apply_list(addr, list, now);
     }
     let engine = EngineSpec {
         slots: 8,
@@ -152,7 +152,7 @@
         let inputs = PlanInputs {
             config: &config,
             engine: &engine,
-            kept: &kept,
+            cache_stores: &cache_stores,
             residency: Residency {
                 route,
                 organisation: &[],
--- a/crates/sillpin-gateway/tests/rollout.rs
+++ b/crates/sillpin-gateway/tests/rollout.rs
@@ -262,7 +262,7 @@
             control: self.engines.clone(),
             fleet: self.fleet.clone(),
             loads: Loads::default(),
-            kept: CacheStores::default(),
+            cache_stores: CacheStores::default(),
             updates: mpsc::channel(64).0,
             stopping: self.stopping.clone(),
             log,
