--- a/crates/sillpin-gateway/src/front/selection.rs
+++ b/crates/sillpin-gateway/src/front/selection.rs
@@ -26,7 +26,7 @@
 use tokio::time::Instant;
 
 /// Share of a target's connections that all known boxes together may use; the rest is left to boxes that this one
-/// does not know of yet.
+/// does not know yet.
 const CONNECTION_SHARE: f64 = 0.85;
 
 /// Minimum number of connections that each box may use at a target.
@@ -34,9 +34,8 @@
 
 /// Time limit of a fetch, as a multiple of the request's latency objective; after it the engine discards the fetch
 /// and computes the prompt. A fetch also waits in the engine's queue, and discarding it costs time, so the limit
-/// exceeds the objective; but a waiting fetch occupies memory, so the limit must be finite. Measured on two fleets,
-/// as the score of days with incidents: with objectives of 1.2 s, 0.702 with a limit of 0.6 times that and 0.723 with
-/// 2.1; with objectives of 0.3 to 0.5 s, 0.578 with 1.4 to 2.3 and 0.569 with 5 to 8.
+/// exceeds the objective; but a waiting fetch occupies memory, so the limit must be small. Prompts are late more often
+/// with a limit of half the objective, and with one of five times the objective or more.
 const FETCH_TIME_FACTOR: f64 = 1.5;
 
 /// Fraction of a late request's work that counts as queued ahead of other requests: the engine prefers requests that
@@ -47,8 +46,8 @@
 /// seconds.
 const MAX_LIMITED_WAIT: Duration = Duration::from_secs(4);
 
-/// Callers refused because targets asked for a pause are spread over this time after its end, so that they don't come
-/// back all at once.
+/// Range of the random delay added to the retry-after of callers that are refused because of a backoff, so that they
+/// don't come back all at once when it ends.
 const BACKOFF_SPREAD: Duration = Duration::from_millis(400);
 
 /// The target selected for an attempt, and what is sent to it.
@@ -69,7 +68,7 @@
     pub stored: u64,
     /// Number of shared prompt tokens that are fetched.
     pub fetched: u64,
-    /// Number of shared prompt tokens that are computed or already cached at the engine.
+    /// Number of shared prompt tokens that are recomputed or already cached at the engine.
     pub not_fetched: u64,
     /// Whether the first event can still arrive within the request's latency objective.
     pub in_time: bool,
@@ -251,8 +250,8 @@
         }
     }
 
-    /// Time until the first of the allowed targets accepts requests again, plus a random delay. `None` unless all of
-    /// them have asked this box to send nothing for some time.
+    /// Time until the first backoff of the allowed targets ends, plus a random delay. `None` unless all of them have a
+    /// backoff for this box.
     pub fn backoff_wait(
         &self,
         request: &AdmittedRequest,
@@ -262,7 +261,7 @@
         let residency = self.residency(request);
         let targets = view.index.pool(pool)?.all.iter();
         let allowed = targets.filter(|target| residency.allows(&target.entry.zone));
-        let incarnations = allowed.map(|target| target.life);
+        let incarnations = allowed.map(|target| target.incarnation);
         let wait = self
             .loads
             .signals(|signals| signals.shortest_backoff(incarnations, Instant::now()))?;
@@ -330,8 +329,8 @@
             ),
             now,
         };
-        // One random number for all versions, so that a store whose link is spared for one version is not used for
-        // another.
+        // One random number for all versions, so that a store that is skipped for one version, to relieve its link, is
+        // not used for another.
         let draw = rand::rng().random_range(0.0..1.0);
         let plan_for = |version: WeightVersion| {
             let mut plan = plan(prompt, &salt(prompt, version, org), &inputs);
--- a/crates/sillpin-gateway/src/peers/receiver.rs
+++ b/crates/sillpin-gateway/src/peers/receiver.rs
@@ -38,7 +38,7 @@
 const TRANSIT_TIME: Duration = Duration::from_millis(20);
 
 /// Time for which a box that watches the store waits for the store's response before it repeats the
-/// call. The response begins within milliseconds, on slow days within 240 ms.
+/// call. The response begins within milliseconds, or within 240 ms if the store is slow.
 const STORE_HEAD_START: Duration = Duration::from_millis(300);
 
 /// Time for which a box that receives bulletins waits for the zone's reader before it calls the
@@ -53,7 +53,8 @@
 /// this. Each box watches the store, which notifies all of them within some ten milliseconds.
 const TIME_TOLERANCE: Duration = Duration::from_millis(100);
 
-/// Something being fetched from another box; many digests then cause one call.
+/// Data fetched from another box. At most one call for each kind is in progress, however many
+/// digests show newer data.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum FetchKind {
     /// A prefix.
@@ -175,12 +176,12 @@
             .signals(|signals| signals.replaced.apply_update(&digest.replaced, now));
         self.fatal.apply_update(&digest.fatal);
         self.apply_limits(&digest.limits);
-        let silence = digest.targets_sync.age_ms.map(Duration::from_millis);
-        let silence = silence.unwrap_or(Duration::MAX);
+        let data_age = digest.targets_sync.age_ms.map(Duration::from_millis);
+        let data_age = data_age.unwrap_or(Duration::MAX);
         let retired = digest.retired;
         self.cache_stores
             .retirements()
-            .apply_update(from, retired, silence, now);
+            .apply_update(from, retired, data_age, now);
         self.cache_stores.lock().set_clock(digest.clock, now);
         self.announce_new_box(&digest.from);
         self.fleet
@@ -196,7 +197,7 @@
         self.fetch_stores(&digest.stores, &digest.from);
     }
 
-    /// Applies rate limits of targets that other boxes have found.
+    /// Applies rate limits of targets that other boxes observed.
     fn apply_limits(&self, limits: &[LimitUpdate]) {
         if limits.is_empty() {
             return;
@@ -231,14 +232,14 @@
     async fn apply_desired(&self, ages: &[DesiredVersionAge], from: &BoxEntry, now: Instant) {
         let view = self.fleet.view();
         for age in ages {
-            let Some(named) = age.to_desired_version(now) else {
+            let Some(requested) = age.to_desired_version(now) else {
                 continue;
             };
-            // Times of boxes that saw the same change differ by its transit time, and would change
-            // the view in each round.
+            // Times of boxes that received the same change differ by its transit time, and would
+            // change the view in each round.
             let later = DesiredVersion {
-                since: named.since + TIME_TOLERANCE,
-                ..named
+                since: requested.since + TIME_TOLERANCE,
+                ..requested
             };
             let desired = view.desired.get(&age.model);
             if desired.is_some_and(|desired| !desired.adds_information(&later)) {
--- a/crates/sillpin-gateway/src/peers/sender.rs
+++ b/crates/sillpin-gateway/src/peers/sender.rs
@@ -38,20 +38,20 @@
 const ROUND_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Time between two updates about work at engines. The prefill of a prompt takes 30 to 160 ms, so
-/// older updates describe work that is done. Measured: see `docs/MEASUREMENTS.md`.
+/// older updates describe work that is done.
 const WORK_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Boxes of the own zone sent to in each round: all of a zone of today's size and of the planned
-/// larger ones.
+/// Boxes of the own zone sent to in each round: all of a zone without a hub.
 const ZONE_FAN_OUT: usize = 32;
 
 /// Boxes of other zones that a box of a small fleet sends to in each round.
 const FOREIGN_FAN_OUT: usize = 3;
 
-/// Boxes of each other zone that the speaker of a zone of a large fleet sends to in each round.
+/// Boxes of each other zone that the [`CROSS_ZONE_SENDER`] sends to in each round.
 const CROSS_ZONE_FAN_OUT: usize = 2;
 
-/// Name of the speaker role: the box that sends digests to other zones.
+/// Role of the one box of each zone that sends digests to other zones in a large fleet. The text is
+/// hashed to choose the box.
 const CROSS_ZONE_SENDER: &str = "speaker";
 
 /// Sends digests and updates.
--- a/crates/sillpin-gateway/src/placement/allowed.rs
+++ b/crates/sillpin-gateway/src/placement/allowed.rs
@@ -7,23 +7,23 @@
 use tokio::time::Instant;
 
 /// If newer weights are served, requests are sent to replaced weights only until this long before
-/// the last moment at which they may start there, since they may wait at the engine. On days with
-/// late starts they waited up to 2.9 s there; those that wait longer are withdrawn.
+/// the last moment at which they may start there, since they may wait at the engine, up to 2.9 s
+/// when engines start prompts late. Those that wait longer than this are cancelled.
 const QUEUE_MARGIN: Duration = Duration::from_millis(2_500);
 
-/// The margin if no newer weights are served. A withdrawn prompt is lost, while a refused one is
-/// sent again by its caller: of 390 that were withdrawn, 84 had been sent until then because there
-/// was no newer engine, and 4 were served elsewhere.
+/// The margin if no newer weights are served. Shorter than [`QUEUE_MARGIN`], because there is no
+/// other engine; but not zero, because a cancelled prompt is mostly lost, while a refused one is
+/// sent again by its caller.
 const FALLBACK_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// Prompts that wait at an engine are withdrawn this long before the last moment at which they may
-/// start there: this box may have learned late that the weights were replaced, and the withdrawal
-/// takes time. Boxes learned of 2,542 announcements of weights within 3 ms (99 %) to 224 ms.
+/// Prompts that wait at an engine are cancelled this long before the last moment at which they may
+/// start there: this box may have received the new version late (within 3 ms for 99 % of versions,
+/// at most 224 ms), and the cancellation takes time.
 const START_MARGIN: Duration = Duration::from_millis(300);
 
-/// If no box observed when a weights version was announced, its age is unknown. This share of
-/// engines that serve it, or newer ones, shows that it was announced seconds ago, and is enough to
-/// do without the other engines.
+/// If no box observed when operators requested a weights version, its age is unknown. If this
+/// share of engines serves it or newer ones, it was requested seconds ago, and enough engines are
+/// left without the others.
 const WIDELY_SERVED: f64 = 0.5;
 
 /// The weights that a prompt may run on, with the reason for logs.
@@ -31,7 +31,7 @@
 pub struct AllowedWeights {
     /// Newest version that operators want; zero if none is known.
     pub desired: WeightVersion,
-    /// Time for which it has been wanted, as far as this box knows.
+    /// Time since it was requested, as far as this box knows.
     pub wanted_for: Duration,
     /// Engines with older versions are not considered; zero allows all.
     pub oldest: WeightVersion,
@@ -101,7 +101,7 @@
         Some(counted_since + self.limit.saturating_sub(START_MARGIN))
     }
 
-    /// Returns when a version may no longer be used, if newer ones are wanted.
+    /// Returns when a version may no longer be used, if newer ones have been requested.
     fn usable_until(&self, desired: &DesiredVersions, version: WeightVersion) -> Option<Instant> {
         let end_of_use = |desired: &DesiredVersion| match desired.witnessed
             || !self.is_widely_served(desired.version)
--- a/crates/sillpin-gateway/src/placement/choose.rs
+++ b/crates/sillpin-gateway/src/placement/choose.rs
@@ -1,9 +1,9 @@
 //! Chooses among the targets of a pool: the least expected wait, with affinity and zone as
 //! tie-breaks.
 //!
-//! In a large fleet a box learns of what others send about 0.2 s late. In that time the boxes of a
-//! zone send more prompts than the zone has engines, and if all of them chose the engine that
-//! looked least loaded, it would get all of these prompts. So a prompt first considers a few
+//! In a large fleet, reports of what other boxes send arrive about 0.2 s late. In that time the
+//! boxes of a zone send more prompts than the zone has engines, and if all of them chose the engine
+//! with the least reported load, it would get all of these prompts. So a prompt first considers a few
 //! engines, selected by a hash of the prompt, and further ones only if all of those are busy.
 
 use super::index::{IndexedTarget, PoolTargets, TargetIndex};
@@ -32,10 +32,8 @@
 
 /// Longest expected wait for memory, as a part of the latency objective, at which an engine still
 /// counts as one with free memory: the prompt's parts are fetched meanwhile. Engines with free
-/// memory are preferred. Measured against fixed parts of the memory, in scores of days with faults:
-/// with objectives of 0.3 to 0.5 s 0.644, where 0.9 of the memory gave 0.635 and 1.25 gave 0.649;
-/// with objectives of 1.2 s, on hard days, 0.657, where 0.9 gave 0.652. Differences below 0.02 are
-/// noise.
+/// memory are preferred. A limit relative to the objective suits both short objectives (0.3 to
+/// 0.5 s) and long ones (1.2 s), unlike a fixed share of the memory.
 const MAX_MEMORY_WAIT_FACTOR: f64 = 0.15;
 
 /// What each request in flight at a target without a model adds, in milliseconds: its work takes 30
@@ -44,25 +42,24 @@
 
 /// Advantage of a prompt's home over other engines, in milliseconds. An engine holds a prefilled
 /// prompt for one or two seconds and a session's next request comes after twelve, so the home saves
-/// one fetch in eight. Measured: 5 and 15 are equal, 40 is worse.
+/// one fetch in eight; a larger advantage lets queues grow at homes.
 const HOME_ADVANTAGE_MS: f64 = 15.0;
 
 /// Cost of another zone in milliseconds, for the longer network path.
 const OTHER_ZONE_MS: f64 = 8.0;
 
 /// Cost of sending a request's body to another zone, in milliseconds per byte: 27 ms for a long
-/// prompt of 18 KB, less than a queue that matters. Measured: twice the cost is no better.
+/// prompt of 18 KB, so that another zone is used when the own zone's queues are longer than that.
 const OTHER_ZONE_MS_PER_BYTE: f64 = 0.0015;
 
-/// Cost of weights that are being replaced: responses from them lose a fifth of their credit after
-/// a while. Small compared with a queue, so that the first engines with new weights are not
-/// flooded.
+/// Cost of weights that are being replaced, since responses from them are worth less. Small
+/// compared with a queue, so that the first engines with new weights are not flooded.
 const OLD_WEIGHTS_MS: f64 = 60.0;
 
 /// Cost of a target whose recent requests all failed.
 const FAILING_MS: f64 = 400.0;
 
-/// Cost of a zone that looks partitioned: each attempt there takes a third of a second and most
+/// Cost of a zone that seems to be partitioned: each attempt there takes a third of a second and most
 /// likely fails.
 const PARTITIONED_MS: f64 = 1_500.0;
 
@@ -73,7 +70,7 @@
 pub struct ChoiceInputs<'a> {
     /// Index of all targets.
     pub targets: &'a TargetIndex,
-    /// Whether the work of other boxes is known so late that only a few engines are considered
+    /// Whether reports of other boxes' work arrive so late that only a few engines are considered
     /// first.
     pub reported_late: bool,
     /// Loads of the targets.
@@ -157,10 +154,9 @@
     }
 }
 
-/// Number of engines of the own zone considered first if other boxes' work is known late. With 51
-/// engines behind 60 boxes that learn of each other's work 0.15 to 0.3 s late, at 84 % of the
-/// prefill capacity, 95 % of prompts start within 0.5 s if two engines are considered, 92 % with
-/// three, and 66 % with all (`herd.rs`, three seeds).
+/// Number of engines of the own zone considered first if other boxes' work is reported late. With
+/// reports 0.15 to 0.3 s late, 95 % of prompts start within 0.5 s if two engines are considered,
+/// and 66 % if all are (`tests/herd.rs`).
 const FIRST_ENGINES: usize = 2;
 
 /// Number of engines of the own zone, and of all other zones, that are considered next.
@@ -168,8 +164,8 @@
 
 /// More engines are considered if the prompt would wait for longer than its latency objective times
 /// this factor: it is late then anyway. With half the objective fewer prompts start in time (0.86
-/// instead of 0.91 at 94 % of the prefill capacity, same test), because an engine that looks idle
-/// looks so to all boxes.
+/// instead of 0.91 at 94 % of the prefill capacity), because an engine that is reported as idle is
+/// reported so to all boxes.
 const MAX_WAIT_FACTOR: f64 = 1.0;
 
 /// Returns the target with the lowest cost, or `None` if no target can take the request.
@@ -343,7 +339,7 @@
     /// position among the prompt's homes.
     fn candidate(&self, target: &IndexedTarget, position: usize) -> Option<ChosenTarget> {
         let (choice, entry) = (self.choice, &target.entry);
-        if choice.tried.contains(&entry.id) || self.unavailable.contains(&target.life) {
+        if choice.tried.contains(&entry.id) || self.unavailable.contains(&target.incarnation) {
             return None;
         }
         if !choice.residency.allows(&entry.zone) {
@@ -356,8 +352,8 @@
         if load.in_flight >= choice.max_in_flight {
             return None;
         }
-        let theirs = self.peer_work.get(&target.hash);
-        load.work = load.work.plus(theirs.copied().unwrap_or_default());
+        let peer_work = self.peer_work.get(&target.hash);
+        load.work = load.work.plus(peer_work.copied().unwrap_or_default());
         let version = match &choice.prompt {
             Some(prompt) => Some(served(entry, prompt.model).filter(|v| *v >= prompt.oldest)?),
             None => None,
--- a/crates/sillpin-gateway/src/placement/hold_time.rs
+++ b/crates/sillpin-gateway/src/placement/hold_time.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Half-life of samples: a box completes a dozen or more requests in this time, and bursts show up
-/// in it.
+/// Half-life of samples: a box completes a dozen or more requests in this time, and the estimate
+/// still follows bursts.
 const HALF_LIFE: Duration = Duration::from_secs(4);
 
 /// Estimate before any request has ended, and its weight in tokens, which is about one long prompt.
--- a/crates/sillpin-gateway/src/placement/index.rs
+++ b/crates/sillpin-gateway/src/placement/index.rs
@@ -17,7 +17,7 @@
     /// Hash of the target's id.
     pub hash: TargetHash,
     /// Hash of the target's current incarnation.
-    pub life: IncarnationHash,
+    pub incarnation: IncarnationHash,
     /// Hash of the target's id for ranking homes.
     id_hash: u64,
 }
@@ -112,7 +112,7 @@
             }
             pool.all.push(IndexedTarget {
                 hash: TargetHash::of(&entry.id),
-                life: IncarnationHash::of(entry),
+                incarnation: IncarnationHash::of(entry),
                 id_hash: hash_pair(entry.id.as_str(), "home"),
                 entry: entry.clone(),
             });
--- a/crates/sillpin-gateway/src/placement/limits.rs
+++ b/crates/sillpin-gateway/src/placement/limits.rs
@@ -93,7 +93,8 @@
             let free = self
                 .shared
                 .free_at(&context.share_group, target, limit, now);
-            // Other boxes send the target one request in each of so many parts of the period.
+            // Without a share of its own, the box waits until other boxes have sent one more
+            // request, as they send `limit.total` of them evenly in each period.
             let others = || now + limit.period / limit.total.max(1);
             Some(free.unwrap_or_else(others)).filter(|at| *at > now)
         });
--- a/crates/sillpin-gateway/src/placement/load.rs
+++ b/crates/sillpin-gateway/src/placement/load.rs
@@ -34,8 +34,8 @@
 /// Weight of the newest outcome in a target's failure rate, which covers about the last ten.
 const OUTCOME_WEIGHT: f64 = 0.1;
 
-/// Failure rate from which a target gets a cooldown: several times the rate of targets without a
-/// model on a day without faults (0.14).
+/// Failure rate from which a target gets a cooldown: about three times the normal rate of targets
+/// without a model (0.14).
 const MAX_FAILURE_RATE: f64 = 0.4;
 
 /// Number of outcomes from which the failure rate is used.
@@ -116,11 +116,11 @@
     Loaded,
 }
 
-/// A zone looks partitioned after this many failures to reach a target in it without a success
+/// A zone counts as partitioned after this many failures to reach a target in it without a success
 /// between.
 const MIN_FAILURES: u32 = 2;
 
-/// Time for which a zone that looks partitioned is avoided after the last failure.
+/// Time for which a zone that seems to be partitioned is avoided after the last failure.
 const AVOID_TIME: Duration = Duration::from_secs(2);
 
 /// Failures to reach targets of another zone since the last success.
--- a/crates/sillpin-gateway/src/placement/parts.rs
+++ b/crates/sillpin-gateway/src/placement/parts.rs
@@ -15,8 +15,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Prompt tokens that an engine prefills in a millisecond. Both sites report 56.9; the value only
-/// ranks ways to serve a prompt, so a different rate changes little.
+/// Prompt tokens that an engine prefills in a millisecond. The value only ranks ways to serve a
+/// prompt, so a different rate changes little.
 const PREFILL_TOKENS_PER_MS: f64 = 56.9;
 
 /// Transfers between zones take twice as long.
@@ -26,8 +26,8 @@
 /// twice as long, which delays all other transfers, and that link is the first resource to run out.
 const OTHER_ZONE_COST_FACTOR: f64 = 4.0;
 
-/// Share of a store's capacity that is filled; the rest is for parts being written, which are not
-/// counted.
+/// Share of a store's capacity up to which parts are saved; the rest is for parts being written,
+/// which are not counted.
 const MAX_FILL: f64 = 0.975;
 
 /// Reason for which a shared part is recomputed and not stored.
--- a/crates/sillpin-gateway/src/placement/shared_limit.rs
+++ b/crates/sillpin-gateway/src/placement/shared_limit.rs
@@ -5,8 +5,8 @@
 //! communication: each takes its share by its rank among the boxes that it knows to be alive. Boxes
 //! that still count others that have stopped take less, never more, so the shares add up to no more
 //! than the limit while such views lag. For boxes that some do not know yet there is a reserve
-//! ([`RESERVE_FACTOR`]), and a box that can't know which boxes are alive takes no share
-//! ([`UNKNOWN_SHARE_INTERVAL`]).
+//! (`RESERVE_FACTOR`), and a box that can't know which boxes are alive takes no share
+//! (`UNKNOWN_SHARE_INTERVAL`).
 //!
 //! Boxes of other zones send nothing there: their knowledge of the zone's boxes is older, and if a
 //! zone is partitioned each side would take the whole limit. Limits that are not strict are also
@@ -26,8 +26,8 @@
 use tokio::time::Instant;
 
 /// A limit is capped at the load that the target can handle divided by this factor. Boxes that
-/// start at the same moment may know about each other only one way, and a connection that opens
-/// slowly moves a request into the next period.
+/// start at the same moment may not all know each other yet, and a connection that opens slowly
+/// moves a request into the next period.
 const RESERVE_FACTOR: f64 = 2.0;
 
 /// Added to the time in which requests are counted, for differences in the time to open
@@ -63,8 +63,8 @@
     /// Whether this box is about to stop: the others take over its share as soon as they know,
     /// while callers continue for seconds on connections that are open here.
     pub is_stopping: bool,
-    /// Whether this box is in contact with the platform store, from which it learns about starts
-    /// and stops.
+    /// Whether this box is in contact with the platform store, from which it reads which boxes
+    /// start and stop.
     pub is_in_contact: bool,
     /// Zones that have targets of the pool.
     pub pool_zones: &'a [ZoneId],
@@ -204,7 +204,7 @@
             .share(group, target, limit)
             .filter(|share| *share > 0)?;
         let sent = self.sent.get(&target.id).into_iter().flatten();
-        // There is room once all but the last `share - 1` requests have expired.
+        // The box is below its share once all but the last `share - 1` requests have expired.
         let blocking_send = sent.rev().nth(share as usize - 1);
         Some(blocking_send.map_or(now, |at| *at + limit.period + CONNECT_ALLOWANCE))
     }
--- a/crates/sillpin-gateway/src/placement/signals/leaving.rs
+++ b/crates/sillpin-gateway/src/placement/signals/leaving.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 /// Time after which an unlisted incarnation is removed. Entries lapse while the store is
-/// unreachable, and are back seconds after its return.
+/// unreachable, and are written again within seconds after it recovers.
 const UNLISTED_RETENTION: Duration = Duration::from_secs(60);
 
 /// Maximum number of incarnations, more than a fleet has targets. Beyond it the ones listed least
--- a/crates/sillpin-gateway/src/placement/signals/limit.rs
+++ b/crates/sillpin-gateway/src/placement/signals/limit.rs
@@ -105,7 +105,7 @@
     /// The last limit that was announced.
     last: Option<RequestRate>,
     at: Instant,
-    /// When this box learned of the observation made at `at`; not adjusted for suspensions, because
+    /// When this box received the observation made at `at`; not adjusted for suspensions, because
     /// it is compared with the times at which requests were sent.
     received_at: Instant,
     changed_at: Instant,
@@ -355,7 +355,7 @@
     (a - b).abs() > a.max(b) * SIGNIFICANT_CHANGE
 }
 
-/// Logs a change of the limit of `target`; `source` is how this box learned of it.
+/// Logs a change of the limit of `target`; `source` is where this box got it from.
 pub fn log_limit(log: &Logger, target: &str, change: LimitChange, source: &'static str) {
     let text = |rate: Option<RequestRate>| rate.map_or(String::new(), |rate| rate.to_string());
     if change.unreadable {
--- a/crates/sillpin-gateway/src/placement/standing.rs
+++ b/crates/sillpin-gateway/src/placement/standing.rs
@@ -7,14 +7,15 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Half-life of samples: bursts show within a second, while a few prompts at one moment do not.
+/// Half-life of samples: short enough to detect a burst within a second, long enough to ignore a
+/// few prompts at one moment.
 const HALF_LIFE: Duration = Duration::from_millis(500);
 
 /// Weight of the initial estimate (no queue), in samples.
 const PRIOR_SAMPLES: f64 = 1.0;
 
-/// Delay with which a box learns of others' work in a large fleet, in milliseconds: when a prompt
-/// reaches an engine, that much of the work ahead has been done. Without this correction most
+/// Delay of reports about other boxes' work in a large fleet, in milliseconds: when a prompt
+/// reaches an engine, that much of the reported work has been done. Without this correction most
 /// engines would seem busy at loads that they serve well.
 const REPORT_DELAY_MS: f64 = 250.0;
 
