--- a/crates/sillpin-entry/src/placement/placer.rs
+++ b/crates/sillpin-entry/src/placement/placer.rs
@@ -7,7 +7,7 @@
 use rand::rngs::SmallRng;
 use rand::{SeedableRng, rng};
 use sillpin_core::{LoadReport, PoolId, TargetId, TargetKind, WeightVersion, ZoneId};
-use sillpin_policy::placement::{self, Candidate, HeldBlocks, Kept, Scored};
+use sillpin_policy::placement::{self, Candidate, HeldBlocks, Scored, StoredBlocks};
 use sillpin_rpc::directory::StoredObject;
 use sillpin_rpc::records::CandidateRecord;
 use std::collections::HashMap;
@@ -232,14 +232,14 @@
 }
 
 /// Returns the number of stored blocks and the time to fetch one of them.
-fn stored_blocks(objects: &[StoredObject]) -> Kept {
+fn stored_blocks(objects: &[StoredObject]) -> StoredBlocks {
     let Some(first) = objects.first() else {
-        return Kept::default();
+        return StoredBlocks::default();
     };
     let rate = first
         .link_rate
         .map_or(DEFAULT_LINK_RATE, |rate| rate.0 as f64);
-    Kept {
+    StoredBlocks {
         blocks: objects.len() as u32,
         fetch_time: Duration::from_secs_f64(first.len.0 as f64 / rate.max(1.0)),
     }
--- a/crates/sillpin-keeper/src/directory/table.rs
+++ b/crates/sillpin-keeper/src/directory/table.rs
@@ -1,7 +1,7 @@
 //! The prompts of the owned roots. No I/O: the clock is passed in.
 
 use sillpin_core::{BlockName, Generation, TargetId};
-use sillpin_policy::keeping::{KeepCandidate, ReturnGaps, retention_value, should_keep};
+use sillpin_policy::keeping::{ReturnGaps, StoreCandidate, retention_value, should_store};
 use sillpin_policy::set::KeepingPolicy;
 use sillpin_rpc::directory::{BlockHints, HolderChange, PromptUse, StoredObject};
 use std::collections::{HashMap, HashSet};
@@ -127,11 +127,11 @@
         }
         let held = prompt.holders.entry(used.target).or_default();
         held.extend(used.blocks.iter().copied());
-        let candidate = KeepCandidate {
+        let candidate = StoreCandidate {
             blocks: used.blocks.len() as u32,
             idle: Duration::ZERO,
         };
-        if !to_export || !should_keep(policy, &self.gaps, candidate) {
+        if !to_export || !should_store(policy, &self.gaps, candidate) {
             return None;
         }
         let is_new = |block: &&BlockName| {
--- a/crates/sillpin-policy/benches/placement.rs
+++ b/crates/sillpin-policy/benches/placement.rs
@@ -8,7 +8,7 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use sillpin_policy::placement::{Candidate, HeldBlocks, Kept, Request, rank};
+use sillpin_policy::placement::{Candidate, HeldBlocks, Request, StoredBlocks, rank};
 use sillpin_policy::rendezvous::CandidateHash;
 use sillpin_policy::set::PlacementPolicy;
 use std::hint::black_box;
@@ -39,7 +39,7 @@
                     home,
                     blocks: 20,
                     holders: &holders,
-                    kept: Kept::default(),
+                    kept: StoredBlocks::default(),
                     turn: 0,
                 };
                 black_box(rank(&policy, &candidates, &req, &mut rng))
--- a/crates/sillpin-policy/src/keeping.rs
+++ b/crates/sillpin-policy/src/keeping.rs
@@ -70,7 +70,7 @@
 
 /// A prompt whose blocks could be stored.
 #[derive(Debug, Clone, Copy)]
-pub struct KeepCandidate {
+pub struct StoreCandidate {
     /// Number of complete blocks of the prompt.
     pub blocks: u32,
     /// Time since the prompt was last used.
@@ -78,7 +78,7 @@
 }
 
 /// Returns whether a prompt's blocks are to be written to a store.
-pub fn should_keep(policy: &KeepingPolicy, gaps: &ReturnGaps, prompt: KeepCandidate) -> bool {
+pub fn should_store(policy: &KeepingPolicy, gaps: &ReturnGaps, prompt: StoreCandidate) -> bool {
     match policy.kind {
         KeepingKind::Nothing => false,
         KeepingKind::Everything => true,
--- a/crates/sillpin-policy/src/placement.rs
+++ b/crates/sillpin-policy/src/placement.rs
@@ -35,7 +35,7 @@
 
 /// The request's blocks that are in stores.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Kept {
+pub struct StoredBlocks {
     /// Number of leading blocks in stores.
     pub blocks: u32,
     /// Time to fetch one of these blocks.
@@ -52,7 +52,7 @@
     /// Engines that hold leading blocks, by index into the candidates.
     pub holders: &'a [(usize, HeldBlocks)],
     /// Blocks in stores.
-    pub kept: Kept,
+    pub kept: StoredBlocks,
     /// Number of the request, for [`PlacementKind::RoundRobin`].
     pub turn: usize,
 }
--- a/crates/sillpin-policy/tests/policy.rs
+++ b/crates/sillpin-policy/tests/policy.rs
@@ -8,7 +8,7 @@
 use sillpin_policy::arms::{ArmShare, arm_for};
 use sillpin_policy::guard::{ArmSample, Breach, Guard};
 use sillpin_policy::keeping::ReturnGaps;
-use sillpin_policy::placement::{Candidate, HeldBlocks, Kept, Reason, Request, rank};
+use sillpin_policy::placement::{Candidate, HeldBlocks, Reason, Request, StoredBlocks, rank};
 use sillpin_policy::rendezvous::{CandidateHash, top};
 use sillpin_policy::set::{PlacementKind, PlacementPolicy};
 use std::time::Duration;
@@ -31,7 +31,7 @@
         home,
         blocks,
         holders,
-        kept: Kept::default(),
+        kept: StoredBlocks::default(),
         turn: 0,
     }
 }
@@ -88,7 +88,7 @@
     let all = candidates(1);
     let policy = PlacementPolicy::default();
     for (fetch_ms, fetched) in [(1, 6), (30, 0)] {
-        let kept = Kept {
+        let kept = StoredBlocks {
             blocks: 6,
             fetch_time: Duration::from_millis(fetch_ms),
         };
