--- a/crates/sillpin-gateway/src/budget.rs
+++ b/crates/sillpin-gateway/src/budget.rs
@@ -118,7 +118,7 @@
     }
 
     /// Whether there is a retry in the budget. Where retries are granted at random, this draws the random number, so
-    /// call it just before a retry is wanted.
+    /// call it just before a retry is to be made.
     pub fn has(&mut self, pool: &PoolId, rules: &RetryRules, boxes: usize, now: Instant) -> bool {
         let random = self.rng.random::<f64>();
         let bucket = self.bucket(pool, rules, boxes, now);
--- a/crates/sillpin-gateway/src/cache_stores/directory.rs
+++ b/crates/sillpin-gateway/src/cache_stores/directory.rs
@@ -1,4 +1,4 @@
-//! Content of each store, as derived from its listings and change events.
+//! Content of each cache store, as derived from its listings and change events.
 
 use super::fetch_shares::FetchShares;
 use super::retire::{MAX_FETCH_TIME, Retirements};
--- a/crates/sillpin-gateway/src/cache_stores/homes.rs
+++ b/crates/sillpin-gateway/src/cache_stores/homes.rs
@@ -10,12 +10,12 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The last shared part of a prompt may take at most 1/200 of a store's capacity, so that small fast
-/// stores hold many small parts rather than a few large ones. On both sites this is 158,767 tokens of a fast
-/// store / 200 = 793, above a short session's 531 and below a long one's 5,000.
+/// stores hold many small parts rather than a few large ones. For a fast store of 158,767 tokens this is 793,
+/// above a short session's 531 and below a long one's 5,000.
 const LAST_PART_SHARE: u64 = 200;
 
 /// A part that is followed by other shared parts may take 1/25: every prompt with one of the later parts contains it too, so
-/// it is fetched more often, and there are fewer such parts. 158,767 / 25 = 6,350, the longest on both sites.
+/// it is fetched more often, and there are fewer such parts. 158,767 / 25 = 6,350, the longest such part.
 const INNER_PART_SHARE: u64 = 25;
 
 /// Position of a shared part in its prompt.
--- a/crates/sillpin-gateway/src/cache_stores/reclaimer.rs
+++ b/crates/sillpin-gateway/src/cache_stores/reclaimer.rs
@@ -26,8 +26,8 @@
 const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Incomplete parts are freed within this time of the listing that shows them, or not at all: if a new save
-/// completes one in between, boxes receive that event 60 ms later at the earliest (`events_lag_ms` of both sites), so
-/// no fetch of it can have begun.
+/// completes one in between, boxes receive that event 60 ms later at the earliest, so no fetch of it can have
+/// begun.
 const PARTIAL_ORDER_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// Time after an order to free a part during which the order is not repeated.
--- a/crates/sillpin-gateway/src/config.rs
+++ b/crates/sillpin-gateway/src/config.rs
@@ -85,7 +85,7 @@
 /// Properties of a pool's engines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineSpec {
-    /// Number of requests that run at once.
+    /// Number of requests that run concurrently.
     pub slots: u32,
     /// Tokens that fit into its memory, cached or of running requests.
     pub capacity: Tokens,
@@ -132,7 +132,7 @@
     pub link_bytes_per_ms: f64,
     /// Fixed latency of each transfer.
     pub first: Duration,
-    /// Number of readers of its changes that it serves at once.
+    /// Number of readers of its changes that it serves concurrently.
     pub max_readers: u32,
     /// Whether it evicts nothing by itself.
     pub managed: bool,
--- a/crates/sillpin-gateway/src/control.rs
+++ b/crates/sillpin-gateway/src/control.rs
@@ -47,7 +47,7 @@
     pub addr: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Number of requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
     /// Whether it accepts new work.
     pub presence: Presence,
@@ -71,13 +71,13 @@
     /// Prefix of targets' entries.
     fn target_prefix(&self) -> &'static str;
 
-    /// Prefix of what operators publish: the configuration, wanted weights and evacuations.
+    /// Prefix of what operators publish: the configuration, desired weights and evacuations.
     fn operator_prefix(&self) -> &'static str;
 
     /// Whether `key` is that of the configuration.
     fn is_config(&self, key: &str) -> bool;
 
-    /// Whether `key` is one of wanted weights.
+    /// Whether `key` is one of desired weights.
     fn is_weights(&self, key: &str) -> bool;
 
     /// The availability zone whose evacuation `key` stands for, whatever its value; `None` if `key` is of another
@@ -90,7 +90,7 @@
     /// Decodes the configuration.
     fn config(&self, key: &str, value: &str) -> Result<FleetConfig, DecodeError>;
 
-    /// Decodes wanted weights.
+    /// Decodes desired weights.
     fn weights(&self, key: &str, value: &str) -> Result<WantedWeights, DecodeError>;
 }
 
--- a/crates/sillpin-gateway/src/dialect.rs
+++ b/crates/sillpin-gateway/src/dialect.rs
@@ -104,7 +104,7 @@
     pub id: String,
     /// Requested host, without a port.
     pub host: String,
-    /// How long the caller waits; `None` if it does not say.
+    /// How long the caller waits; `None` if the head does not state it.
     pub timeout: Option<Duration>,
     /// The caller's API key.
     pub key: Option<String>,
@@ -190,7 +190,7 @@
     pub limit: Option<LimitSignal>,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// How long this box is to send it no requests, if it says so.
+    /// How long this box is to send it no requests, if it states that.
     pub retry_after: Option<RetryAfter>,
 }
 
--- a/crates/sillpin-gateway/src/fatal/crash_detector.rs
+++ b/crates/sillpin-gateway/src/fatal/crash_detector.rs
@@ -1,8 +1,8 @@
 //! Detects whether a target crashed while it ran requests.
 //!
 //! A broken connection is weak evidence: it may have been reset in transit, or the target may have aborted one response. A refused
-//! connection is stronger, but a partitioned zone may refuse connections as well: in one such partition boxes were refused within 3 ms
-//! by 61 targets that were alive. So a target counts as crashed if it refuses connections while another target of its zone accepts
+//! connection is stronger, but connections to a partitioned zone may be refused within milliseconds as well, although its targets are
+//! alive. So a target counts as crashed if it refuses connections while another target of its zone accepts
 //! them, or if its entry shows another incarnation.
 
 use super::{FatalRequests, Fingerprint};
--- a/crates/sillpin-gateway/src/fleet_state/fleet.rs
+++ b/crates/sillpin-gateway/src/fleet_state/fleet.rs
@@ -29,7 +29,7 @@
 
 /// Time after the last failed call to the store for which targets whose entries are missing are
 /// kept. Targets write entries that expired while the store was unreachable again within about two
-/// seconds of its return; the rest is a margin for reading them. An entry that disappears later was
+/// seconds of its recovery; the rest is a margin for reading them. An entry that disappears later was
 /// removed.
 const EXPIRY_GRACE: Duration = Duration::from_millis(2_300);
 
@@ -229,9 +229,9 @@
             ),
             FleetMsg::DesiredVersion {
                 model,
-                named,
+                desired,
                 source,
-            } => self.record_desired(model, named, &source, now),
+            } => self.record_desired(model, desired, &source, now),
             FleetMsg::Contact(since) => {
                 self.operators_mirror
                     .extend_contact(self.adjust_for_suspension(since));
@@ -321,7 +321,7 @@
         self.record_era(reading.revision().era(), source, now);
         match topic {
             Topic::Operators => {
-                // What a box finds at its start, or after a silence, may have been set long ago.
+                // What a box reads at its start, or after a gap, may have been set long ago.
                 let confirmed = self.operators_mirror.known().confirmed;
                 let witnessed =
                     confirmed.is_some_and(|at| requested_at.max(now) - at < UNOBSERVED_TIME);
--- a/crates/sillpin-gateway/src/fleet_state/fleet/evacuated.rs
+++ b/crates/sillpin-gateway/src/fleet_state/fleet/evacuated.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time after the store's return within which operators write again what it lost. An acknowledged
+/// Time after the store recovers within which operators write again what it lost. An acknowledged
 /// evacuation is not ended before: a zone that stays empty for too long costs only capacity.
 const REWRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
--- a/crates/sillpin-gateway/src/fleet_state/mod.rs
+++ b/crates/sillpin-gateway/src/fleet_state/mod.rs
@@ -268,7 +268,7 @@
         /// The model.
         model: ModelId,
         /// The version.
-        named: DesiredVersion,
+        desired: DesiredVersion,
         /// Where it came from.
         source: Source,
     },
--- a/crates/sillpin-gateway/src/fleet_state/reader.rs
+++ b/crates/sillpin-gateway/src/fleet_state/reader.rs
@@ -29,8 +29,7 @@
 const FIRST_WAIT: Duration = Duration::from_millis(1);
 
 /// Longest time for which a box that does not read for its zone waits for a change: the 30 s that
-/// the store allows, less a margin. Each call costs: on 59 boxes all calls of watches rise by 13%
-/// (912 to 1,034 in 60 s).
+/// the store allows, less a margin. Each call costs.
 const MAX_LONG_POLL: Duration = Duration::from_secs(25);
 
 /// Share of the store's history for which such a box waits. If nothing changes during a longer
--- a/crates/sillpin-gateway/src/front/attempt.rs
+++ b/crates/sillpin-gateway/src/front/attempt.rs
@@ -89,7 +89,7 @@
     Failed(CompleteResponse),
     /// The request may have run.
     Unknown(String),
-    /// The request may have run, and its time is up.
+    /// The request may have run, and its deadline has passed.
     TimedOut(String),
     /// The request was cancelled because its weights were replaced too long ago. It may have run; this does not count
     /// as a failure of the target.
@@ -145,7 +145,7 @@
     /// another target.
     pub should_abandon: L,
     /// Latest time at which the request may start at the target. Also checked while it waits there: the length of an
-    /// engine's queue is not known in advance, and margins of several seconds have been used up in it.
+    /// engine's queue is not known in advance, and the wait there may exceed a margin of several seconds.
     pub latest_start: B,
 }
 
--- a/crates/sillpin-gateway/src/lib.rs
+++ b/crates/sillpin-gateway/src/lib.rs
@@ -10,7 +10,7 @@
 //! - [`suspend_clock`]: detection of time in which the box was suspended,
 //! - [`fleet_state`]: the box's view of the fleet, with revision, source and age,
 //! - [`fatal`]: requests that crash the targets that run them,
-//! - [`place`]: selection of a target for a request,
+//! - [`placement`]: selection of a target for a request,
 //! - [`cache_stores`]: directory of the parts that cache stores hold, and which to free,
 //! - [`weights`]: loading of new weights on engines, by an elected leader,
 //! - [`peers`]: communication between boxes,
--- a/crates/sillpin-gateway/src/ops.rs
+++ b/crates/sillpin-gateway/src/ops.rs
@@ -58,7 +58,7 @@
 /// Interval of the log lines about calls of the platform store and about traffic between boxes.
 const TRAFFIC_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Capacity of the queue of updates for other boxes. The leader orders a quarter of all engines at once, and updates
+/// Capacity of the queue of updates for other boxes. The leader orders a quarter of all engines together, and updates
 /// that do not fit are lost: boxes then go on sending to engines that are loading.
 const UPDATE_QUEUE: usize = 1_024;
 
--- a/crates/sillpin-gateway/src/peers/documents.rs
+++ b/crates/sillpin-gateway/src/peers/documents.rs
@@ -16,9 +16,8 @@
 /// Longest piece in bytes: 52 ms on a link of 10 Mbit/s.
 pub const PIECE_LEN: usize = 64 << 10;
 
-/// Largest number of transfers of documents longer than a piece. A document of 0.9 MB reached
-/// fifteen boxes from one over links of 10 Mbit/s in 6.5 to 6.9 s with two or three transfers, in
-/// 6.9 to 7.3 s with one, in 11.6 to 11.8 s without a limit (`thin_link.rs`, three runs each).
+/// Largest number of concurrent transfers of documents longer than a piece. Without a limit, a
+/// document of 0.9 MB takes 12 s instead of 7 s to reach fifteen boxes over links of 10 Mbit/s.
 const MAX_TRANSFERS: usize = 2;
 
 /// Time without a request for a piece after which a transfer is dropped; requests normally follow
--- a/crates/sillpin-gateway/src/peers/hub.rs
+++ b/crates/sillpin-gateway/src/peers/hub.rs
@@ -38,9 +38,8 @@
 pub const BULLETIN_TIMEOUT: Duration = Duration::from_millis(1_300);
 
 /// Number of boxes to which each box relays a bulletin, and so the factor by which its outgoing
-/// traffic grows. Sixty boxes are reached in four hops of a millisecond. With a fan-out of eight,
-/// and uncompressed store changes, boxes with links of 20 Mbit/s stalled for seconds when weights
-/// changed; the two causes were not tested separately.
+/// traffic grows. Sixty boxes are reached in four hops of a millisecond. A larger fan-out can
+/// overload links of 20 Mbit/s when weights change.
 const FAN_OUT: usize = 3;
 
 /// Time for which a box that starts waits for a bulletin before it becomes the hub: several
@@ -51,7 +50,7 @@
 const HUB_COUNT: usize = 2;
 
 /// Largest number of times that the number of boxes reported to is doubled while no bulletin
-/// arrives: enough for all of a zone of today's size.
+/// arrives: 2 boxes become 64, which is a whole zone.
 const MAX_DOUBLINGS: u128 = 5;
 
 /// Largest number of updates that wait for the next bulletin. Beyond that the oldest are dropped,
--- a/crates/sillpin-gateway/src/peers/receiver.rs
+++ b/crates/sillpin-gateway/src/peers/receiver.rs
@@ -247,7 +247,7 @@
             }
             let msg = FleetMsg::DesiredVersion {
                 model: age.model.clone(),
-                named,
+                desired: requested,
                 source: Source::Peer(from.id.clone()),
             };
             self.fleet.send(msg).await;
--- a/crates/sillpin-gateway/src/peers/roles.rs
+++ b/crates/sillpin-gateway/src/peers/roles.rs
@@ -13,7 +13,7 @@
 
 /// Largest number of boxes of a fleet in which every box sends to other zones. In a larger fleet
 /// one box of each zone does, since traffic between zones is billed, and the registry is read less
-/// often. Today's fleets have 7 and 9 boxes, the planned larger ones 59 and 91.
+/// often.
 pub const SMALL_FLEET: usize = 16;
 
 /// Number of readers of one resource in a zone.
@@ -51,8 +51,8 @@
     ranked_higher < count
 }
 
-/// Returns whether this box has to read `resource` now. `alive` states which boxes are up,
-/// `confirmed` when the data was last found current.
+/// Returns whether this box has to read `resource` now. `alive` returns whether a box is up,
+/// `confirmed` is when the data was last found current.
 pub fn should_read(
     view: &View,
     me: &BoxEntry,
@@ -74,8 +74,8 @@
     confirmed.is_none_or(|at| now.saturating_duration_since(at) > max_age)
 }
 
-/// Time between two checks which box reads: that only changes when boxes start and stop, and each
-/// check hashes a whole zone.
+/// Time between two checks of which box reads. The result changes only when boxes start and stop,
+/// and each check hashes a whole zone.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Whether a box reads one resource, cached for boxes that check many resources often.
@@ -104,7 +104,7 @@
     }
 
     /// Returns whether this box has to read now. `confirmed` is when the data was last found
-    /// current, `alive` states which boxes are up.
+    /// current, `alive` returns whether a box is up.
     pub fn should_read(
         &mut self,
         view: &View,
--- a/crates/sillpin-gateway/src/placement/choose.rs
+++ b/crates/sillpin-gateway/src/placement/choose.rs
@@ -42,7 +42,7 @@
 
 /// Advantage of a prompt's home over other engines, in milliseconds. An engine holds a prefilled
 /// prompt for one or two seconds and a session's next request comes after twelve, so the home saves
-/// one fetch in eight; a larger advantage lets queues grow at homes.
+/// one fetch in eight. An advantage of 40 ms is too large.
 const HOME_ADVANTAGE_MS: f64 = 15.0;
 
 /// Cost of another zone in milliseconds, for the longer network path.
--- a/crates/sillpin-gateway/src/placement/shared_limit.rs
+++ b/crates/sillpin-gateway/src/placement/shared_limit.rs
@@ -91,10 +91,10 @@
 }
 
 impl SharedLimit {
-    /// Returns how many of `wanted` requests in a period boxes may divide among each other, if the
+    /// Returns how many of `requested` requests in a period boxes may divide among each other, if the
     /// target can handle `capacity`.
-    pub fn total_of(wanted: f64, capacity: f64) -> u32 {
-        wanted.min(capacity / RESERVE_FACTOR) as u32
+    pub fn total_of(requested: f64, capacity: f64) -> u32 {
+        requested.min(capacity / RESERVE_FACTOR) as u32
     }
 }
 
--- a/crates/sillpin-gateway/src/pool.rs
+++ b/crates/sillpin-gateway/src/pool.rs
@@ -37,7 +37,7 @@
 /// Number of unanswered probes after which a connection is closed.
 const KEEPALIVE_PROBES: u32 = 2;
 
-/// How long an idle connection is kept if the target does not name a time.
+/// How long an idle connection stays open if the target states no time.
 const DEFAULT_IDLE: Duration = Duration::from_secs(4);
 
 /// An idle connection is closed this long before the target would close it, so that a request does not cross the
@@ -74,7 +74,7 @@
     },
 }
 
-/// An open connection. Dropping it closes it at once, which cancels the request that the target is running for it.
+/// An open connection. Dropping it closes it immediately, which cancels the request that the target is running for it.
 pub struct Conn {
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
@@ -212,7 +212,7 @@
     }
 
     /// Returns a connection whose response was read completely to the pool. `keep_idle` is how long the target keeps
-    /// idle connections open, if it said so.
+    /// idle connections open, if it stated that.
     pub async fn put(&self, target: TargetId, mut conn: Conn, keep_idle: Option<Duration>) {
         if conn.sender.ready().await.is_err() {
             return;
--- a/crates/sillpin-gateway/src/reload.rs
+++ b/crates/sillpin-gateway/src/reload.rs
@@ -1,7 +1,7 @@
 //! Reloads settings while the box runs.
 //!
 //! Settings are read again at each SIGHUP and periodically, since the file may change without a signal. Seeds and
-//! limits on retries take effect at once; settings that name a listener take effect at the next start.
+//! limits on retries take effect immediately; settings that name a listener take effect at the next start.
 
 use crate::settings::BoxConfig;
 use sillpin_settings::program::Reloader;
@@ -15,7 +15,7 @@
 /// Interval of reads without a signal.
 const READ_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Keys that take effect at once.
+/// Keys that take effect immediately.
 const LIVE_KEYS: [&str; 3] = [
     "platform.seeds",
     "promises.retry-share",
--- a/crates/sillpin-gateway/src/settings.rs
+++ b/crates/sillpin-gateway/src/settings.rs
@@ -210,7 +210,7 @@
     pub warm_up: WarmUpRules,
     /// Time after which no request starts on weights that were replaced.
     pub weights_limit: Duration,
-    /// A part read again within this time of its last use was worth keeping.
+    /// A stored part that is read again within this time of its last use counts as worth storing.
     pub reuse: Duration,
     /// Collector of traces.
     pub collector: Option<SocketAddr>,
--- a/crates/sillpin-gateway/src/weights/load.rs
+++ b/crates/sillpin-gateway/src/weights/load.rs
@@ -17,7 +17,7 @@
 /// runs end under the weights that they began on: a run takes 0.1 to 0.5 s.
 const ANNOUNCE_LEAD: Duration = Duration::from_millis(250);
 
-/// Delay of the first poll after an order: a load takes 0.76 s, and of 1,151 polls after 0.9 s 23 in 100 found it complete.
+/// Delay of the first poll after an order: a load takes at least 0.76 s, and reports are 0.1 to 0.3 s old.
 const FIRST_POLL_DELAY: Duration = Duration::from_millis(900);
 
 /// Time between further polls: a load slot stays idle for up to this long. Each poll costs as much as a probe.
@@ -30,7 +30,7 @@
 /// Delay after an order without an answer: calls that fail immediately are not repeated more often than this.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Maximum wait for a load, or for an order to be accepted, before other engines take precedence.
+/// Maximum wait for a load, or for an order to be accepted, before the job fails and its slot is free for other engines.
 const LOAD_TIMEOUT: Duration = Duration::from_millis(4_000);
 
 /// Result of a load.
--- a/crates/sillpin-gateway/src/weights/rollout.rs
+++ b/crates/sillpin-gateway/src/weights/rollout.rs
@@ -219,12 +219,12 @@
     async fn apply_recorded_versions(&self, version_ages: &[DesiredVersionAge]) {
         let now = Instant::now();
         for age in version_ages {
-            let Some(named) = age.to_desired_version(now) else {
+            let Some(desired) = age.to_desired_version(now) else {
                 continue;
             };
             let msg = FleetMsg::DesiredVersion {
                 model: age.model.clone(),
-                named,
+                desired,
                 source: Source::Store,
             };
             self.fleet.send(msg).await;
--- a/crates/sillpin-gateway/tests/allowed.rs
+++ b/crates/sillpin-gateway/tests/allowed.rs
@@ -297,9 +297,9 @@
     );
 }
 
-/// No engine served the newest weights. Boxes sent prompts to older ones until the moment at which
-/// they withdrew them: on one of our test days 16 prompts were sent 4 to 84 ms before. They were lost,
-/// since they may have run; refused immediately, their callers would have sent them again.
+/// No engine served the newest weights. Boxes sent prompts to older ones up to 4 ms before the moment
+/// at which they cancelled them. Such prompts were lost, since they may have run; refused
+/// immediately, their callers would have sent them again.
 #[tokio::test(start_paused = true)]
 async fn a_prompt_that_may_be_sent_has_time_to_start() {
     const MIN_TIME: Duration = Duration::from_millis(200);
@@ -326,7 +326,7 @@
 }
 
 /// Prompts waited at an engine with old weights during an outage of the store. When it ended and
-/// another engine had newer weights, the prompts were withdrawn within a second and lost, although
+/// another engine had newer weights, the prompts were cancelled within a second and lost, although
 /// time without the store does not count and they had ten more seconds to start.
 #[tokio::test(start_paused = true)]
 async fn the_end_of_an_outage_withdraws_no_prompt_sent_during_it() {
--- a/crates/sillpin-gateway/tests/common/engines.rs
+++ b/crates/sillpin-gateway/tests/common/engines.rs
@@ -1,5 +1,5 @@
-//! Simulates a zone of engines that prefill prompts one by one, and boxes that learn of each
-//! other's work late.
+//! Simulates a zone of engines that prefill prompts one by one, and boxes whose reports of their
+//! work arrive late.
 
 use super::{anywhere, engine, name, target};
 use rand::rngs::StdRng;
@@ -31,7 +31,7 @@
 /// Time to generate the response after the prefill, during which the prompt's memory is held.
 pub const GENERATION: Duration = Duration::from_millis(60);
 
-/// Delay with which boxes learn of each other's work.
+/// Delay of the boxes' reports about their work.
 #[derive(Debug, Clone, Copy)]
 pub struct ReportDelay {
     /// Interval between reports.
--- a/crates/sillpin-gateway/tests/fatal.rs
+++ b/crates/sillpin-gateway/tests/fatal.rs
@@ -236,7 +236,7 @@
 }
 
 /// Guards against refusing requests that were merely interrupted: when many targets crash together, as in a rack, their requests are
-/// resumed at other targets and may meet the next such crash there. On a day of six such crashes, requests had three crashed targets
+/// resumed at other targets and may meet the next such crash there. After six such crashes, requests had three crashed targets
 /// each without causing any.
 #[tokio::test(start_paused = true)]
 async fn crashes_at_the_same_time_are_not_attributed_to_one_request() {
--- a/crates/sillpin-gateway/tests/fleet_state.rs
+++ b/crates/sillpin-gateway/tests/fleet_state.rs
@@ -224,9 +224,8 @@
     assert_eq!(left, [target("e1")]);
 }
 
-/// Found by a random trial (rsp-lahore trouble-1, seed 672428146990): a box that the store had
-/// refused until 3.4 s before took the removal of an entry for an expiry during that outage, and
-/// sent requests 2.3 s after it.
+/// Guards against requests to a removed target: a box that the store had refused until 3.4 s before
+/// took the removal of an entry for an expiry during that outage, and sent requests 2.3 s after it.
 #[tokio::test(start_paused = true)]
 async fn a_removal_long_after_the_stores_return_is_no_expiry() {
     let mut fleet = fleet();
@@ -338,26 +337,26 @@
     let found = vec![entry("ops/weights/m", "2", 5)];
     fleet.handle(whole(Topic::Operators, found, 5, start), start);
     let later = start + Duration::from_secs(1);
-    let named = vec![entry("ops/weights/m", "3", 6)];
-    fleet.handle(changes(Topic::Operators, named, 6, later), later);
+    let entries = vec![entry("ops/weights/m", "3", 6)];
+    fleet.handle(changes(Topic::Operators, entries, 6, later), later);
     let model: ModelId = common::name("m");
     let desired = fleet.view().desired[&model].clone();
     let seen = |version| desired.find(WeightVersion(version)).unwrap().witnessed;
     assert_eq!((seen(2), seen(3)), (false, true));
-    let named = DesiredVersion {
+    let requested = DesiredVersion {
         version: WeightVersion(2),
         since: start,
         witnessed: true,
     };
     let msg = FleetMsg::DesiredVersion {
         model: model.clone(),
-        named,
+        desired: requested,
         source: Source::Peer(common::name("box-2")),
     };
     fleet.handle(msg, later);
     assert_eq!(
         fleet.view().desired[&model].find(WeightVersion(2)),
-        Some(&named)
+        Some(&requested)
     );
 }
 
@@ -414,7 +413,7 @@
 
 /// Most entries expired while the store was unreachable. A box got this from another one that had
 /// queried the store 1.5 s before, and counted the targets' time to return from when it received
-/// it: it sent requests to stopped targets 3.8 s after the store's return.
+/// it: it sent requests to stopped targets 3.8 s after the store recovered.
 #[tokio::test(start_paused = true)]
 async fn the_grace_of_expired_entries_counts_from_the_read_of_the_store() {
     let mut fleet = fleet();
@@ -435,9 +434,7 @@
 }
 
 /// All boxes were frozen for 5 s, and version 2 was requested meanwhile. When they resumed, each
-/// reported that it had seen the request at that moment, so version 1 was used for 5 s too long: in
-/// 9 of our own trial days with such freezes, 792 requests began over 10 s after the version was
-/// requested.
+/// reported that the version was requested at that moment, so version 1 was used for 5 s too long.
 #[tokio::test(start_paused = true)]
 async fn versions_found_after_a_silence_are_not_witnessed() {
     let mut fleet = fleet();
@@ -445,8 +442,8 @@
     let found = vec![entry("ops/weights/m", "1", 5)];
     fleet.handle(whole(Topic::Operators, found, 5, start), start);
     let resumed = start + Duration::from_secs(5);
-    let named = vec![entry("ops/weights/m", "2", 6)];
-    fleet.handle(changes(Topic::Operators, named, 6, resumed), resumed);
+    let entries = vec![entry("ops/weights/m", "2", 6)];
+    fleet.handle(changes(Topic::Operators, entries, 6, resumed), resumed);
     let model: ModelId = common::name("m");
     let desired = fleet.view().desired[&model].clone();
     let second = desired.find(WeightVersion(2)).unwrap();
--- a/crates/sillpin-gateway/tests/herd.rs
+++ b/crates/sillpin-gateway/tests/herd.rs
@@ -1,8 +1,8 @@
-//! Tests of the waits of prompts if each box learns of the others' work late.
+//! Tests of the waits of prompts if reports of other boxes' work arrive late.
 //!
-//! In a zone of 60 boxes and 51 engines, boxes learned of each other's work about 0.2 s late. All
-//! sent their prompts to the engine that had looked least loaded, where these prompts queued while
-//! other engines were idle.
+//! In a zone of 60 boxes and 51 engines, reports were about 0.2 s old. All boxes sent their prompts
+//! to the engine with the least reported load, where these prompts queued while other engines were
+//! idle.
 
 mod common;
 
@@ -16,7 +16,7 @@
 
 const LENGTH: Duration = Duration::from_secs(6);
 
-/// Returns the waits of all prompts of a zone in which boxes learn of each other's work from hubs.
+/// Returns the waits of all prompts of a zone in which hubs report the boxes' work.
 async fn simulate(seed: u64, per_s: f64, is_known: bool) -> Vec<Duration> {
     let delay = ReportDelay {
         is_known,
@@ -47,8 +47,8 @@
         / waits.len().max(1) as f64
 }
 
-/// At 67 and 84 % of the engines' prefill capacity; the bounds are the lowest figures of three
-/// seeds.
+/// At 67 and 84 % of the engines' prefill capacity; the bounds are the lowest results of three runs
+/// with different random numbers.
 #[rstest]
 #[case::well_loaded(340.0, 0.98, 0.92)]
 #[case::nearly_full(430.0, 0.93, 0.66)]
--- a/crates/sillpin-gateway/tests/incarnations.rs
+++ b/crates/sillpin-gateway/tests/incarnations.rs
@@ -3,7 +3,7 @@
 //! A box remembers state by a target's id: weights that it was found to serve, failures,
 //! connections. When a target restarted, that state was applied to the new incarnation too: the
 //! found weights version never went down, so prompts went to an engine that no longer served the
-//! version named in them, and it refused them all.
+//! version required by them, and it refused them all.
 
 mod common;
 
--- a/crates/sillpin-gateway/tests/limited_fleet.rs
+++ b/crates/sillpin-gateway/tests/limited_fleet.rs
@@ -1,5 +1,5 @@
 //! Tests of limits in whole fleets: a third of the targets announce a limit for all boxes together,
-//! and a different one later. Boxes learn of it from responses and from each other, in the ways of
+//! and a different one later. Boxes receive it in responses and from each other, in the ways of
 //! small and large zones, and lose some messages. Some boxes restart, stop or are partitioned, so
 //! their views of who shares a limit diverge. The test counts the requests that arrive at each
 //! target from all boxes.
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Returns targets in the order in which a box tries them: limited ones first, since they look
+    /// Returns targets in the order in which a box tries them: limited ones first, since they seem
     /// idle. A box of a small fleet considers all targets, one of a large fleet first two of its
     /// zone.
     fn candidates(&mut self, from: usize) -> Vec<usize> {
@@ -423,7 +423,7 @@
     assert!(excess > 0.0, "the test does not cause overload: {excess}");
 }
 
-/// Each box learns of a limit only from responses to its own requests, and most send one or two
+/// Each box receives a limit only in responses to its own requests, and most send one or two
 /// before.
 #[tokio::test(start_paused = true)]
 async fn without_messages_between_boxes_a_large_fleet_overloads_limited_targets() {
--- a/crates/sillpin-gateway/tests/overload.rs
+++ b/crates/sillpin-gateway/tests/overload.rs
@@ -1,8 +1,8 @@
 //! Tests of what engines serve if more prompts are sent than they can prefill.
 //!
-//! On a day on which twice as many users came for ten seconds, a third fewer prompts were served in
-//! time than with half as many users, and none was refused: each waited behind earlier ones until
-//! its caller gave up.
+//! Guards against a collapse under overload: with twice the usual number of users for ten seconds, a
+//! third fewer prompts were served in time than normally, and none was refused: each waited behind
+//! earlier ones until its caller gave up.
 
 mod common;
 
--- a/crates/sillpin-gateway/tests/place.rs
+++ b/crates/sillpin-gateway/tests/place.rs
@@ -431,8 +431,8 @@
 }
 
 /// When prompts considered only engines of their box's zone, four of five parts were fetched from
-/// another zone. Such a fetch takes a store's link for twice as long, and at 82 % of the capacity
-/// that the links have if all fetches stay in their zone, 13,290 fetches of a day were late.
+/// another zone. Such a fetch takes a store's link for twice as long, so fetches were late already
+/// at 82 % of the capacity that the links have if all fetches stay in their zone.
 #[rstest]
 #[case::engines_alike(0, 0, "zb")]
 #[case::a_short_queue_there(0, 30, "zb")]
@@ -462,10 +462,9 @@
     assert!(chosen.candidates <= 4 || here_ms + there_ms > 500);
 }
 
-/// After limits for cold engines were introduced, a day on which engines were replaced by cold ones
-/// in series got worse. The likely cause, which fits that day's figures but was not seen in a
-/// trace: a box with a share of such an engine considered two others for most prompts, so its share
-/// went unused.
+/// Guards against unused capacity while engines are replaced by cold ones in series: a box with a
+/// share of a cold engine's limit considered two other engines for most prompts, so its share went
+/// unused.
 #[tokio::test(start_paused = true)]
 async fn a_box_with_stale_loads_considers_each_limited_engine_that_it_has_a_share_of() {
     for limited in 0..9 {
--- a/crates/sillpin-gateway/tests/slow_start.rs
+++ b/crates/sillpin-gateway/tests/slow_start.rs
@@ -1,8 +1,8 @@
 //! Tests of what a whole fleet sends to cold targets.
 //!
 //! A target that has just started can handle 11 requests a second and fails well above that, but
-//! looks idle to every box. On a day on which many users came just after the evacuation of a zone,
-//! 71 boxes together sent single targets more than 21 requests in a second.
+//! looks idle to every box. Under load just after the evacuation of a zone, 71 boxes together sent
+//! single targets more than 21 requests in a second.
 
 mod common;
 
@@ -87,7 +87,7 @@
 
 struct Fleet {
     boxes: Vec<SimulatedBox>,
-    /// When each box, by its index, learns of the start and the end of each other.
+    /// When each box, by its index, detects the start and the end of each other.
     lags: HashMap<(usize, usize), (Duration, Duration)>,
     rng: StdRng,
 }
--- a/crates/sillpin-policy/src/rendezvous.rs
+++ b/crates/sillpin-policy/src/rendezvous.rs
@@ -4,8 +4,8 @@
 //! The paper "Saving another 100 TB of RAM with math and Rust" gives the load spread of a hash ring
 //! with k points for each of N servers as CV = sqrt((N - 1) / (kN + 1)), and shows the memory that
 //! the points take. Rendezvous hashing stores no points: keys are spread as if each were assigned
-//! at random, at the price of one hash per candidate and lookup. `docs/MEASUREMENTS.md` has a
-//! measured comparison.
+//! at random, at the price of one hash per candidate and lookup. `docs/MEASUREMENTS.md` compares
+//! the two.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
