--- a/crates/sillpin-gateway/src/budget.rs
+++ b/crates/sillpin-gateway/src/budget.rs
@@ -26,7 +26,7 @@
 /// deviation of 4; 65 are allowed.
 const RANDOM_SAVED_FRACTION: f64 = 0.5;
 
-/// A granted retry expires after this time. It is normally taken within milliseconds, when a silent target is
+/// A granted retry expires after this time. It is normally taken within milliseconds, when an unresponsive target is
 /// abandoned.
 const GRANT_TTL: Duration = Duration::from_millis(500);
 
--- a/crates/sillpin-gateway/src/control.rs
+++ b/crates/sillpin-gateway/src/control.rs
@@ -57,7 +57,7 @@
     pub cold: Duration,
 }
 
-/// Version of a model's weights that operators want on all engines.
+/// Version of a model's weights that operators request on all engines.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WantedWeights {
     /// The model.
--- a/crates/sillpin-gateway/src/fatal/crash_detector.rs
+++ b/crates/sillpin-gateway/src/fatal/crash_detector.rs
@@ -174,8 +174,8 @@
         let view = self.fleet.view();
         let is_same_place =
             |other: &&Arc<TargetEntry>| other.id == target.id || other.addr == target.addr;
-        let mut there = view.targets.values().filter(is_same_place);
-        there.any(|other| IncarnationHash::of(other) != IncarnationHash::of(target))
+        let mut matching = view.targets.values().filter(is_same_place);
+        matching.any(|other| IncarnationHash::of(other) != IncarnationHash::of(target))
     }
 
     fn pending(&self) -> MutexGuard<'_, HashMap<IncarnationHash, Vec<BrokenRequest>>> {
--- a/crates/sillpin-gateway/src/fatal/record.rs
+++ b/crates/sillpin-gateway/src/fatal/record.rs
@@ -280,8 +280,8 @@
                 .suspects
                 .iter()
                 .filter(|(other, _)| **other != fingerprint);
-            let mut there = others.filter(|(_, other)| other.crashes.contains_key(incarnation));
-            there.any(|(_, other)| explains(other.crash_count(), count))
+            let mut suspects = others.filter(|(_, other)| other.crashes.contains_key(incarnation));
+            suspects.any(|(_, other)| explains(other.crash_count(), count))
         };
         let counts = |id: &&IncarnationHash| !is_explained(id) && !self.is_mass_crash(suspect, id);
         let unexplained = suspect.counted_crashes().filter(counts).count();
--- a/crates/sillpin-gateway/src/fleet_state/evacuation.rs
+++ b/crates/sillpin-gateway/src/fleet_state/evacuation.rs
@@ -2,8 +2,8 @@
 //! evacuation is revoked.
 //!
 //! An evacuation is in force from when this box receives it until it receives its end, from the
-//! store or another box. It also stays in force while the platform store is unreachable: nobody can
-//! revoke it then, and a zone that stays empty for too long costs only capacity.
+//! store or another box. It also stays in force while the platform store is unreachable: operators
+//! cannot revoke it then, and a zone that stays empty for too long costs only capacity.
 
 use sillpin_core::ZoneId;
 use sillpin_platform::KvRevision;
--- a/crates/sillpin-gateway/src/fleet_state/fleet.rs
+++ b/crates/sillpin-gateway/src/fleet_state/fleet.rs
@@ -1,4 +1,4 @@
-//! The task that owns what the box knows of the fleet.
+//! The task that owns this box's state of the fleet.
 
 mod boxes;
 mod departed;
@@ -50,13 +50,13 @@
 
 /// Weights that an engine was last found to serve, which its entry may not show yet.
 #[derive(Debug, Clone)]
-struct FoundWeights {
+struct ObservedWeights {
     life: Option<Life>,
     model: ModelId,
     version: WeightVersion,
 }
 
-/// What the box knows of the fleet; state without I/O.
+/// This box's state of the fleet, without I/O.
 pub struct Fleet<K> {
     me: BoxId,
     keys: K,
@@ -70,7 +70,7 @@
     /// Targets whose entries disappeared while the store was unreachable, and until when they are
     /// kept.
     expired: HashMap<TargetId, Instant>,
-    found_weights: HashMap<TargetId, FoundWeights>,
+    observed_weights: HashMap<TargetId, ObservedWeights>,
     departures: Departures,
     /// Until when targets are cold, which means that they are warming up.
     cold: HashMap<TargetId, Instant>,
@@ -103,7 +103,7 @@
             evacuations: Evacuations::default(),
             targets: HashMap::new(),
             expired: HashMap::new(),
-            found_weights: HashMap::new(),
+            observed_weights: HashMap::new(),
             departures: Departures::default(),
             cold: HashMap::new(),
             boxes: HashMap::new(),
@@ -212,7 +212,7 @@
                 let is_same = known.revision > KvRevision::ABSENT && before == Some(known.content);
                 if known.revision >= after || is_same {
                     let (source, requested_at) =
-                        (Source::Passed, self.adjust_for_suspension(requested_at));
+                        (Source::Relayed, self.adjust_for_suspension(requested_at));
                     self.apply_reading(topic, Reading::Changes(reply), requested_at, &source, now);
                 }
             }
@@ -255,7 +255,7 @@
                 model,
                 version,
             } => {
-                let found = FoundWeights {
+                let found = ObservedWeights {
                     life,
                     model,
                     version,
@@ -282,10 +282,10 @@
                 "its entry was not written again after the platform store's outage",
             );
         }
-        let any_removed = self.remove_silent_peers(now);
-        let any_shown = self.departures.sweep(now);
+        let any_removed = self.remove_unresponsive_peers(now);
+        let any_usable = self.departures.sweep(now);
         let any_ended = self.end_lost_evacuations(now);
-        let changed = any_removed || any_shown || any_ended || !overdue.is_empty();
+        let changed = any_removed || any_usable || any_ended || !overdue.is_empty();
         if changed {
             self.targets_changed = true;
             self.boxes_changed = true;
@@ -342,7 +342,7 @@
                 // is new.
                 let read_at = match source {
                     Source::Store => now,
-                    Source::Peer(_) | Source::Passed => requested_at.min(now),
+                    Source::Peer(_) | Source::Relayed => requested_at.min(now),
                 };
                 let changes = self.targets_mirror.apply(reading, requested_at);
                 if !changes.is_empty() {
--- a/crates/sillpin-gateway/src/fleet_state/fleet/boxes.rs
+++ b/crates/sillpin-gateway/src/fleet_state/fleet/boxes.rs
@@ -65,7 +65,7 @@
 
     /// Removes boxes that are neither registered nor have sent a digest recently. Returns whether
     /// there were any.
-    pub(super) fn remove_silent_peers(&mut self, now: Instant) -> bool {
+    pub(super) fn remove_unresponsive_peers(&mut self, now: Instant) -> bool {
         let before = self.boxes.len();
         self.boxes.retain(|_, peer| {
             let is_recent = peer.last_seen.is_some_and(|at| now - at < PEER_TIMEOUT);
--- a/crates/sillpin-gateway/src/fleet_state/fleet/departed.rs
+++ b/crates/sillpin-gateway/src/fleet_state/fleet/departed.rs
@@ -40,7 +40,7 @@
 }
 
 impl Departure {
-    /// Returns whether the target counts as leaving although its entry says otherwise.
+    /// Returns whether the target counts as leaving although its entry states otherwise.
     fn overrides_entry(&self, now: Instant) -> bool {
         self.revived_at.is_some_and(|since| match self.kind {
             DepartureKind::Announced => true,
@@ -98,7 +98,7 @@
         self.known.insert(target.clone(), departure);
     }
 
-    /// Returns whether a target counts as leaving although its entry says otherwise.
+    /// Returns whether a target counts as leaving although its entry states otherwise.
     pub(super) fn overrides_entry(&self, target: &TargetEntry, now: Instant) -> bool {
         let departure = self.known.get(&target.id);
         departure.is_some_and(|known| known.life == target.life && known.overrides_entry(now))
@@ -106,16 +106,16 @@
 
     /// Forgets old departures. Returns whether some target no longer counts as leaving.
     pub(super) fn sweep(&mut self, now: Instant) -> bool {
-        let mut any_shown = false;
+        let mut any_usable = false;
         self.known
             .retain(|_, departure| match departure.revived_at {
                 Some(_) => {
                     let overrides_entry = departure.overrides_entry(now);
-                    any_shown |= !overrides_entry;
+                    any_usable |= !overrides_entry;
                     overrides_entry
                 }
                 None => now.saturating_duration_since(departure.at) < MAX_AGE,
             });
-        any_shown
+        any_usable
     }
 }
--- a/crates/sillpin-gateway/src/fleet_state/fleet/evacuated.rs
+++ b/crates/sillpin-gateway/src/fleet_state/fleet/evacuated.rs
@@ -68,7 +68,7 @@
     }
 
     /// Marks the targets of a zone that takes requests again as warming up, since they may be cold
-    /// and their entries show it only later. They had nothing to do, so they appear less loaded
+    /// and their entries state it only later. They had no requests, so they appear less loaded
     /// than all others.
     fn mark_cold(&mut self, zone: &ZoneId, now: Instant) {
         let Some(config) = self.config.clone() else {
--- a/crates/sillpin-gateway/src/fleet_state/fleet/targets.rs
+++ b/crates/sillpin-gateway/src/fleet_state/fleet/targets.rs
@@ -1,7 +1,7 @@
 //! Targets: their entries, their incarnations, and the weights that they were found to serve.
 
 use super::super::mirror::Change;
-use super::{EXPIRY_GRACE, Fleet, FoundWeights, MASS_EXPIRY_SHARE};
+use super::{EXPIRY_GRACE, Fleet, MASS_EXPIRY_SHARE, ObservedWeights};
 use crate::control::{Presence, PublishedFormat, Served, TargetEntry};
 use crate::fleet_state::Source;
 use crate::placement::index::TargetIndex;
@@ -96,7 +96,7 @@
         if before.is_none_or(|before| before.life == target.life) {
             return;
         }
-        self.found_weights.remove(&target.id);
+        self.observed_weights.remove(&target.id);
         event!(self.log, events::TARGET_RESTARTED, "target" => target.id.as_str(),
             "addr" => target.addr.to_string(), "life" => target.life.map_or(0, |life| life.0));
     }
@@ -118,7 +118,7 @@
     }
 
     pub(super) fn drop_target(&mut self, id: &TargetId, why: &'static str) {
-        self.found_weights.remove(id);
+        self.observed_weights.remove(id);
         self.cold.remove(id);
         if let Some(target) = self.targets.remove(id) {
             let era = self.targets_mirror.known().revision.era();
@@ -127,28 +127,33 @@
         }
     }
 
-    pub(super) fn record_served(&mut self, target: TargetId, found: FoundWeights) {
+    pub(super) fn record_served(&mut self, target: TargetId, observed: ObservedWeights) {
         let entry = self.targets.get(&target);
         // The target's entry shows which of two incarnations is the newer one.
-        if entry.is_some_and(|entry| entry.life != found.life) {
+        if entry.is_some_and(|entry| entry.life != observed.life) {
             return;
         }
-        let known = entry.and_then(|entry| served(entry, &found.model));
-        let last_found = self.found_weights.get(&target).map(|known| known.version);
-        if known >= Some(found.version) || last_found >= Some(found.version) {
+        let known = entry.and_then(|entry| served(entry, &observed.model));
+        let last_found = self
+            .observed_weights
+            .get(&target)
+            .map(|known| known.version);
+        if known >= Some(observed.version) || last_found >= Some(observed.version) {
             return;
         }
         event!(self.log, events::TARGET_WEIGHTS_DIFFER, "target" => target.as_str(),
-            "model" => found.model.as_str(), "version" => found.version.0);
-        self.found_weights.insert(target, found);
+            "model" => observed.model.as_str(), "version" => observed.version.0);
+        self.observed_weights.insert(target, observed);
         self.targets_changed = true;
     }
 
     pub(super) fn publish_targets(&mut self) {
         let now = Instant::now();
         let current = |(id, entry): (&TargetId, &Arc<TargetEntry>)| {
-            let mut entry = match self.found_weights.get(id) {
-                Some(found) if found.life == entry.life => Arc::new(with_served(entry, found)),
+            let mut entry = match self.observed_weights.get(id) {
+                Some(observed) if observed.life == entry.life => {
+                    Arc::new(with_served(entry, observed))
+                }
                 _ => entry.clone(),
             };
             if self.departures.overrides_entry(&entry, now) {
@@ -169,15 +174,16 @@
 
 /// Returns the version of `model` that a target lists.
 pub fn served(entry: &TargetEntry, model: &ModelId) -> Option<WeightVersion> {
-    let found = entry.served.iter().find(|served| served.model == *model);
-    found.map(|served| served.version)
+    let observed = entry.served.iter().find(|served| served.model == *model);
+    observed.map(|served| served.version)
 }
 
-fn with_served(entry: &TargetEntry, found: &FoundWeights) -> TargetEntry {
+fn with_served(entry: &TargetEntry, observed: &ObservedWeights) -> TargetEntry {
     let mut entry = entry.clone();
-    let newer = |served: &Served| served.model == found.model && served.version < found.version;
+    let newer =
+        |served: &Served| served.model == observed.model && served.version < observed.version;
     for served in entry.served.iter_mut().filter(|served| newer(served)) {
-        served.version = found.version;
+        served.version = observed.version;
     }
     entry
 }
--- a/crates/sillpin-gateway/src/fleet_state/mod.rs
+++ b/crates/sillpin-gateway/src/fleet_state/mod.rs
@@ -63,7 +63,7 @@
     Peer(BoxId),
     /// The box that reads the store for the zone, relayed by the hub.
     #[display("zone's reader")]
-    Passed,
+    Relayed,
 }
 
 /// Another box of the fleet, or this one.
--- a/crates/sillpin-gateway/src/fleet_state/reader.rs
+++ b/crates/sillpin-gateway/src/fleet_state/reader.rs
@@ -2,7 +2,7 @@
 //!
 //! One box of a zone polls each prefix, and the other boxes get the store's revision from it. In
 //! addition every box watches what operators publish: it may be large, and the store's link carries
-//! it to all boxes at once, while a box with a slow link would take seconds to send it to a zone.
+//! it to all boxes in parallel, while a box with a slow link would take seconds to send it to a zone.
 
 use super::transfers::Transfers;
 use super::{BoxEntry, FleetHandle, FleetMsg, Reading, Source, Topic};
@@ -301,7 +301,7 @@
 }
 
 /// Returns the wait after a number of consecutive failures, with jitter, so that the boxes don't
-/// all call a returning store at once.
+/// all call the store at the moment when it recovers.
 fn backoff(failures: u32, least: Duration, longest: Duration) -> Duration {
     let doubled = least * 2u32.pow(failures.min(4));
     let most = doubled.min(longest);
--- a/crates/sillpin-gateway/src/front/admit.rs
+++ b/crates/sillpin-gateway/src/front/admit.rs
@@ -72,7 +72,7 @@
 type Admitted = (Arc<FleetConfig>, Arc<Route>, Option<Arc<Organisation>>);
 
 /// Decision of the configuration about a request.
-enum Verdict {
+enum Access {
     Allowed(Arc<Route>, Option<Arc<Organisation>>),
     Denied(StatusCode, &'static str),
 }
@@ -127,17 +127,17 @@
         let view = self.fleet.view();
         let config = view.config.clone();
         let config = config.ok_or_else(|| Refusal::not_run("no configuration yet"))?;
-        let (status, reason) = match judge(&config, head, path) {
-            Verdict::Allowed(route, org) => return Ok((config, route, org)),
-            Verdict::Denied(status, reason) => (status, reason),
+        let (status, reason) = match check_access(&config, head, path) {
+            Access::Allowed(route, org) => return Ok((config, route, org)),
+            Access::Denied(status, reason) => (status, reason),
         };
         if is_fresh(&view) {
             return Err(Refusal::denied(status, reason));
         }
         let config = self.wait_for_fresh_config().await?;
-        match judge(&config, head, path) {
-            Verdict::Allowed(route, org) => Ok((config, route, org)),
-            Verdict::Denied(status, reason) => Err(Refusal::denied(status, reason)),
+        match check_access(&config, head, path) {
+            Access::Allowed(route, org) => Ok((config, route, org)),
+            Access::Denied(status, reason) => Err(Refusal::denied(status, reason)),
         }
     }
 
@@ -161,17 +161,17 @@
 }
 
 /// Checks a request against a configuration.
-fn judge(config: &FleetConfig, head: &RequestHead, path: &str) -> Verdict {
+fn check_access(config: &FleetConfig, head: &RequestHead, path: &str) -> Access {
     let Some(route) = config.route(&head.host, path) else {
-        return Verdict::Denied(StatusCode::NOT_FOUND, "no such route");
+        return Access::Denied(StatusCode::NOT_FOUND, "no such route");
     };
     if route.public || config.organisations.is_empty() {
-        return Verdict::Allowed(route.clone(), None);
+        return Access::Allowed(route.clone(), None);
     }
     let key = head.key.as_deref().unwrap_or_default();
     match config.organisation(key) {
-        Some(org) => Verdict::Allowed(route.clone(), Some(org.clone())),
-        None => Verdict::Denied(StatusCode::UNAUTHORIZED, "unknown key"),
+        Some(org) => Access::Allowed(route.clone(), Some(org.clone())),
+        None => Access::Denied(StatusCode::UNAUTHORIZED, "unknown key"),
     }
 }
 
@@ -179,7 +179,7 @@
     let status = match error {
         BodyError::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
         BodyError::NoMemory => return Refusal::not_run(error.to_string()),
-        BodyError::Cut => StatusCode::BAD_REQUEST,
+        BodyError::Truncated => StatusCode::BAD_REQUEST,
     };
     Refusal::denied(status, error.to_string())
 }
--- a/crates/sillpin-gateway/src/front/attempt.rs
+++ b/crates/sillpin-gateway/src/front/attempt.rs
@@ -67,7 +67,7 @@
     /// The connection; it is returned to the pool when the stream is complete.
     pub conn: Conn,
     /// Counts the request as in flight at the target.
-    pub ticket: InFlightGuard,
+    pub in_flight: InFlightGuard,
     /// The target.
     pub target: std::sync::Arc<TargetEntry>,
 }
@@ -141,7 +141,7 @@
 
 /// Conditions, other than the request's deadline, under which waiting for a response ends.
 pub struct WaitLimits<L, B> {
-    /// Called each time the target has been silent for the timeout; returns whether to abandon the attempt for
+    /// Called each time the target has sent nothing for the timeout; returns whether to abandon the attempt for
     /// another target.
     pub should_abandon: L,
     /// Latest time at which the request may start at the target. Also checked while it waits there: the length of an
@@ -158,7 +158,7 @@
     /// What the head of the request to the target contains.
     pub head: AttemptHead,
     /// Counts the request as in flight at the target.
-    pub ticket: InFlightGuard,
+    pub in_flight: InFlightGuard,
 }
 
 impl<D: Dialect> Shared<D> {
@@ -207,7 +207,7 @@
             }
             HeadWait::Expired => return AttemptOutcome::Cancelled,
         };
-        self.judge_response(attempt, conn, resp, sent).await
+        self.classify_response(attempt, conn, resp, sent).await
     }
 
     /// Sends a request and waits for the head of the response. An engine sends the head when it starts the prompt.
@@ -261,7 +261,7 @@
     }
 
     /// Determines the outcome of a request sent at `sent` from the head of its response.
-    async fn judge_response(
+    async fn classify_response(
         &self,
         attempt: Attempt<'_>,
         conn: Conn,
@@ -297,7 +297,7 @@
                 head,
                 body,
                 conn,
-                ticket: attempt.ticket,
+                in_flight: attempt.in_flight,
                 target: attempt.target,
             }));
         }
@@ -321,7 +321,7 @@
         }
     }
 
-    /// Records what a target reports about itself. A response that names another target, or says that the request was
+    /// Records what a target reports about itself. A response that names another target, or states that the request was
     /// misdirected, is ignored: it is about that other target.
     fn record_signals(
         &self,
--- a/crates/sillpin-gateway/src/front/body_memory.rs
+++ b/crates/sillpin-gateway/src/front/body_memory.rs
@@ -18,7 +18,7 @@
     NoMemory,
     /// The caller broke off.
     #[display("body was cut off")]
-    Cut,
+    Truncated,
 }
 
 /// Limits the memory of request bodies; clones share the limit.
@@ -79,7 +79,7 @@
         let mut first: Option<Bytes> = None;
         let mut buf = BytesMut::new();
         while let Some(frame) = body.frame().await {
-            let frame = frame.map_err(|_| BodyError::Cut)?;
+            let frame = frame.map_err(|_| BodyError::Truncated)?;
             let Ok(data) = frame.into_data() else {
                 continue;
             };
--- a/crates/sillpin-gateway/src/front/dispatch.rs
+++ b/crates/sillpin-gateway/src/front/dispatch.rs
@@ -69,7 +69,7 @@
 /// Refusal while all targets are at their rate limits.
 const LIMITED: &str = "its targets limit their requests and get all that they take";
 
-/// Refusal while all targets have asked this box to send nothing for some time.
+/// Refusal while all targets have a backoff for this box.
 const BACKED_OFF: &str = "its targets want no requests for a while";
 
 /// Refusal while no target can start the request in time.
@@ -173,7 +173,7 @@
             request,
             target: target.clone(),
             head: attempt_head(request, progress, &mut prepared),
-            ticket: self.loads.start(&target.id, prepared.work()),
+            in_flight: self.loads.start(&target.id, prepared.work()),
         };
         let sent = Instant::now();
         let version = prepared.chosen.version;
--- a/crates/sillpin-gateway/src/front/idle_timeout.rs
+++ b/crates/sillpin-gateway/src/front/idle_timeout.rs
@@ -1,7 +1,7 @@
 //! When to abandon a target that sends nothing.
 //!
-//! A busy engine keeps prompts waiting in its queue and streams waiting between events, which from outside looks the
-//! same as an engine that has stopped. Abandoning it discards its work and starts over at the end of another queue.
+//! A busy engine keeps prompts waiting in its queue and streams waiting between events, which cannot be
+//! distinguished from an engine that has stopped. Abandoning it discards its work and starts over at the end of another queue.
 //! So a target is abandoned only if the request may run again, the retry budget allows it, and another target is
 //! expected to start before the caller gives up. Otherwise the request stays until its deadline. Dead connections are
 //! detected by TCP keep-alive, not here.
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Fraction of the callers' event timeout that a silent engine gets; the rest is left for another one to start. A
+/// Fraction of the callers' event timeout that an unresponsive engine gets; the rest is left for another one to start. A
 /// busy engine often sends no event for more than 1.3 s, and callers wait 2.4 to 4.8 s.
 const EVENT_TIMEOUT_FRACTION: f64 = 0.6;
 
@@ -23,11 +23,11 @@
 /// then, and its requests normally take a fraction of that.
 const PLAIN_IDLE_FACTOR: f64 = 2.0;
 
-/// Minimum time before a silent target is abandoned, also on a route without a latency objective.
+/// Minimum time before an unresponsive target is abandoned, also on a route without a latency objective.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
 
 impl<D: Dialect> Shared<D> {
-    /// Time at which a target that sends nothing from now on counts as silent.
+    /// Time at which a target that sends nothing from now on counts as unresponsive.
     pub fn idle_deadline(&self, request: &AdmittedRequest) -> Instant {
         if request.route.idempotency == Idempotency::AtMostOnce {
             return request.deadline;
@@ -41,8 +41,8 @@
             .min(Instant::now() + idle_timeout.max(MIN_IDLE_TIMEOUT))
     }
 
-    /// Whether to abandon a silent target that has not sent its head, since another is expected to be faster.
-    /// `progress` does not count the run at the silent target yet.
+    /// Whether to abandon an unresponsive target that has not sent its head, since another is expected to be faster.
+    /// `progress` does not count the run at the unresponsive target yet.
     pub fn should_abandon(
         &self,
         request: &AdmittedRequest,
@@ -55,7 +55,7 @@
             && self.has_faster_target(request, pool, progress)
     }
 
-    /// Whether to resume a stream that fell silent at another target, since that is expected to be faster.
+    /// Whether to resume a stream whose target is unresponsive at another target, since that is expected to be faster.
     pub fn should_resume(
         &self,
         request: &AdmittedRequest,
--- a/crates/sillpin-gateway/src/front/relay.rs
+++ b/crates/sillpin-gateway/src/front/relay.rs
@@ -169,7 +169,7 @@
             head,
             mut body,
             conn,
-            mut ticket,
+            mut in_flight,
             target,
             ..
         } = stream;
@@ -207,7 +207,7 @@
                 continue;
             }
             if first {
-                ticket.prefill_done();
+                in_flight.prefill_done();
                 first = false;
             }
             if tx.send(complete).await.is_err() {
--- a/crates/sillpin-gateway/src/peers/documents.rs
+++ b/crates/sillpin-gateway/src/peers/documents.rs
@@ -1,9 +1,9 @@
 //! Serves documents to other boxes, large ones in pieces.
 //!
-//! A box with a slow link can neither send a large document to a whole zone at once nor receive one
+//! A box with a slow link can neither send a large document to a whole zone in parallel nor receive one
 //! within a fixed time. So the receiving box requests a document piece by piece: each piece that
 //! arrives is progress, a transfer whose receiver stops requesting pieces is dropped, and only a
-//! few transfers run at once. Other boxes get a busy reply and query a box that has the document by
+//! few transfers run concurrently. Other boxes get a busy reply and query a box that has the document by
 //! then, so the number of boxes that have it grows by a factor with each round.
 
 use bytes::Bytes;
--- a/crates/sillpin-gateway/src/peers/hub.rs
+++ b/crates/sillpin-gateway/src/peers/hub.rs
@@ -189,9 +189,9 @@
             return first;
         }
         let last_received = self.bulletin.as_ref().map_or(started, |last| last.at);
-        let silence = now - last_received;
+        let idle_time = now - last_received;
         let doublings =
-            (silence.as_millis() / BULLETIN_TIMEOUT.as_millis()).min(MAX_DOUBLINGS) as u32;
+            (idle_time.as_millis() / BULLETIN_TIMEOUT.as_millis()).min(MAX_DOUBLINGS) as u32;
         let count = HUB_COUNT * 2usize.pow(doublings);
         all.iter().take(count).copied().collect()
     }
--- a/crates/sillpin-gateway/src/peers/mod.rs
+++ b/crates/sillpin-gateway/src/peers/mod.rs
@@ -9,7 +9,7 @@
 //! - [`roles`]: which box of a zone reads what,
 //! - [`datagram`]: contents of datagrams,
 //! - [`packed`]: compact encoding of store changes,
-//! - [`wire`]: encoding of datagrams, and the key that tells fleets apart,
+//! - [`wire`]: encoding of datagrams, and the key that distinguishes fleets,
 //! - [`sender`]: sends datagrams, and decides when and to which boxes,
 //! - [`hub`]: boxes that aggregate and distribute the updates of a large zone,
 //! - [`zone_sender`]: what a box of a large zone sends,
--- a/crates/sillpin-gateway/src/peers/peer_client.rs
+++ b/crates/sillpin-gateway/src/peers/peer_client.rs
@@ -25,8 +25,8 @@
 use tokio::time::Instant;
 
 /// Longest wait for a connection and for each piece. A piece takes 0.1 s on a link of 10 Mbit/s
-/// that another transfer shares. A limit for the whole document would limit its size, and left
-/// boxes on an old configuration permanently.
+/// that another transfer shares. A limit for the whole document would limit its size: boxes with
+/// slow links would never get a large configuration.
 const PIECE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Longest document accepted, in bytes: several times the longest value of the platform store.
@@ -51,18 +51,18 @@
 
 /// Why a copy could not be fetched completely.
 #[derive(Debug, Display, Error, From)]
-enum CopyFault {
+enum CopyError {
     #[display("cannot connect: {_0}")]
     Connect(io::Error),
     #[display("no reply within the time limit")]
-    Silent,
+    Timeout,
     #[display("{_0}")]
     Call(RpcError),
     #[display("document of {_0} bytes exceeds the limit")]
     #[from(skip)]
     TooLong(#[error(not(source))] u64),
     #[display("the sender has dropped the transfer")]
-    Withdrawn,
+    TransferDropped,
     #[display("cannot decode the document: {_0}")]
     Unreadable(bincode::Error),
     #[display("the age of the copy exceeds the uptime of this machine's clock")]
@@ -195,7 +195,7 @@
     async fn fetch_document<F>(
         &mut self,
         call: impl FnOnce(BoxLinkClient) -> F,
-    ) -> Result<Option<Vec<u8>>, CopyFault>
+    ) -> Result<Option<Vec<u8>>, CopyError>
     where
         F: Future<Output = Result<DocumentReply, RpcError>>,
     {
@@ -229,16 +229,16 @@
         transfer: TransferId,
         len: u64,
         mut document: Vec<u8>,
-    ) -> Result<Vec<u8>, CopyFault> {
+    ) -> Result<Vec<u8>, CopyError> {
         if len > MAX_DOCUMENT {
-            return Err(CopyFault::TooLong(len));
+            return Err(CopyError::TooLong(len));
         }
         let _in_progress = self.topic.map(|topic| self.client.transfers.begin(topic));
         self.arrived = document.len() as u64;
         while self.arrived < len {
             let piece = with_timeout(client.more(call_context(), transfer, self.arrived)).await?;
             let piece = piece.filter(|piece| !piece.is_empty());
-            document.extend(piece.ok_or(CopyFault::Withdrawn)?);
+            document.extend(piece.ok_or(CopyError::TransferDropped)?);
             self.arrived = document.len() as u64;
         }
         Ok(document)
@@ -248,10 +248,10 @@
         &self,
         document: &[u8],
         age_ms: impl FnOnce(&T) -> u64,
-    ) -> Result<(T, Instant), CopyFault> {
+    ) -> Result<(T, Instant), CopyError> {
         let copy: T = bincode::deserialize(document)?;
         let age = Duration::from_millis(age_ms(&copy));
-        let requested_at = self.began.checked_sub(age).ok_or(CopyFault::TooOld)?;
+        let requested_at = self.began.checked_sub(age).ok_or(CopyError::TooOld)?;
         Ok((copy, requested_at))
     }
 
@@ -262,7 +262,7 @@
             "elapsed_ms" => self.began.elapsed().as_millis(), "bytes" => self.arrived);
     }
 
-    fn log_failure(&self, e: &CopyFault) {
+    fn log_failure(&self, e: &CopyError) {
         let metrics = &self.client.metrics;
         metrics.copied(self.what, "given-up", self.arrived);
         event!(self.client.log, events::PEER_FAILED,
@@ -317,9 +317,9 @@
 }
 
 /// Waits for the result of a call, at most [`PIECE_TIMEOUT`].
-async fn with_timeout<T>(call: impl Future<Output = Result<T, RpcError>>) -> Result<T, CopyFault> {
+async fn with_timeout<T>(call: impl Future<Output = Result<T, RpcError>>) -> Result<T, CopyError> {
     let reply = tokio::time::timeout(PIECE_TIMEOUT, call).await;
-    Ok(reply.map_err(|_| CopyFault::Silent)??)
+    Ok(reply.map_err(|_| CopyError::Timeout)??)
 }
 
 fn call_context() -> Context {
--- a/crates/sillpin-gateway/src/peers/receiver.rs
+++ b/crates/sillpin-gateway/src/peers/receiver.rs
@@ -6,7 +6,7 @@
 use super::lag::{LagStatus, LagTracker};
 use super::peer_client::PeerClient;
 use super::stall::StallDetector;
-use super::wire::{self, FleetKey, MAX_DATAGRAM, WireFault};
+use super::wire::{self, FleetKey, MAX_DATAGRAM, WireError};
 use super::zone_sender::ZoneGossip;
 use crate::cache_stores::CacheStores;
 use crate::cache_stores::directory::Directory;
@@ -139,7 +139,7 @@
                 }
                 // Boxes of another fleet may keep sending to an address that was theirs: counted,
                 // not logged.
-                Err(WireFault::Foreign) => self.metrics.datagrams("foreign", "dropped", 1, len),
+                Err(WireError::Foreign) => self.metrics.datagrams("foreign", "dropped", 1, len),
                 Err(e) => event!(self.log, events::GOSSIP_FAILED, "why" => e.to_string()),
             }
         }
--- a/crates/sillpin-gateway/src/peers/roles.rs
+++ b/crates/sillpin-gateway/src/peers/roles.rs
@@ -1,6 +1,6 @@
 //! Assignment of reads to boxes.
 //!
-//! Every call to the platform store is billed, and a cache store serves few readers at once. So one
+//! Every call to the platform store is billed, and a cache store serves few readers concurrently. So one
 //! box of each zone reads each resource, chosen by rendezvous hashing over the boxes of the zone,
 //! and the other boxes get the data from it. A box whose data grows too old reads by itself, so no
 //! agreement is needed when a reader stops or is cut off.
--- a/crates/sillpin-gateway/src/peers/roster.rs
+++ b/crates/sillpin-gateway/src/peers/roster.rs
@@ -31,14 +31,14 @@
                 zone.push(name);
                 by_name.insert(name, index);
             } else {
-                let there = others.entry(peer.zone.clone()).or_default();
-                there.push((name, peer.gossip));
+                let zone_boxes = others.entry(peer.zone.clone()).or_default();
+                zone_boxes.push((name, peer.gossip));
             }
         }
         zone.sort_unstable();
-        let sorted = |(zone, mut there): (ZoneId, Vec<(BoxHash, SocketAddr)>)| {
-            there.sort_unstable();
-            (zone, there.into_iter().map(|(_, addr)| addr).collect())
+        let sorted = |(zone, mut zone_boxes): (ZoneId, Vec<(BoxHash, SocketAddr)>)| {
+            zone_boxes.sort_unstable();
+            (zone, zone_boxes.into_iter().map(|(_, addr)| addr).collect())
         };
         Self {
             boxes,
--- a/crates/sillpin-gateway/src/peers/sender.rs
+++ b/crates/sillpin-gateway/src/peers/sender.rs
@@ -358,9 +358,10 @@
         zones.dedup();
         let mut picked = Vec::new();
         for zone in zones {
-            let there: Vec<&BoxEntry> = others.iter().copied().filter(|p| p.zone == zone).collect();
+            let zone_boxes: Vec<&BoxEntry> =
+                others.iter().copied().filter(|p| p.zone == zone).collect();
             picked.extend(
-                there
+                zone_boxes
                     .sample(&mut rng, CROSS_ZONE_FAN_OUT)
                     .map(|peer| peer.gossip),
             );
--- a/crates/sillpin-gateway/src/peers/stall.rs
+++ b/crates/sillpin-gateway/src/peers/stall.rs
@@ -1,7 +1,7 @@
 //! Detects that this process was stalled.
 //!
-//! Datagrams that were queued while a process was frozen look as if they had just arrived, so the
-//! ages in them are too small. After a stall, queued datagrams are discarded.
+//! Datagrams that were queued while a process was frozen seem to have just arrived, so the ages in
+//! them are too small. After a stall, queued datagrams are discarded.
 
 use crate::suspend_clock::SuspendClock;
 use std::sync::{Arc, Mutex};
--- a/crates/sillpin-gateway/src/peers/wire.rs
+++ b/crates/sillpin-gateway/src/peers/wire.rs
@@ -2,7 +2,7 @@
 //!
 //! A port may be reused: the address of a stopped box passes to another process, and boxes that
 //! have not noticed keep sending to it. So each datagram begins with a key of the fleet and of the
-//! format, and a box drops datagrams without its own key. The key tells fleets apart; it
+//! format, and a box drops datagrams without its own key. The key distinguishes fleets; it
 //! authenticates nothing, since the settings hold no secret that boxes share.
 
 use super::datagram::Datagram;
@@ -23,7 +23,7 @@
 /// bytes, 60 changes of a store as many.
 pub const MAX_DATAGRAM: usize = 16_384;
 
-/// Tells fleets apart: boxes of one fleet share a platform store, mostly at one address.
+/// Distinguishes fleets: boxes of one fleet share a platform store, mostly at one address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetKey(u64);
 
@@ -45,7 +45,7 @@
 
 /// Why a datagram was not encoded or decoded.
 #[derive(Debug, Display, Error)]
-pub enum WireFault {
+pub enum WireError {
     /// It belongs to another fleet or has another format.
     #[display("datagram of another fleet or format")]
     Foreign,
@@ -63,21 +63,21 @@
 }
 
 /// Encodes a datagram of a fleet.
-pub fn encode(fleet: FleetKey, datagram: &Datagram) -> Result<Vec<u8>, WireFault> {
+pub fn encode(fleet: FleetKey, datagram: &Datagram) -> Result<Vec<u8>, WireError> {
     let mut buf = fleet.0.to_le_bytes().to_vec();
     let written = options().serialize_into(&mut buf, datagram);
-    written.map_err(WireFault::Unreadable)?;
+    written.map_err(WireError::Unreadable)?;
     match buf.len() <= MAX_DATAGRAM {
         true => Ok(buf),
-        false => Err(WireFault::TooLong(buf.len())),
+        false => Err(WireError::TooLong(buf.len())),
     }
 }
 
 /// Decodes a datagram, if it belongs to this fleet.
-pub fn decode(fleet: FleetKey, buf: &[u8]) -> Result<Datagram, WireFault> {
-    let (key, rest) = buf.split_at_checked(KEY_LEN).ok_or(WireFault::Foreign)?;
+pub fn decode(fleet: FleetKey, buf: &[u8]) -> Result<Datagram, WireError> {
+    let (key, rest) = buf.split_at_checked(KEY_LEN).ok_or(WireError::Foreign)?;
     if key != fleet.0.to_le_bytes() {
-        return Err(WireFault::Foreign);
+        return Err(WireError::Foreign);
     }
-    options().deserialize(rest).map_err(WireFault::Unreadable)
+    options().deserialize(rest).map_err(WireError::Unreadable)
 }
--- a/crates/sillpin-gateway/src/peers/zone_sender.rs
+++ b/crates/sillpin-gateway/src/peers/zone_sender.rs
@@ -196,9 +196,9 @@
     /// order, which may be hubs.
     fn other_hubs(&self, roster: &Roster, now: Instant) -> Vec<SocketAddr> {
         let mut to = Vec::new();
-        for (zone, there) in &roster.others {
+        for (zone, addrs) in &roster.others {
             to.extend(self.zone_gossip.hub().hub_of(zone, now));
-            to.extend(there.iter().take(ZONE_FAN_OUT));
+            to.extend(addrs.iter().take(ZONE_FAN_OUT));
         }
         to.sort_unstable();
         to.dedup();
--- a/crates/sillpin-gateway/src/placement/allowed.rs
+++ b/crates/sillpin-gateway/src/placement/allowed.rs
@@ -29,7 +29,7 @@
 /// The weights that a prompt may run on, with the reason for logs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AllowedWeights {
-    /// Newest version that operators want; zero if none is known.
+    /// Newest version that operators request; zero if none is known.
     pub desired: WeightVersion,
     /// Time since it was requested, as far as this box knows.
     pub wanted_for: Duration,
@@ -42,7 +42,7 @@
 /// The state on which the choice of allowed weights depends.
 #[derive(Debug, Clone, Copy)]
 pub struct WeightsInputs<'a> {
-    /// Versions that operators want.
+    /// Versions that operators request.
     pub desired: Option<&'a DesiredVersions>,
     /// Versions that engines serve, with the number of engines.
     pub serving: &'a BTreeMap<WeightVersion, usize>,
--- a/crates/sillpin-gateway/src/placement/choose.rs
+++ b/crates/sillpin-gateway/src/placement/choose.rs
@@ -37,7 +37,7 @@
 const MAX_MEMORY_WAIT_FACTOR: f64 = 0.15;
 
 /// What each request in flight at a target without a model adds, in milliseconds: its work takes 30
-/// to 60 ms, and a target runs six at once.
+/// to 60 ms, and a target runs six concurrently.
 const PLAIN_MS_PER_REQUEST: f64 = 12.0;
 
 /// Advantage of a prompt's home over other engines, in milliseconds. An engine holds a prefilled
@@ -105,7 +105,7 @@
     pub latency_objective: Duration,
     /// Memory of one engine.
     pub capacity: Tokens,
-    /// Weights version that operators want.
+    /// Newest weights version that operators request.
     pub desired: Option<WeightVersion>,
     /// Engines with older weights are not considered.
     pub oldest: WeightVersion,
@@ -385,7 +385,7 @@
     }
     if target.zone != *choice.zone {
         ms += OTHER_ZONE_MS + choice.body_len as f64 * OTHER_ZONE_MS_PER_BYTE;
-        if choice.loads.looks_partitioned(&target.zone, choice.now) {
+        if choice.loads.seems_partitioned(&target.zone, choice.now) {
             ms += PARTITIONED_MS;
         }
     }
--- a/crates/sillpin-gateway/src/placement/load.rs
+++ b/crates/sillpin-gateway/src/placement/load.rs
@@ -253,7 +253,7 @@
     }
 
     /// Returns whether this box seems to be partitioned from a zone.
-    pub fn looks_partitioned(&self, zone: &ZoneId, now: Instant) -> bool {
+    pub fn seems_partitioned(&self, zone: &ZoneId, now: Instant) -> bool {
         let zones = self.zones.lock().unwrap_or_else(|e| e.into_inner());
         let reachability = zones.get(zone);
         reachability.is_some_and(|r| r.failures >= MIN_FAILURES && now - r.failed_at < AVOID_TIME)
--- a/crates/sillpin-gateway/src/placement/residency.rs
+++ b/crates/sillpin-gateway/src/placement/residency.rs
@@ -17,19 +17,19 @@
 /// Error for a text that is not of the form `ZONE/REGION`.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("expected ZONE/REGION, got {text:?}")]
-pub struct NoZoneRegion {
+pub struct InvalidZoneRegion {
     text: String,
 }
 
 impl FromStr for ZoneRegion {
-    type Err = NoZoneRegion;
+    type Err = InvalidZoneRegion;
 
-    fn from_str(s: &str) -> Result<Self, NoZoneRegion> {
-        let fault = || NoZoneRegion { text: s.to_owned() };
-        let (zone, region) = s.split_once('/').ok_or_else(fault)?;
+    fn from_str(s: &str) -> Result<Self, InvalidZoneRegion> {
+        let error = || InvalidZoneRegion { text: s.to_owned() };
+        let (zone, region) = s.split_once('/').ok_or_else(error)?;
         Ok(Self {
-            zone: zone.parse().map_err(|_| fault())?,
-            region: region.parse().map_err(|_| fault())?,
+            zone: zone.parse().map_err(|_| error())?,
+            region: region.parse().map_err(|_| error())?,
         })
     }
 }
--- a/crates/sillpin-gateway/src/placement/shared_limit.rs
+++ b/crates/sillpin-gateway/src/placement/shared_limit.rs
@@ -10,7 +10,7 @@
 //!
 //! Boxes of other zones send nothing there: their knowledge of the zone's boxes is older, and if a
 //! zone is partitioned each side would take the whole limit. Limits that are not strict are also
-//! shared with the boxes of zones that have no target of the pool, whose callers nobody else
+//! shared with the boxes of zones that have no target of the pool, whose callers no other box
 //! serves.
 //!
 //! All attempts count: first ones, retries, and resumed streams.
@@ -85,7 +85,7 @@
     /// Length of the period.
     pub period: Duration,
     /// Whether only boxes of the target's zone take a share, and only while they are in contact
-    /// with the platform store. Otherwise a box out of contact goes on with the boxes that it knew,
+    /// with the platform store. Otherwise a box out of contact continues with the boxes that it knew,
     /// and boxes of zones without a target of the pool take a share as well.
     pub strict: bool,
 }
--- a/crates/sillpin-gateway/src/placement/slow_start.rs
+++ b/crates/sillpin-gateway/src/placement/slow_start.rs
@@ -1,5 +1,5 @@
 //! Slow start of cold targets: a target that has just started handles only a few requests a second
-//! and fails well above that, but looks idle to every box.
+//! and fails well above that, but appears idle to every box.
 
 use super::shared_limit::SharedLimit;
 use crate::config::WarmUp;
@@ -13,7 +13,7 @@
 pub const PERIOD: Duration = Duration::from_secs(1);
 
 /// Targets that could be reached again after a failure, with the time. They may have restarted,
-/// which their entries show only later.
+/// which becomes visible in their entries only later.
 #[derive(Debug, Default)]
 pub struct SlowStart {
     returned: HashMap<TargetId, Instant>,
--- a/crates/sillpin-gateway/src/pool.rs
+++ b/crates/sillpin-gateway/src/pool.rs
@@ -108,7 +108,7 @@
         set_socket_options(&tcp).map_err(|e| unsent(format!("cannot set socket options: {e}")))?;
         let handshake = http1::handshake(TokioIo::new(tcp)).await;
         let (sender, driver) = handshake.map_err(|e| unsent(e.to_string()))?;
-        // A connection's error is reported to whoever waits for the response.
+        // A connection's error is returned to the task that waits for the response.
         let driver = tokio::spawn(async move {
             let _ = driver.await;
         });
--- a/crates/sillpin-gateway/src/weights/rollout.rs
+++ b/crates/sillpin-gateway/src/weights/rollout.rs
@@ -37,7 +37,7 @@
 /// requests to any engine with a job, so the number is limited.
 const MAX_JOBS_FACTOR: usize = 2;
 
-/// Interval at which the leader looks for engines to order.
+/// Interval at which the leader checks which engines to order.
 const SCAN_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Delay after a failed attempt to become the leader.
--- a/crates/sillpin-gateway/tests/budget.rs
+++ b/crates/sillpin-gateway/tests/budget.rs
@@ -125,7 +125,7 @@
     assert!(*least >= 2, "{least} at one box");
 }
 
-/// Guards against granted retries that pile up. A granted retry is not taken when the silent target responds after
+/// Guards against granted retries that pile up. A granted retry is not taken when the unresponsive target responds after
 /// all; if it did not expire, all boxes would have one in the end.
 #[tokio::test(start_paused = true)]
 async fn granted_retry_that_is_not_taken_expires() {
--- a/crates/sillpin-gateway/tests/place.rs
+++ b/crates/sillpin-gateway/tests/place.rs
@@ -186,7 +186,7 @@
 /// With a zone partitioned, requests went from one unreachable target of that zone to the next, a
 /// third of a second each, until they failed.
 #[tokio::test(start_paused = true)]
-async fn a_zone_that_looks_partitioned_is_avoided_until_a_target_responds() {
+async fn a_partitioned_zone_is_avoided_until_a_target_responds() {
     let mut entries = vec![engine("b1", "zb"), engine("b2", "zb"), engine("b3", "zb")];
     entries.push(engine("a1", "za"));
     let fixture = Fixture::new(targets(entries));
--- a/crates/sillpin-gateway/tests/slow_start.rs
+++ b/crates/sillpin-gateway/tests/slow_start.rs
@@ -1,7 +1,7 @@
 //! Tests of what a whole fleet sends to cold targets.
 //!
 //! A target that has just started can handle 11 requests a second and fails well above that, but
-//! looks idle to every box. Under load just after the evacuation of a zone, 71 boxes together sent
+//! appears idle to every box. Under load just after the evacuation of a zone, 71 boxes together sent
 //! single targets more than 21 requests in a second.
 
 mod common;
@@ -187,7 +187,7 @@
                 (ms(DISCOVERED_AFTER_MS), ms(REMOVED_AFTER_MS))
             });
             let one = &self.boxes[other];
-            // A box learns of all others after its own start, and of later ones after theirs.
+            // A box detects all others after its own start, and later ones after theirs.
             let from = one.started_at.max(self.boxes[of].started_at) + start;
             // A box that stops announces it; half of the announcements are as late as those of
             // starts.
--- a/crates/sillpin-policy/src/overload.rs
+++ b/crates/sillpin-policy/src/overload.rs
@@ -26,7 +26,7 @@
 /// served rather than refused, even if they are late.
 const MIN_QUEUE: Duration = Duration::from_millis(20);
 
-/// Besides the queue that a box knows of, a request waits this many times the recent average queue:
+/// Besides the queue that is known to a box, a request waits this many times the recent average queue:
 /// for memory, for parts that are fetched, and behind what other boxes sent in the last 0.1 s. This
 /// keeps the average queue below a third of a latency objective, so that requests with shorter
 /// objectives are in time too.
