--- a/crates/sillpin-gateway/src/budget.rs
+++ b/crates/sillpin-gateway/src/budget.rs
@@ -107,7 +107,7 @@
 
     /// Takes one retry from the budget; returns whether there was one.
     pub fn take(&mut self, pool: &PoolId, rules: &RetryRules, boxes: usize, now: Instant) -> bool {
-        if !self.has(pool, rules, boxes, now) {
+        if !self.has_retry(pool, rules, boxes, now) {
             return false;
         }
         let bucket = self.bucket(pool, rules, boxes, now);
@@ -119,7 +119,13 @@
 
     /// Whether there is a retry in the budget. Where retries are granted at random, this draws the random number, so
     /// call it just before a retry is to be made.
-    pub fn has(&mut self, pool: &PoolId, rules: &RetryRules, boxes: usize, now: Instant) -> bool {
+    pub fn has_retry(
+        &mut self,
+        pool: &PoolId,
+        rules: &RetryRules,
+        boxes: usize,
+        now: Instant,
+    ) -> bool {
         let random = self.rng.random::<f64>();
         let bucket = self.bucket(pool, rules, boxes, now);
         if bucket.balance >= 1.0 || bucket.granted_at.is_some() {
--- a/crates/sillpin-gateway/src/cache_stores/homes.rs
+++ b/crates/sillpin-gateway/src/cache_stores/homes.rs
@@ -1,4 +1,4 @@
-//! Choice of the store that keeps a part.
+//! Choice of the cache store for a part.
 //!
 //! Every box computes the same answer from the configuration alone, by rendezvous hashing over the
 //! stores, weighted by their capacity. No state is exchanged or stored.
@@ -27,7 +27,7 @@
     Last,
 }
 
-/// Returns the stores that may keep a part, best first: by whether their capacity suits the part's size, then by the
+/// Returns the stores for a part, best first: by whether their capacity suits the part's size, then by the
 /// start-up time of a transfer, then by the part's rendezvous rank.
 pub fn homes<'a>(
     stores: &'a [StoreSpec],
--- a/crates/sillpin-gateway/src/cache_stores/mod.rs
+++ b/crates/sillpin-gateway/src/cache_stores/mod.rs
@@ -5,7 +5,7 @@
 //! restarted may be in the middle of writing the part again.
 //!
 //! - [`directory`]: content of each store,
-//! - [`homes`]: choice of the store that keeps a part,
+//! - [`homes`]: choice of the store for a part,
 //! - [`salt`]: model, weight version and isolation that a part's key names,
 //! - [`retire`]: parts of replaced weights that are no longer fetched or saved,
 //! - [`fetch_shares`]: share of prompts that may fetch from each store,
--- a/crates/sillpin-gateway/src/cache_stores/salt.rs
+++ b/crates/sillpin-gateway/src/cache_stores/salt.rs
@@ -8,20 +8,22 @@
 /// The fields of a salt, written as `model/version` or `model/version/organisation`. No name contains a slash, so parsing is
 /// unambiguous.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Display)]
-#[display("{model}/{version}{}", self.wall_text())]
+#[display("{model}/{version}{}", self.isolated_org_text())]
 pub struct SaltParts {
     /// The model.
     pub model: ModelId,
     /// The version of its weights.
     pub version: WeightVersion,
     /// The organisation, if it is isolated and shares no parts with others.
-    pub wall: Option<OrgId>,
+    pub isolated_org: Option<OrgId>,
 }
 
 impl SaltParts {
-    fn wall_text(&self) -> String {
-        let wall = self.wall.as_ref();
-        wall.map(|org| format!("/{org}")).unwrap_or_default()
+    fn isolated_org_text(&self) -> String {
+        let isolated_org = self.isolated_org.as_ref();
+        isolated_org
+            .map(|org| format!("/{org}"))
+            .unwrap_or_default()
     }
 
     /// Returns the salt as text.
@@ -42,7 +44,7 @@
         let mut fields = text.split('/');
         let model = fields.next().and_then(|field| field.parse().ok());
         let version = fields.next().and_then(|field| field.parse().ok());
-        let wall = fields
+        let isolated_org = fields
             .next()
             .map(|field| field.parse().map_err(|_| SaltError));
         if fields.next().is_some() {
@@ -51,7 +53,7 @@
         Ok(Self {
             model: model.ok_or(SaltError)?,
             version: version.ok_or(SaltError)?,
-            wall: wall.transpose()?,
+            isolated_org: isolated_org.transpose()?,
         })
     }
 }
--- a/crates/sillpin-gateway/src/front/idle_timeout.rs
+++ b/crates/sillpin-gateway/src/front/idle_timeout.rs
@@ -1,8 +1,8 @@
 //! When to abandon a target that sends nothing.
 //!
-//! A busy engine keeps prompts waiting in its queue and streams waiting between events, which cannot be
-//! distinguished from an engine that has stopped. Abandoning it discards its work and starts over at the end of another queue.
-//! So a target is abandoned only if the request may run again, the retry budget allows it, and another target is
+//! Prompts wait in the queue of a busy engine, and streams wait between events, so a busy engine cannot be distinguished
+//! from one that has stopped. Abandoning it discards its work and starts over at the end of another queue. So a target
+//! is abandoned only if the request may run again, the retry budget allows it, and another target is
 //! expected to start before the caller gives up. Otherwise the request stays until its deadline. Dead connections are
 //! detected by TCP keep-alive, not here.
 
@@ -15,8 +15,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Fraction of the callers' event timeout that an unresponsive engine gets; the rest is left for another one to start. A
-/// busy engine often sends no event for more than 1.3 s, and callers wait 2.4 to 4.8 s.
+/// Fraction of the callers' event timeout that an unresponsive engine gets; the rest is left for another one to start.
+/// A busy engine often sends no event for more than 1.3 s, and callers wait 2.4 to 4.8 s.
 const EVENT_TIMEOUT_FRACTION: f64 = 0.6;
 
 /// A target that is not an engine is abandoned after this multiple of the latency objective: its response is late by
--- a/crates/sillpin-gateway/src/front/shared.rs
+++ b/crates/sillpin-gateway/src/front/shared.rs
@@ -146,7 +146,7 @@
         let boxes = self.fleet.view().box_count();
         let rules = self.settings.borrow().retries;
         let mut budget = self.budget.lock().unwrap_or_else(|e| e.into_inner());
-        budget.has(pool, &rules, boxes, Instant::now())
+        budget.has_retry(pool, &rules, boxes, Instant::now())
     }
 
     /// Whether the box has a configuration and targets, and is not stopping.
--- a/crates/sillpin-gateway/src/ops.rs
+++ b/crates/sillpin-gateway/src/ops.rs
@@ -98,7 +98,7 @@
     peers: TcpListener,
     gossip: UdpSocket,
     metrics: Option<TcpListener>,
-    at: ListenAddrs,
+    addrs: ListenAddrs,
 }
 
 async fn listen_all(cfg: &BoxConfig) -> Result<Listeners, BindError> {
@@ -119,7 +119,7 @@
         peers,
         gossip,
         metrics,
-        at: ListenAddrs {
+        addrs: ListenAddrs {
             callers: callers_at,
             ready: ready_at,
             peers: peers_at,
@@ -145,10 +145,10 @@
 {
     let cfg = settings.borrow().clone();
     let listeners = listen_all(&cfg).await?;
-    let at = listeners.at;
-    started(at);
+    let addrs = listeners.addrs;
+    started(addrs);
     let Telemetry { log, metrics, .. } = telemetry;
-    event!(log, events::BOX_STARTED, "callers" => at.callers.to_string(),
+    event!(log, events::BOX_STARTED, "callers" => addrs.callers.to_string(),
         "platform" => cfg.platform.to_string(), "seeds" => cfg.seeds.len());
     let (fleet, port) = fleet_state::channel();
     observe_fleet(&metrics.meter(), fleet.clone());
@@ -159,8 +159,8 @@
     let me = BoxEntry {
         id: cfg.id.clone(),
         zone: cfg.zone.clone(),
-        peers: listeners.at.peers,
-        gossip: listeners.at.gossip,
+        peers: listeners.addrs.peers,
+        gossip: listeners.addrs.gossip,
         link_mbps: cfg.link_mbps,
     };
     let transfers = Transfers::default();
--- a/crates/sillpin-gateway/src/placement/parts.rs
+++ b/crates/sillpin-gateway/src/placement/parts.rs
@@ -1,4 +1,4 @@
-//! Decides from where the parts of a prompt are fetched and where they are stored.
+//! Decides from which cache stores the parts of a prompt are fetched, and in which they are saved.
 
 use crate::cache_stores::homes::{PartPosition, homes};
 use crate::cache_stores::retire::MAX_FETCH_TIME;
@@ -81,7 +81,7 @@
     pub shared: Vec<SharedPart>,
     /// Number of all parts, including the last.
     part_count: usize,
-    /// Tokens that no other request shares.
+    /// Tokens of the last part, which no other request shares.
     pub own_tokens: Tokens,
     /// Tokens in stores, whether or not they are fetched.
     pub stored_tokens: Tokens,
@@ -91,11 +91,11 @@
 /// Returns the salt that separates the stored parts of a weights version, and of an isolated
 /// organisation, from others.
 pub fn salt(prompt: &Prompt, version: WeightVersion, org: Option<&Organisation>) -> SaltParts {
-    let wall = org.filter(|org| org.isolated);
+    let isolated_org = org.filter(|org| org.isolated);
     SaltParts {
         model: prompt.model.clone(),
         version,
-        wall: wall.map(|org| org.id.clone()),
+        isolated_org: isolated_org.map(|org| org.id.clone()),
     }
 }
 
@@ -115,7 +115,7 @@
     pub now: Instant,
 }
 
-/// Looks up the shared parts of a prompt under a salt.
+/// Looks up in which stores the shared parts of a prompt are, under a salt.
 pub fn plan(prompt: &Prompt, salt: &SaltParts, inputs: &PlanInputs<'_>) -> Plan {
     let text = salt.salt();
     let shared_count = prompt.parts.len().saturating_sub(1);
--- a/crates/sillpin-gateway/tests/budget.rs
+++ b/crates/sillpin-gateway/tests/budget.rs
@@ -136,10 +136,10 @@
         let mut budget = RetryBudget::seeded(seed);
         for _ in 0..60 {
             budget.record_request(&pool, &RULES, BOXES, Instant::now());
-            budget.has(&pool, &RULES, BOXES, Instant::now());
+            budget.has_retry(&pool, &RULES, BOXES, Instant::now());
             tokio::time::advance(Duration::from_secs(1)).await;
         }
-        ready += u32::from(budget.has(&pool, &RULES, BOXES, Instant::now()));
+        ready += u32::from(budget.has_retry(&pool, &RULES, BOXES, Instant::now()));
     }
     assert!(f64::from(ready) < RULES.slack * 0.5, "{ready} boxes");
 }
--- a/crates/sillpin-gateway/tests/cache_stores/retire.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/retire.rs
@@ -304,7 +304,7 @@
     let salt = SaltParts {
         model: name("m"),
         version: WeightVersion(1),
-        wall: None,
+        isolated_org: None,
     };
     assert!(other.is_retired(&salt, &key("a")));
 }
