--- a/crates/sillpin-gateway/src/fatal/persist.rs
+++ b/crates/sillpin-gateway/src/fatal/persist.rs
@@ -40,7 +40,7 @@
 /// Persisted history of one request. Times are wall-clock times, since they outlast all processes: a clock that jumps makes the
 /// retention time longer or shorter by as much.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-struct KeptRequest {
+struct PersistedRequest {
     print: Fingerprint,
     /// Targets that crashed under it, and when, in Unix milliseconds.
     ended: Vec<(IncarnationHash, u64)>,
@@ -153,7 +153,7 @@
         }
         let reports = self.reports_to_persist();
         let now = unix_ms();
-        let persisted = |report: &CrashReport| KeptRequest {
+        let persisted = |report: &CrashReport| PersistedRequest {
             print: report.fingerprint,
             ended: report
                 .crashes
@@ -161,7 +161,7 @@
                 .map(|(incarnation, age)| (*incarnation, now.saturating_sub(u64::from(*age))))
                 .collect(),
         };
-        let persisted_requests: Vec<KeptRequest> = reports.iter().map(persisted).collect();
+        let persisted_requests: Vec<PersistedRequest> = reports.iter().map(persisted).collect();
         let text = serde_json::to_string(&persisted_requests).unwrap_or_default();
         let expect = entry.map_or(KvRevision::ABSENT, |entry| entry.revision);
         self.platform.put(FATAL_KEY, &text, expect, None).await?;
@@ -170,7 +170,7 @@
 
     fn parse(&self, entry: &KvEntry) -> Vec<CrashReport> {
         let text = entry.value.as_deref().unwrap_or_default();
-        let persisted_requests: Vec<KeptRequest> = match serde_json::from_str(text) {
+        let persisted_requests: Vec<PersistedRequest> = match serde_json::from_str(text) {
             Ok(persisted_requests) => persisted_requests,
             Err(e) => {
                 event!(self.log, events::VALUE_UNREADABLE, "key" => FATAL_KEY, "why" => e.to_string());
@@ -179,7 +179,7 @@
         };
         let now = unix_ms();
         let age = |at: u64| u32::try_from(now.saturating_sub(at)).unwrap_or(u32::MAX);
-        let report = |persisted: KeptRequest| CrashReport {
+        let report = |persisted: PersistedRequest| CrashReport {
             fingerprint: persisted.print,
             crashes: persisted
                 .ended
--- a/crates/sillpin-gateway/src/front/selection.rs
+++ b/crates/sillpin-gateway/src/front/selection.rs
@@ -341,7 +341,7 @@
         };
         let serving = served_versions(view, base.pool, &prompt.model);
         let weights = self
-            .weights_use(view, &prompt.model, serving, now)
+            .weights_inputs(view, &prompt.model, serving, now)
             .allowed();
         let plans: Vec<(WeightVersion, Plan)> = serving.keys().copied().map(plan_for).collect();
         let prompt_choice = PromptInputs {
@@ -376,12 +376,12 @@
         let model = &request.head.prompt.as_ref()?.model;
         let view = self.fleet.view();
         let serving = served_versions(&view, pool, model);
-        let weights = self.weights_use(&view, model, serving, Instant::now());
+        let weights = self.weights_inputs(&view, model, serving, Instant::now());
         weights.latest_start(version)
     }
 
     /// Input for the decision which versions of the weights a prompt may run on.
-    fn weights_use<'a>(
+    fn weights_inputs<'a>(
         &self,
         view: &'a View,
         model: &ModelId,
--- a/crates/sillpin-gateway/src/ops.rs
+++ b/crates/sillpin-gateway/src/ops.rs
@@ -326,11 +326,11 @@
         log: log.clone(),
     };
     tokio::spawn(persist.run());
-    let name = BoxHash::of(&me);
+    let short_id = BoxHash::of(&me);
     let gossip = GossipSender {
         fleet_key,
-        name,
-        zone_gossip: ZoneGossip::new(Hub::new(name), RosterCache::new(me.clone())),
+        short_id,
+        zone_gossip: ZoneGossip::new(Hub::new(short_id), RosterCache::new(me.clone())),
         me,
         settings,
         fleet: fleet.clone(),
--- a/crates/sillpin-gateway/src/peers/receiver.rs
+++ b/crates/sillpin-gateway/src/peers/receiver.rs
@@ -102,7 +102,7 @@
     /// Counts datagrams.
     pub metrics: BoxMetrics,
     /// Short id of this box.
-    pub name: BoxHash,
+    pub short_id: BoxHash,
     /// Zone of this box.
     pub zone: ZoneId,
     /// State of gossip in a large zone.
--- a/crates/sillpin-gateway/src/peers/receiver/zone.rs
+++ b/crates/sillpin-gateway/src/peers/receiver/zone.rs
@@ -18,7 +18,7 @@
     /// Relays a bulletin unchanged to this box's children in the relay tree.
     pub(super) async fn relay_bulletin(&self, socket: &UdpSocket, buf: &[u8], bulletin: &Bulletin) {
         let roster = self.zone_gossip.rosters.of(&self.fleet.view());
-        let to = roster.addrs(relay_children(&bulletin.members, self.name));
+        let to = roster.addrs(relay_children(&bulletin.members, self.short_id));
         self.metrics
             .datagrams("bulletin", "passed on", to.len(), buf.len());
         for peer in to {
--- a/crates/sillpin-gateway/src/peers/roster.rs
+++ b/crates/sillpin-gateway/src/peers/roster.rs
@@ -15,24 +15,24 @@
     boxes: Arc<Vec<BoxEntry>>,
     /// Boxes of the own zone, this one included, in the order in which they become hubs.
     pub zone: Vec<BoxHash>,
-    by_name: HashMap<BoxHash, usize>,
+    by_short_id: HashMap<BoxHash, usize>,
     /// Addresses of the boxes of each other zone, in the same order.
     pub others: Vec<(ZoneId, Vec<SocketAddr>)>,
 }
 
 impl Roster {
     fn new(boxes: Arc<Vec<BoxEntry>>, me: &BoxEntry) -> Self {
-        let mut by_name = HashMap::new();
+        let mut by_short_id = HashMap::new();
         let mut zone = vec![BoxHash::of(me)];
         let mut others: HashMap<ZoneId, Vec<(BoxHash, SocketAddr)>> = HashMap::new();
         for (index, peer) in boxes.iter().enumerate() {
-            let name = BoxHash::of(peer);
+            let short_id = BoxHash::of(peer);
             if peer.zone == me.zone {
-                zone.push(name);
-                by_name.insert(name, index);
+                zone.push(short_id);
+                by_short_id.insert(short_id, index);
             } else {
                 let zone_boxes = others.entry(peer.zone.clone()).or_default();
-                zone_boxes.push((name, peer.gossip));
+                zone_boxes.push((short_id, peer.gossip));
             }
         }
         zone.sort_unstable();
@@ -43,7 +43,7 @@
         Self {
             boxes,
             zone,
-            by_name,
+            by_short_id,
             others: others.into_iter().map(sorted).collect(),
         }
     }
@@ -54,14 +54,16 @@
     }
 
     /// Finds another box of the own zone.
-    pub fn find(&self, name: BoxHash) -> Option<&BoxEntry> {
-        self.by_name.get(&name).map(|index| &self.boxes[*index])
+    pub fn find(&self, short_id: BoxHash) -> Option<&BoxEntry> {
+        self.by_short_id
+            .get(&short_id)
+            .map(|index| &self.boxes[*index])
     }
 
     /// Returns gossip addresses of boxes of the own zone, without boxes unknown to this one and
     /// itself.
-    pub fn addrs(&self, names: &[BoxHash]) -> Vec<SocketAddr> {
-        let known = names.iter().filter_map(|name| self.find(*name));
+    pub fn addrs(&self, short_ids: &[BoxHash]) -> Vec<SocketAddr> {
+        let known = short_ids.iter().filter_map(|short_id| self.find(*short_id));
         known.map(|peer| peer.gossip).collect()
     }
 }
--- a/crates/sillpin-gateway/src/peers/sender.rs
+++ b/crates/sillpin-gateway/src/peers/sender.rs
@@ -77,7 +77,7 @@
     /// Updates that this box reads from stores, for its zone.
     pub zone_updates: mpsc::Receiver<ZoneUpdate>,
     /// Short id of this box.
-    pub name: BoxHash,
+    pub short_id: BoxHash,
     /// State of gossip in a large zone.
     pub zone_gossip: ZoneGossip,
     /// Transfers to this box in progress.
@@ -111,7 +111,7 @@
             transfers: self.transfers.clone(),
             stall: StallDetector::start(self.suspend_clock.clone()),
             metrics: self.metrics.clone(),
-            name: self.name,
+            short_id: self.short_id,
             zone: self.me.zone.clone(),
             zone_gossip: self.zone_gossip.clone(),
             log: self.log.clone(),
--- a/crates/sillpin-gateway/src/peers/zone_sender.rs
+++ b/crates/sillpin-gateway/src/peers/zone_sender.rs
@@ -134,7 +134,7 @@
         state.report_sent = Some(now);
         state.work = work.clone();
         self.loads.set_own_report(work.clone());
-        let me = self.name;
+        let me = self.short_id;
         let hubs = self.hub_addrs(roster, now);
         let mut pieces = chunks(std::mem::take(&mut state.pending));
         if pieces.is_empty() {
@@ -171,7 +171,7 @@
             self.loads
                 .apply_zone_totals(sums.work.clone(), &bulletin.members);
         }
-        let to = roster.addrs(relay_children(&bulletin.members, self.name));
+        let to = roster.addrs(relay_children(&bulletin.members, self.short_id));
         self.send(socket, &Datagram::Bulletin(bulletin), to).await;
     }
 
--- a/crates/sillpin-gateway/src/placement/choose.rs
+++ b/crates/sillpin-gateway/src/placement/choose.rs
@@ -120,7 +120,7 @@
         found.map(|(_, plan)| plan)
     }
 
-    fn any_plan(&self) -> Option<&Plan> {
+    fn first_plan(&self) -> Option<&Plan> {
         self.plans.first().map(|(_, plan)| plan)
     }
 }
@@ -213,7 +213,7 @@
         let affinity_key = choice
             .prompt
             .as_ref()
-            .and_then(|p| p.any_plan())
+            .and_then(|p| p.first_plan())
             .and_then(Plan::affinity_key);
         let unavailable = choice
             .loads
--- a/crates/sillpin-gateway/src/reload.rs
+++ b/crates/sillpin-gateway/src/reload.rs
@@ -34,27 +34,27 @@
     log: Logger,
 ) -> Settings {
     let (tx, rx) = watch::channel(cfg.clone());
-    let task = Task {
+    let task = ReloadTask {
         loaded,
         reloader,
         tx,
-        refused: None,
+        last_faults: None,
         log,
     };
     tokio::spawn(task.run(hangups));
     rx
 }
 
-struct Task {
+struct ReloadTask {
     loaded: Loaded,
     reloader: Reloader,
     tx: watch::Sender<BoxConfig>,
     /// Faults that were logged last, so that a bad file is not logged at each read.
-    refused: Option<Faults>,
+    last_faults: Option<Faults>,
     log: Logger,
 }
 
-impl Task {
+impl ReloadTask {
     async fn run(mut self, mut hangups: Signal) {
         loop {
             let signalled = tokio::select! {
@@ -69,7 +69,7 @@
     }
 
     fn take(&mut self, loaded: Loaded, signalled: bool) {
-        self.refused = None;
+        self.last_faults = None;
         let changed = loaded.changed_since(&self.loaded);
         if changed.is_empty() && !signalled {
             return;
@@ -92,10 +92,10 @@
     }
 
     fn refuse(&mut self, faults: Faults) {
-        if self.refused.as_ref() == Some(&faults) {
+        if self.last_faults.as_ref() == Some(&faults) {
             return;
         }
         event!(self.log, events::SETTINGS_REFUSED, "why" => faults.to_string());
-        self.refused = Some(faults);
+        self.last_faults = Some(faults);
     }
 }
--- a/crates/sillpin-gateway/tests/allowed.rs
+++ b/crates/sillpin-gateway/tests/allowed.rs
@@ -246,7 +246,7 @@
 
 /// A box that started just after version 2 was requested had known it for 7 s, and no box that
 /// witnessed the request was left. Then another box, frozen until then, found version 2 and
-/// reported that it was requested just now. The first box believed this and used version 1 for
+/// reported that it was requested just now. The first box accepted this and used version 1 for
 /// seven more seconds.
 #[tokio::test(start_paused = true)]
 async fn a_version_known_for_long_is_not_taken_as_new() {
--- a/crates/sillpin-gateway/tests/fleet_state.rs
+++ b/crates/sillpin-gateway/tests/fleet_state.rs
@@ -227,7 +227,7 @@
 /// Guards against requests to a removed target: a box that the store had refused until 3.4 s before
 /// took the removal of an entry for an expiry during that outage, and sent requests 2.3 s after it.
 #[tokio::test(start_paused = true)]
-async fn a_removal_long_after_the_stores_return_is_no_expiry() {
+async fn a_removal_long_after_the_store_recovered_is_no_expiry() {
     let mut fleet = fleet();
     let now = Instant::now();
     let all = (0..4).map(|i| entry(&format!("target/e{i}"), "ready 1", 4));
@@ -254,7 +254,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn weights_found_in_an_answer_count_until_the_entry_is_newer() {
+async fn weights_named_in_a_response_count_until_the_entry_is_newer() {
     let mut fleet = fleet();
     let now = Instant::now();
     let one = vec![entry("target/e1", "ready 1", 3)];
@@ -306,7 +306,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn contact_restarts_after_the_store_was_silent() {
+async fn contact_restarts_after_the_store_was_unresponsive() {
     let mut fleet = fleet();
     let start = Instant::now();
     let confirm = |fleet: &mut Fleet<TestKeys>, requested_at| {
@@ -436,7 +436,7 @@
 /// All boxes were frozen for 5 s, and version 2 was requested meanwhile. When they resumed, each
 /// reported that the version was requested at that moment, so version 1 was used for 5 s too long.
 #[tokio::test(start_paused = true)]
-async fn versions_found_after_a_silence_are_not_witnessed() {
+async fn versions_found_after_a_gap_are_not_witnessed() {
     let mut fleet = fleet();
     let start = Instant::now();
     let found = vec![entry("ops/weights/m", "1", 5)];
--- a/crates/sillpin-gateway/tests/hub.rs
+++ b/crates/sillpin-gateway/tests/hub.rs
@@ -1,7 +1,6 @@
 //! Tests of hubs in a large zone.
 //!
-//! Without hubs, each box of a fleet of 295 boxes would read some 800 datagrams a second, computed
-//! from what others sent: each box sent its work sixteen times a second to 35 others, and each
+//! Without hubs, each box of a fleet of 295 boxes would receive some 800 datagrams a second: each box sent its work sixteen times a second to 35 others, and each
 //! store's changes to half of a zone.
 
 mod common;
--- a/crates/sillpin-gateway/tests/reader.rs
+++ b/crates/sillpin-gateway/tests/reader.rs
@@ -167,7 +167,7 @@
 
 /// The connection on which the box waits is broken, and another box reports a newer revision.
 #[tokio::test(start_paused = true)]
-async fn a_silent_store_is_called_again_when_other_boxes_are_ahead() {
+async fn an_unresponsive_store_is_called_again_when_other_boxes_are_ahead() {
     let world = World::start().await;
     world.store.set_unresponsive(true);
     world.transfers.request_retry(Topic::Operators);
--- a/crates/sillpin-gateway/tests/rollout.rs
+++ b/crates/sillpin-gateway/tests/rollout.rs
@@ -234,7 +234,7 @@
         };
         scene.list().await;
         scene.leader = tokio::spawn(scene.rollout(log).run());
-        // The box has become the leader and has nothing to do.
+        // The box has become the leader, and there is no engine to order.
         tokio::time::sleep(Duration::from_millis(500)).await;
         scene
     }
