--- a/crates/sillpin-gateway/benches/decision.rs
+++ b/crates/sillpin-gateway/benches/decision.rs
@@ -1,11 +1,8 @@
 //! Measures one decision of a box: planning the parts of a prompt and selecting an engine.
-//!
-//! With 256 engines and 58 cache stores, a decision takes 14.3 us where few engines are compared (one run on eight
-//! cores). The code before the index of targets was not measured.
 
 #![allow(
     missing_docs,
-    reason = "the macro of the library writes a function without"
+    reason = "criterion's macro generates a function without documentation"
 )]
 
 #[path = "../tests/common/mod.rs"]
@@ -29,7 +26,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Number of cache stores of the largest fleet.
+/// Number of cache stores of the largest fleet, which has 256 engines.
 const STORES: u16 = 58;
 
 const ZONES: usize = 5;
--- a/crates/sillpin-gateway/src/placement/hold_time.rs
+++ b/crates/sillpin-gateway/src/placement/hold_time.rs
@@ -2,7 +2,7 @@
 //!
 //! A request holds memory for its prompt from the first event until the end, and other prompts wait
 //! for that memory. The time depends on the engine, on concurrent requests and on the number of
-//! generated tokens, so it is measured.
+//! generated tokens, so it is estimated from completed requests.
 
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/sillpin-gateway/tests/hub.rs
+++ b/crates/sillpin-gateway/tests/hub.rs
@@ -1,7 +1,8 @@
 //! Tests of hubs in a large zone.
 //!
-//! Without hubs, each box of a fleet of 295 boxes would receive some 800 datagrams a second: each box sent its work sixteen times a second to 35 others, and each
-//! store's changes to half of a zone.
+//! Without hubs, each box of a fleet of 295 boxes would receive some 800 datagrams a second: each
+//! box would send its work sixteen times a second to 35 others, and each store's changes to half of
+//! a zone.
 
 mod common;
 
