--- a/crates/sillpin-keeper/src/api/entry.rs
+++ b/crates/sillpin-keeper/src/api/entry.rs
@@ -1,8 +1,8 @@
-//! The service for the entry of this box.
+//! RPC service for the entry of this box.
 
 use crate::claims::Journal;
 use crate::directory::{DirectoryHandle, DirectoryMsg};
-use crate::fleet::{FleetHandle, FleetMsg, Published, TargetReading};
+use crate::fleet::{FleetHandle, FleetMsg, PollResult, Published};
 use crate::peers::Peers;
 use crate::records::RecordsHandle;
 use crate::router::RouterHandle;
@@ -21,43 +21,43 @@
 use tarpc::context::Context;
 use tokio::time::Instant;
 
-/// Longest wait for something to change.
+/// Maximum wait for a change of the fleet state.
 const MAX_WAIT: Duration = Duration::from_secs(10);
 
-/// How long changes are gathered before they are sent.
-const GATHER: Duration = Duration::from_millis(100);
+/// How long changes are collected before they are sent.
+const COLLECT_TIME: Duration = Duration::from_millis(100);
 
-/// Serves the entry.
+/// Implements the service for the entry.
 #[derive(Clone)]
 pub struct EntryApi<P> {
     /// This box.
     pub me: BoxId,
-    /// The fleet task.
+    /// Handle of the fleet task.
     pub fleet: FleetHandle,
-    /// What it publishes.
+    /// State that the fleet task publishes.
     pub published: Published,
     /// This keeper's part of the directory.
     pub directory: DirectoryHandle,
-    /// Carries news to the owners of roots.
+    /// Sends directory updates to the owners of roots.
     pub router: RouterHandle,
-    /// Other keepers.
+    /// Connections to other keepers.
     pub peers: Peers,
-    /// Run-once calls.
+    /// Journal of calls that run at most once.
     pub journal: Journal<P>,
-    /// Decision records.
+    /// Decision records of this box's entry.
     pub records: RecordsHandle,
 }
 
 impl<P: Platform> EntryApi<P> {
-    async fn ask_owner(
+    async fn query_owner(
         &self,
         owner: Option<SocketAddr>,
         blocks: Vec<BlockName>,
         wait: Duration,
     ) -> BlockHints {
         let Some(owner) = owner else {
-            let asked = self.directory.ask(|tx| DirectoryMsg::LookUp(blocks, tx));
-            return asked.await.unwrap_or_default();
+            let hints = self.directory.query(|tx| DirectoryMsg::LookUp(blocks, tx));
+            return hints.await.unwrap_or_default();
         };
         let step = "look up blocks";
         let call = self.peers.call(step, owner, wait, |client, cx| async move {
@@ -73,13 +73,13 @@
         let mut stamp = self.published.stamp.clone();
         loop {
             stamp.mark_unchanged();
-            let update = self.fleet.ask(|tx| FleetMsg::Update(known, tx)).await;
+            let update = self.fleet.query(|tx| FleetMsg::Update(known, tx)).await;
             let update = update.unwrap_or_default();
-            if has_news(&update) || Instant::now() >= deadline {
+            if has_changes(&update) || Instant::now() >= deadline {
                 return update;
             }
             let _ = tokio::time::timeout_at(deadline, stamp.changed()).await;
-            tokio::time::sleep(GATHER).await;
+            tokio::time::sleep(COLLECT_TIME).await;
         }
     }
 
@@ -90,16 +90,16 @@
             return BlockHints::default();
         };
         let owners = view.owners(root);
-        let mut asked: FuturesUnordered<_> = owners
+        let mut replies: FuturesUnordered<_> = owners
             .iter()
             .map(|owner| {
                 let addr = (owner.id != self.me).then_some(owner.addr);
-                self.ask_owner(addr, blocks.clone(), wait)
+                self.query_owner(addr, blocks.clone(), wait)
             })
             .collect();
         let mut hints = BlockHints::default();
         let deadline = Instant::now() + wait;
-        while let Ok(Some(more)) = tokio::time::timeout_at(deadline, asked.next()).await {
+        while let Ok(Some(more)) = tokio::time::timeout_at(deadline, replies.next()).await {
             hints = hints.merge(more);
             if !hints.is_empty() {
                 break;
@@ -128,7 +128,7 @@
 
     async fn stop_arm(self, _: Context, revision: Revision, arm: ArmName, breach: Breach) {
         let msg = FleetMsg::StopArm(revision, arm, breach);
-        self.fleet.tell(msg).await;
+        self.fleet.send(msg).await;
     }
 
     async fn arms(self, _: Context, figures: Vec<ArmFigures>) {
@@ -136,12 +136,12 @@
     }
 
     async fn report_unreachable(self, _: Context, target: TargetId) {
-        let msg = FleetMsg::Target(target, TargetReading::Failed);
-        self.fleet.tell(msg).await;
+        let msg = FleetMsg::Target(target, PollResult::Failed);
+        self.fleet.send(msg).await;
     }
 }
 
-fn has_news(update: &FleetUpdate) -> bool {
+fn has_changes(update: &FleetUpdate) -> bool {
     update.complete
         || !update.targets.is_empty()
         || update.bundle.is_some()
--- a/crates/sillpin-keeper/src/api/http.rs
+++ b/crates/sillpin-keeper/src/api/http.rs
@@ -1,4 +1,4 @@
-//! Health and metrics.
+//! HTTP endpoints for health and metrics.
 
 use crate::directory::{DirectoryHandle, DirectoryMsg};
 use crate::fleet::Published;
@@ -9,7 +9,7 @@
 use sillpin_telemetry::metrics::Metrics;
 use std::sync::Arc;
 
-/// Answers the health check and the metrics page.
+/// Serves the health check and the metrics page.
 #[derive(Clone)]
 pub struct KeeperHttp {
     published: Published,
@@ -27,7 +27,7 @@
 }
 
 impl KeeperHttp {
-    /// Answers out of what the tasks publish.
+    /// Creates the service from the published fleet state, the directory and the process's metrics.
     pub fn new(published: Published, directory: DirectoryHandle, metrics: Metrics) -> Self {
         let meter = metrics.meter();
         let gauges = Gauges {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Answers one request.
+    /// Responds to one request.
     pub async fn handle(self, req: Request<Incoming>) -> Response<Body> {
         match req.uri().path() {
             "/healthz" => empty_response(StatusCode::OK),
@@ -64,7 +64,7 @@
         self.gauges.boxes.record(live as u64, &[]);
         self.gauges.targets.record(usable.count() as u64, &[]);
         self.gauges.revision.record(revision, &[]);
-        if let Some(stats) = self.directory.ask(DirectoryMsg::Stats).await {
+        if let Some(stats) = self.directory.query(DirectoryMsg::Stats).await {
             self.gauges.prompts.record(stats.prompts, &[]);
         }
     }
--- a/crates/sillpin-keeper/src/api/mod.rs
+++ b/crates/sillpin-keeper/src/api/mod.rs
@@ -1,5 +1,5 @@
-//! What this keeper answers: [`entry`] to the entry of its box, [`peer`] to keepers and operators,
-//! [`http`] to the balancer and Prometheus.
+//! Interfaces of this keeper: [`entry`] for the entry of its box, [`peer`] for keepers and operators,
+//! [`http`] for the load balancer and Prometheus.
 
 pub mod entry;
 pub mod http;
--- a/crates/sillpin-keeper/src/api/peer.rs
+++ b/crates/sillpin-keeper/src/api/peer.rs
@@ -1,4 +1,4 @@
-//! The service for other keepers and for operators.
+//! RPC service for other keepers and for operators.
 
 use crate::directory::{DirectoryHandle, DirectoryMsg, DirectoryStats};
 use crate::fleet::{FleetHandle, FleetMsg};
@@ -11,42 +11,42 @@
 use sillpin_rpc::records::DecisionRecord;
 use tarpc::context::Context;
 
-/// Serves keepers and operators.
+/// Implements the service for keepers and operators.
 #[derive(Clone)]
 pub struct PeerApi {
-    /// The fleet task.
+    /// Handle of the fleet task.
     pub fleet: FleetHandle,
     /// This keeper's part of the directory.
     pub directory: DirectoryHandle,
-    /// Decision records.
+    /// Decision records of this box's entry.
     pub records: RecordsHandle,
-    /// Answers nothing more than this box's name when the fleet task has ended.
+    /// Id and zone of this box: all that `status` returns once the fleet task has ended.
     pub me: (sillpin_core::BoxId, ZoneId),
 }
 
 impl PeerLink for PeerApi {
     async fn exchange(self, _: Context, digest: Digest) -> Exchange {
-        let asked = self.fleet.ask(|tx| FleetMsg::Exchange(digest, tx));
-        asked.await.unwrap_or_default()
+        let reply = self.fleet.query(|tx| FleetMsg::Exchange(digest, tx));
+        reply.await.unwrap_or_default()
     }
 
     async fn push(self, _: Context, items: Vec<Item>) {
-        self.fleet.tell(FleetMsg::Apply(items)).await;
+        self.fleet.send(FleetMsg::Apply(items)).await;
     }
 
     async fn look_up(self, _: Context, blocks: Vec<BlockName>) -> BlockHints {
-        let asked = self.directory.ask(|tx| DirectoryMsg::LookUp(blocks, tx));
-        asked.await.unwrap_or_default()
+        let reply = self.directory.query(|tx| DirectoryMsg::LookUp(blocks, tx));
+        reply.await.unwrap_or_default()
     }
 
-    async fn update_directory(self, _: Context, news: Vec<DirectoryUpdate>) {
-        self.directory.tell(DirectoryMsg::Learn(news)).await;
+    async fn update_directory(self, _: Context, updates: Vec<DirectoryUpdate>) {
+        self.directory.send(DirectoryMsg::Update(updates)).await;
     }
 
     async fn status(self, _: Context) -> FleetStatus {
-        let stats = self.directory.ask(DirectoryMsg::Stats).await;
+        let stats = self.directory.query(DirectoryMsg::Stats).await;
         let DirectoryStats { prompts, blocks } = stats.unwrap_or_default();
-        let status = self.fleet.ask(FleetMsg::Status).await;
+        let status = self.fleet.query(FleetMsg::Status).await;
         let (by, zone) = self.me;
         let mut status = status.unwrap_or_else(|| FleetStatus {
             by,
--- a/crates/sillpin-keeper/src/claims.rs
+++ b/crates/sillpin-keeper/src/claims.rs
@@ -1,16 +1,17 @@
 //! The journal of calls that run at most once.
 //!
-//! One record a claim, created if absent. How each answer of the platform is read:
+//! Each claim is one record in the platform's service, created if absent. How the platform's responses
+//! are interpreted:
 //!
-//! | answer | meaning |
+//! | response | meaning |
 //! |---|---|
 //! | created | the claim is ours |
-//! | conflict | read the record: ours (an earlier try whose answer was lost), released (take it over by CAS), or somebody else's |
-//! | answer lost | read back; if nothing is there, create again: it is the same record |
-//! | refused, unreachable | nothing happened; try again until the deadline |
+//! | conflict | read the record: ours (an earlier attempt whose response was lost), released (take it over by compare-and-swap), or another request's |
+//! | response lost | read back; if there is no record, create it again: it is the same record |
+//! | refused, unreachable | nothing was written; retry until the deadline |
 //!
-//! A claim that was given up is released by writing a tombstone over whatever is there of ours,
-//! created if nothing is there: the late effect of a lost write then meets the tombstone and fails.
+//! An abandoned claim is released by replacing our record with a tombstone, or creating the tombstone
+//! if there is no record: if a lost write of ours takes effect later, the tombstone makes it fail.
 
 use crate::platform::Backoff;
 use sillpin_core::{BoxId, Outcome, RequestId};
@@ -21,16 +22,16 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest work at one claim.
+/// Time limit for settling one claim.
 pub const CLAIM_DEADLINE: Duration = Duration::from_millis(2_000);
 
-/// Pause between two tries at a claim.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Pause between two attempts to settle a claim.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long the end of a claim is tried to be written.
+/// How long the keeper retries to write the end of a claim.
 const END_DEADLINE: Duration = Duration::from_secs(1_800);
 
-/// The journal; clones share the platform's client.
+/// Journal of claims; clones share the platform's client.
 #[derive(Clone)]
 pub struct Journal<P> {
     platform: P,
@@ -38,14 +39,14 @@
     log: Logger,
 }
 
-/// What one look at the platform settled.
+/// Result of one attempt to settle a claim.
 enum Step {
     Settled(ClaimReply),
-    Again,
+    Retry,
 }
 
 impl<P: Platform> Journal<P> {
-    /// A journal of `me` at `platform`.
+    /// Creates a journal that box `me` keeps at `platform`.
     pub fn new(platform: P, me: BoxId, log: Logger) -> Self {
         Self { platform, me, log }
     }
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Claims a call. A claim that could not be settled in time is released in the background.
+    /// Claims a call. A claim that is not settled within [`CLAIM_DEADLINE`] is released in the background.
     pub async fn claim(&self, req: ClaimRequest) -> ClaimReply {
         let deadline = Instant::now() + CLAIM_DEADLINE;
         while Instant::now() < deadline {
@@ -67,7 +68,7 @@
             if let Ok(Step::Settled(reply)) = step {
                 return reply;
             }
-            tokio::time::sleep(RETRY_PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
         self.end(ClaimEnd {
             key: req.key,
@@ -83,40 +84,47 @@
             Ok(_) => Step::Settled(ClaimReply::Granted),
             Err(e) if e.fault == PlatformFault::Conflict => self.read_back(req, &record).await,
             Err(e) if e.fault == PlatformFault::AnswerLost => self.read_back(req, &record).await,
-            Err(_) => Step::Again,
+            Err(_) => Step::Retry,
         }
     }
 
     async fn read_back(&self, req: &ClaimRequest, ours: &ClaimRecord) -> Step {
         let Ok(Some(entry)) = self.platform.get(&req.key.path()).await else {
-            return Step::Again;
+            return Step::Retry;
         };
-        let Some(found) = parse(&entry) else {
+        let Some(existing) = parse(&entry) else {
             return Step::Settled(ClaimReply::Taken(Outcome::Unknown));
         };
-        if found.state == ClaimState::Released {
-            if found.request == req.request {
+        if existing.state == ClaimState::Released {
+            if existing.request == req.request {
                 return Step::Settled(ClaimReply::Unavailable);
             }
-            return self.take_over(&req.key, ours, entry.revision).await;
+            return self
+                .take_over_released(&req.key, ours, entry.revision)
+                .await;
         }
-        if found.request == req.request {
+        if existing.request == req.request {
             return Step::Settled(ClaimReply::Granted);
         }
-        if found.digest != req.digest {
+        if existing.digest != req.digest {
             return Step::Settled(ClaimReply::OtherCall);
         }
-        let outcome = match found.state {
+        let outcome = match existing.state {
             ClaimState::Ran => Outcome::Ran,
             ClaimState::Claimed | ClaimState::Released => Outcome::Unknown,
         };
         Step::Settled(ClaimReply::Taken(outcome))
     }
 
-    async fn take_over(&self, key: &ClaimKey, ours: &ClaimRecord, revision: KvRevision) -> Step {
+    async fn take_over_released(
+        &self,
+        key: &ClaimKey,
+        ours: &ClaimRecord,
+        revision: KvRevision,
+    ) -> Step {
         match self.write(key, ours, revision).await {
             Ok(_) => Step::Settled(ClaimReply::Granted),
-            Err(_) => Step::Again,
+            Err(_) => Step::Retry,
         }
     }
 
@@ -130,13 +138,13 @@
         self.platform.put(&key.path(), &text, expect, None).await
     }
 
-    /// Writes what became of a claim, in the background, until the platform has it.
+    /// Writes the outcome of a claim in the background, with retries until the platform confirms it.
     pub fn end(&self, end: ClaimEnd) {
-        let this = self.clone();
-        tokio::spawn(async move { this.write_end(end).await });
+        let journal = self.clone();
+        tokio::spawn(async move { journal.write_end(end).await });
     }
 
-    /// Writes what became of a claim. An unknown outcome stays as it is: the claim is never reused.
+    /// Writes the outcome of a claim. If it is unknown, the record stays: the claim is never reused.
     pub async fn write_end(&self, end: ClaimEnd) {
         let state = match end.outcome {
             Outcome::Ran => ClaimState::Ran,
@@ -167,22 +175,22 @@
                 .await
                 .is_ok();
         };
-        let Some(found) = parse(&entry) else {
+        let Some(existing) = parse(&entry) else {
             return true;
         };
-        let both_released = found.state == ClaimState::Released && state == ClaimState::Released;
-        if found.request != end.request && both_released {
-            // A take-over of this tombstone may still be under way: write over it, so that it fails.
+        let both_released = existing.state == ClaimState::Released && state == ClaimState::Released;
+        if existing.request != end.request && both_released {
+            // A take-over of this tombstone may still be in transit: replacing it makes the take-over fail.
             let tombstone = self.record(end.request, "", state);
             return self
                 .write(&end.key, &tombstone, entry.revision)
                 .await
                 .is_ok();
         }
-        if found.request != end.request || found.state == state {
+        if existing.request != end.request || existing.state == state {
             return true;
         }
-        let ended = ClaimRecord { state, ..found };
+        let ended = ClaimRecord { state, ..existing };
         self.write(&end.key, &ended, entry.revision).await.is_ok()
     }
 }
--- a/crates/sillpin-keeper/src/directory/mod.rs
+++ b/crates/sillpin-keeper/src/directory/mod.rs
@@ -1,5 +1,5 @@
-//! This keeper's part of the directory of blocks: who holds what of the prompts whose roots it
-//! owns, and which of their blocks stores keep.
+//! This keeper's part of the directory of blocks: for the prompts whose roots it owns, which engines
+//! cache their blocks and which of the blocks are stored in store boxes.
 
 mod table;
 mod task;
--- a/crates/sillpin-keeper/src/directory/table.rs
+++ b/crates/sillpin-keeper/src/directory/table.rs
@@ -1,4 +1,4 @@
-//! The prompts of the owned roots. No I/O: the clock is passed in.
+//! Table of the prompts whose roots this keeper owns. No I/O: callers pass the current time.
 
 use sillpin_core::{BlockName, Generation, TargetId};
 use sillpin_policy::keeping::{KeepCandidate, ReturnGaps, retention_value, should_keep};
@@ -9,11 +9,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Prompts known; beyond, those that were used least recently are forgotten.
+/// Maximum number of prompts; beyond it, the least recently used tenth is evicted.
 pub const MAX_PROMPTS: usize = 40_000;
 
-/// How long an unpublished object is not taken in again.
-const UNPUBLISHED_FOR: Duration = Duration::from_secs(60);
+/// How long an unpublished object is not accepted again.
+const REJECT_UNPUBLISHED_FOR: Duration = Duration::from_secs(60);
 
 /// Blocks to write to a store.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -22,7 +22,7 @@
     pub root: BlockName,
     /// Blocks to write.
     pub blocks: Vec<BlockName>,
-    /// Where the engine that holds them listens.
+    /// Address of the engine that holds them.
     pub engine: SocketAddr,
 }
 
@@ -31,7 +31,7 @@
 pub struct FreeJob {
     /// First block of their prompt.
     pub root: BlockName,
-    /// Where the store listens.
+    /// Address of the store.
     pub addr: SocketAddr,
     /// Block and generation of each.
     pub objects: Vec<(BlockName, Generation)>,
@@ -40,18 +40,18 @@
 #[derive(Default)]
 struct Prompt {
     holders: HashMap<TargetId, HashSet<BlockName>>,
-    kept: HashMap<BlockName, StoredObject>,
+    stored: HashMap<BlockName, StoredObject>,
     exporting: HashSet<BlockName>,
-    used: Option<Instant>,
+    last_used: Option<Instant>,
 }
 
 impl Prompt {
     fn is_empty(&self) -> bool {
-        self.holders.is_empty() && self.kept.is_empty() && self.exporting.is_empty()
+        self.holders.is_empty() && self.stored.is_empty() && self.exporting.is_empty()
     }
 }
 
-/// Prompts by root.
+/// Hints about prompts, by root.
 #[derive(Default)]
 pub struct DirectoryTable {
     prompts: HashMap<BlockName, Prompt>,
@@ -64,18 +64,18 @@
 }
 
 impl DirectoryTable {
-    /// Prompts known.
+    /// Returns the number of prompts.
     pub fn prompts(&self) -> usize {
         self.prompts.len()
     }
 
-    /// Blocks known, each holder and store counted.
+    /// Returns the number of blocks, counted once for each holder and once for each stored object.
     pub fn blocks(&self) -> usize {
-        let of = |p: &Prompt| p.kept.len() + p.holders.values().map(HashSet::len).sum::<usize>();
+        let of = |p: &Prompt| p.stored.len() + p.holders.values().map(HashSet::len).sum::<usize>();
         self.prompts.values().map(of).sum()
     }
 
-    /// What is known of the blocks of a prompt.
+    /// Returns the hints for the blocks of a prompt.
     pub fn look_up(&self, blocks: &[BlockName]) -> BlockHints {
         let prompt = blocks.first().and_then(|root| self.prompts.get(root));
         let Some(prompt) = prompt else {
@@ -85,17 +85,17 @@
             let len = prefix_len(blocks, |block| held.contains(block));
             (len > 0).then(|| (target.clone(), len))
         });
-        let kept = blocks
+        let stored = blocks
             .iter()
-            .map_while(|block| prompt.kept.get(block).cloned());
+            .map_while(|block| prompt.stored.get(block).cloned());
         BlockHints {
             holders: holders.collect(),
-            kept: kept.collect(),
+            kept: stored.collect(),
         }
     }
 
-    /// An engine's cache changed.
-    pub fn holder_changed(&mut self, change: HolderChange) {
+    /// Applies a change of an engine's cache.
+    pub fn apply_change(&mut self, change: HolderChange) {
         let prompt = self.prompts.entry(change.root).or_default();
         let held = prompt.holders.entry(change.target.clone()).or_default();
         held.extend(change.stored);
@@ -110,8 +110,9 @@
         }
     }
 
-    /// A prompt was answered. Says what to write to a store, if this keeper is to see to it.
-    pub fn used(
+    /// Records that an engine answered a prompt. If `to_export` is set, returns the blocks to write to a
+    /// store, if any.
+    pub fn record_use(
         &mut self,
         used: PromptUse,
         policy: &KeepingPolicy,
@@ -119,9 +120,9 @@
         now: Instant,
     ) -> Option<ExportJob> {
         let root = *used.blocks.first()?;
-        self.make_room();
+        self.evict_if_full();
         let prompt = self.prompts.entry(root).or_default();
-        match prompt.used.replace(now) {
+        match prompt.last_used.replace(now) {
             Some(before) => self.gaps.record_return(now - before),
             None => self.gaps.record_first_use(),
         }
@@ -135,7 +136,7 @@
             return None;
         }
         let is_new = |block: &&BlockName| {
-            !prompt.kept.contains_key(*block) && !prompt.exporting.contains(*block)
+            !prompt.stored.contains_key(*block) && !prompt.exporting.contains(*block)
         };
         let blocks: Vec<BlockName> = used.blocks.iter().filter(is_new).copied().collect();
         prompt.exporting.extend(blocks.iter().copied());
@@ -146,28 +147,29 @@
         })
     }
 
-    /// An export ended, whatever it wrote.
+    /// Records the end of an export, successful or not.
     pub fn export_ended(&mut self, job: &ExportJob) {
         if let Some(prompt) = self.prompts.get_mut(&job.root) {
             prompt.exporting.retain(|block| !job.blocks.contains(block));
         }
     }
 
-    /// Objects were published. Of two of the same block the first stays.
-    pub fn kept(&mut self, root: BlockName, objects: Vec<StoredObject>, now: Instant) {
-        self.unpublished.retain(|_, at| now - *at < UNPUBLISHED_FOR);
+    /// Adds published objects. Of two objects for the same block, the first stays.
+    pub fn publish(&mut self, root: BlockName, objects: Vec<StoredObject>, now: Instant) {
+        self.unpublished
+            .retain(|_, at| now - *at < REJECT_UNPUBLISHED_FOR);
         let prompt = self.prompts.entry(root).or_default();
         for object in objects {
             if !self
                 .unpublished
                 .contains_key(&(object.block, object.generation))
             {
-                prompt.kept.entry(object.block).or_insert(object);
+                prompt.stored.entry(object.block).or_insert(object);
             }
         }
     }
 
-    /// Objects must not be handed out any more.
+    /// Removes objects from the hints, and rejects them for [`REJECT_UNPUBLISHED_FOR`].
     pub fn unpublish(
         &mut self,
         root: BlockName,
@@ -181,50 +183,52 @@
             return;
         };
         prompt
-            .kept
+            .stored
             .retain(|_, object| !objects.contains(&(object.block, object.generation)));
     }
 
-    /// Unpublishes the objects of `store` that are worth least, `share` of those known, among the
-    /// roots that `mine` accepts.
+    /// Unpublishes the objects of `store` with the lowest retention value, `share` of those known,
+    /// among the roots that `is_first_owner` accepts.
     pub fn free_least(
         &mut self,
         store: &TargetId,
         share: f64,
-        mine: impl Fn(&BlockName) -> bool,
+        is_first_owner: impl Fn(&BlockName) -> bool,
         now: Instant,
     ) -> Vec<FreeJob> {
         let mut candidates: Vec<(f64, BlockName)> = Vec::new();
-        let mut known = 0;
-        for (root, prompt) in self.prompts.iter().filter(|(root, _)| mine(root)) {
-            let objects = prompt.kept.values().filter(|o| o.store == *store).count();
+        let mut count = 0;
+        for (root, prompt) in self.prompts.iter().filter(|(root, _)| is_first_owner(root)) {
+            let objects = prompt.stored.values().filter(|o| o.store == *store).count();
             if objects > 0 {
-                let idle = prompt.used.map_or(Duration::MAX, |used| now - used);
+                let idle = prompt
+                    .last_used
+                    .map_or(Duration::MAX, |last_used| now - last_used);
                 candidates.push((retention_value(&self.gaps, idle), *root));
-                known += objects;
+                count += objects;
             }
         }
         candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut left = (known as f64 * share).ceil() as usize;
+        let mut remaining = (count as f64 * share).ceil() as usize;
         let mut jobs = Vec::new();
         for (_, root) in candidates {
-            if left == 0 {
+            if remaining == 0 {
                 break;
             }
-            let Some(job) = self.free_of(&root, store, left) else {
+            let Some(job) = self.free_job(&root, store, remaining) else {
                 continue;
             };
-            left -= job.objects.len();
+            remaining -= job.objects.len();
             self.unpublish(root, &job.objects, now);
             jobs.push(job);
         }
         jobs
     }
 
-    fn free_of(&self, root: &BlockName, store: &TargetId, most: usize) -> Option<FreeJob> {
+    fn free_job(&self, root: &BlockName, store: &TargetId, limit: usize) -> Option<FreeJob> {
         let prompt = self.prompts.get(root)?;
-        let here = prompt.kept.values().filter(|o| o.store == *store);
-        let objects: Vec<&StoredObject> = here.take(most).collect();
+        let here = prompt.stored.values().filter(|o| o.store == *store);
+        let objects: Vec<&StoredObject> = here.take(limit).collect();
         Some(FreeJob {
             root: *root,
             addr: objects.first()?.addr,
@@ -232,14 +236,14 @@
         })
     }
 
-    fn make_room(&mut self) {
+    fn evict_if_full(&mut self) {
         if self.prompts.len() < MAX_PROMPTS {
             return;
         }
         let mut ages: Vec<_> = self
             .prompts
             .iter()
-            .map(|(root, p)| (p.used, *root))
+            .map(|(root, p)| (p.last_used, *root))
             .collect();
         ages.sort_unstable();
         for (_, root) in ages.into_iter().take(MAX_PROMPTS / 10) {
--- a/crates/sillpin-keeper/src/directory/task.rs
+++ b/crates/sillpin-keeper/src/directory/task.rs
@@ -1,4 +1,4 @@
-//! The task that owns the table.
+//! The task that owns the directory table.
 
 use super::table::{DirectoryTable, ExportJob, FreeJob};
 use crate::fleet::Published;
@@ -9,29 +9,29 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// Messages that may wait.
+/// Maximum number of queued messages.
 const QUEUE_LEN: usize = 1_024;
 
 /// Size of the table.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct DirectoryStats {
-    /// Prompts known.
+    /// Number of prompts.
     pub prompts: u64,
-    /// Blocks known.
+    /// Number of blocks, counted once for each holder and once for each stored object.
     pub blocks: u64,
 }
 
-/// What can be said to and asked of the directory task.
+/// Messages to the directory task; variants with a sender are queries.
 pub enum DirectoryMsg {
-    /// News of owned roots.
-    Learn(Vec<DirectoryUpdate>),
-    /// Asks for hints.
+    /// Updates of owned roots.
+    Update(Vec<DirectoryUpdate>),
+    /// Queries the hints for the blocks of a prompt.
     LookUp(Vec<BlockName>, oneshot::Sender<BlockHints>),
     /// An export ended.
     ExportEnded(ExportJob),
-    /// Asks to unpublish a share of a store's objects, those worth least.
+    /// Unpublishes the share of a store's objects with the lowest retention value.
     Free(TargetId, f64, oneshot::Sender<Vec<FreeJob>>),
-    /// Asks for the table's size.
+    /// Queries the size of the table.
     Stats(oneshot::Sender<DirectoryStats>),
 }
 
@@ -42,15 +42,18 @@
 }
 
 impl DirectoryHandle {
-    /// Tells the task something.
-    pub async fn tell(&self, msg: DirectoryMsg) {
+    /// Sends a message to the task.
+    pub async fn send(&self, msg: DirectoryMsg) {
         let _ = self.tx.send(msg).await;
     }
 
-    /// Asks the task something; `None` after its end.
-    pub async fn ask<T>(&self, msg: impl FnOnce(oneshot::Sender<T>) -> DirectoryMsg) -> Option<T> {
+    /// Sends a query to the task and returns the reply, or `None` if the task has ended.
+    pub async fn query<T>(
+        &self,
+        msg: impl FnOnce(oneshot::Sender<T>) -> DirectoryMsg,
+    ) -> Option<T> {
         let (tx, rx) = oneshot::channel();
-        self.tell(msg(tx)).await;
+        self.send(msg(tx)).await;
         rx.await.ok()
     }
 }
@@ -62,7 +65,7 @@
     exports: mpsc::Sender<ExportJob>,
 }
 
-/// Starts the task, which hands exports over to `exports`; it ends with its last handle.
+/// Starts the task, which sends export jobs to `exports` and stops when its last handle is dropped.
 pub fn start(me: BoxId, published: Published, exports: mpsc::Sender<ExportJob>) -> DirectoryHandle {
     let (tx, rx) = mpsc::channel(QUEUE_LEN);
     let task = Task {
@@ -79,7 +82,7 @@
     async fn run(mut self, mut rx: mpsc::Receiver<DirectoryMsg>) {
         while let Some(msg) = rx.recv().await {
             match msg {
-                DirectoryMsg::Learn(news) => self.learn(news),
+                DirectoryMsg::Update(updates) => self.apply_updates(updates),
                 DirectoryMsg::LookUp(blocks, tx) => drop(tx.send(self.table.look_up(&blocks))),
                 DirectoryMsg::ExportEnded(job) => self.table.export_ended(&job),
                 DirectoryMsg::Free(store, share, tx) => {
@@ -93,13 +96,13 @@
         }
     }
 
-    fn learn(&mut self, news: Vec<DirectoryUpdate>) {
+    fn apply_updates(&mut self, updates: Vec<DirectoryUpdate>) {
         let now = Instant::now();
-        for news in news {
-            match news {
-                DirectoryUpdate::Holder(change) => self.table.holder_changed(change),
-                DirectoryUpdate::Used(used) => self.used(used, now),
-                DirectoryUpdate::Kept { root, objects } => self.table.kept(root, objects, now),
+        for update in updates {
+            match update {
+                DirectoryUpdate::Holder(change) => self.table.apply_change(change),
+                DirectoryUpdate::Used(used) => self.record_use(used, now),
+                DirectoryUpdate::Kept { root, objects } => self.table.publish(root, objects, now),
                 DirectoryUpdate::Unpublished { root, objects } => {
                     self.table.unpublish(root, &objects, now);
                 }
@@ -107,23 +110,23 @@
         }
     }
 
-    fn used(&mut self, used: PromptUse, now: Instant) {
+    fn record_use(&mut self, used: PromptUse, now: Instant) {
         let view = self.published.view.borrow().clone();
-        let Some(policy) = keeping(&view, &used.arm) else {
+        let Some(policy) = retention_policy(&view, &used.arm) else {
             return;
         };
-        let mine = used
+        let is_first_owner = used
             .blocks
             .first()
-            .is_some_and(|root| self.is_first(&view, root));
-        if let Some(job) = self.table.used(used, &policy, mine, now)
+            .is_some_and(|root| self.is_first_owner(&view, root));
+        if let Some(job) = self.table.record_use(used, &policy, is_first_owner, now)
             && let Err(e) = self.exports.try_send(job)
         {
             self.table.export_ended(&e.into_inner());
         }
     }
 
-    fn is_first(&self, view: &View, root: &BlockName) -> bool {
+    fn is_first_owner(&self, view: &View, root: &BlockName) -> bool {
         view.owners(root)
             .first()
             .is_some_and(|owner| owner.id == self.me)
@@ -132,16 +135,17 @@
     fn free(&mut self, store: &TargetId, share: f64) -> Vec<FreeJob> {
         let view = self.published.view.borrow().clone();
         let me = self.me.clone();
-        let mine = |root: &BlockName| {
+        let is_first_owner = |root: &BlockName| {
             let owners = view.owners(root);
             owners.first().is_some_and(|owner| owner.id == me)
         };
-        self.table.free_least(store, share, mine, Instant::now())
+        self.table
+            .free_least(store, share, is_first_owner, Instant::now())
     }
 }
 
-/// The keeping policy of an arm of the bundle in force.
-fn keeping(view: &View, arm: &ArmName) -> Option<KeepingPolicy> {
+/// Returns the retention policy of an arm of the bundle in force.
+fn retention_policy(view: &View, arm: &ArmName) -> Option<KeepingPolicy> {
     let bundle = &view.in_force.as_ref()?.bundle;
     let of_arm = bundle.arms.iter().find(|a| a.name == *arm);
     let policy = of_arm.map_or(&bundle.control, |a| &a.policy);
--- a/crates/sillpin-keeper/src/exports.rs
+++ b/crates/sillpin-keeper/src/exports.rs
@@ -1,9 +1,9 @@
-//! Has engines write blocks to stores, within each store's share of the link, and frees objects
+//! Orders engines to write blocks to stores, within each store's share of the link, and frees objects
 //! when a store fills up.
 //!
-//! Order of an object's life: written and sealed by the engine, then published to the owners of its
-//! root. To free it: unpublished at the owners, then, when every reader that may have been handed a
-//! reference has begun ([`PIN_TIME`]), freed at the store.
+//! Life cycle of an object: the engine writes and seals it, then it is published to the owners of its
+//! root. To free it, it is unpublished at the owners and, once every reader that may have received a
+//! reference has finished its fetch ([`PIN_TIME`]), freed at the store.
 
 use crate::directory::{DirectoryHandle, DirectoryMsg, ExportJob, FreeJob};
 use crate::fleet::Published;
@@ -27,70 +27,70 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Exports that may wait; more are not done.
+/// Maximum number of queued exports; further ones are dropped.
 pub const QUEUE_LEN: usize = 512;
 
-/// Longest time from a reader's look-up to the end of its fetch.
+/// Maximum time from a reader's look-up to the end of its fetch.
 pub const PIN_TIME: Duration = Duration::from_secs(8);
 
-/// Time between two looks at how full the stores are.
-const FREE_EVERY: Duration = Duration::from_secs(2);
+/// Interval at which the fill of the stores is checked.
+const FREE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Share of a full store's objects freed at a time, beyond what is above high water.
-const FREE_EXTRA: f64 = 0.05;
+/// Share of a full store's objects that is freed in addition to the share above the high-water mark.
+const EXTRA_FREE_SHARE: f64 = 0.05;
 
-/// What exports need.
+/// Dependencies of the export task.
 pub struct Exports {
-    /// What the fleet task publishes.
+    /// State that the fleet task publishes.
     pub published: Published,
-    /// The directory of this keeper.
+    /// This keeper's part of the directory.
     pub directory: DirectoryHandle,
-    /// Carries news to the owners of roots.
+    /// Sends directory updates to the owners of roots.
     pub router: RouterHandle,
-    /// The fleet task, for how full stores are.
+    /// Handle of the fleet task, which provides the fill of stores.
     pub fleet: crate::fleet::FleetHandle,
     /// Connections to targets.
     pub client: Client,
-    /// Spans.
+    /// Tracer for the spans of transfers.
     pub traces: Traces,
-    /// Log.
+    /// Logger.
     pub log: Logger,
 }
 
 impl Exports {
-    /// Runs until `stop`.
+    /// Runs the task until `stop`.
     pub async fn run(self, mut jobs: mpsc::Receiver<ExportJob>, stop: CancellationToken) {
-        let mut link_free: HashMap<TargetId, Instant> = HashMap::new();
-        let mut free = tokio::time::interval(FREE_EVERY);
+        let mut link_free_at: HashMap<TargetId, Instant> = HashMap::new();
+        let mut free = tokio::time::interval(FREE_INTERVAL);
         loop {
             tokio::select! {
                 () = stop.cancelled() => return,
                 _ = free.tick() => self.free_full_stores().await,
                 job = jobs.recv() => match job {
-                    Some(job) => self.export(job, &mut link_free).await,
+                    Some(job) => self.export(job, &mut link_free_at).await,
                     None => return,
                 },
             }
         }
     }
 
-    async fn export(&self, job: ExportJob, link_free: &mut HashMap<TargetId, Instant>) {
+    async fn export(&self, job: ExportJob, link_free_at: &mut HashMap<TargetId, Instant>) {
         let view = self.published.view.borrow().clone();
         let store = choose_store(&view, &job.root);
         if let (Some(store), Some(policy)) = (store, control_policy(&view)) {
-            let free_at = link_free.get(&store.entry.id).copied();
+            let free_at = link_free_at.get(&store.entry.id).copied();
             tokio::time::sleep_until(free_at.unwrap_or_else(Instant::now)).await;
-            let written = self.order(&job, store).await;
+            let written = self.run_export(&job, store).await;
             let boxes = view.boxes.iter().filter(|b| b.live).count().max(1);
             let rate = (policy.export_rate.0 / boxes as u64).max(1);
             let pause = Duration::from_secs_f64(written as f64 / rate as f64);
-            link_free.insert(store.entry.id.clone(), Instant::now() + pause);
+            link_free_at.insert(store.entry.id.clone(), Instant::now() + pause);
         }
-        self.directory.tell(DirectoryMsg::ExportEnded(job)).await;
+        self.directory.send(DirectoryMsg::ExportEnded(job)).await;
     }
 
-    /// Orders an export and publishes what was sealed; gives the bytes written.
-    async fn order(&self, job: &ExportJob, store: &TargetInfo) -> u64 {
+    /// Orders an export and publishes the sealed objects. Returns the number of bytes written.
+    async fn run_export(&self, job: &ExportJob, store: &TargetInfo) -> u64 {
         let generations = job
             .blocks
             .iter()
@@ -119,7 +119,7 @@
         let objects = exported
             .objects
             .into_iter()
-            .map(|o| kept(o, store))
+            .map(|o| stored_object(o, store))
             .collect();
         let root = job.root;
         self.router
@@ -133,12 +133,12 @@
         let Some(policy) = control_policy(&view) else {
             return;
         };
-        let status = self.fleet.ask(crate::fleet::FleetMsg::Status).await;
+        let status = self.fleet.query(crate::fleet::FleetMsg::Status).await;
         let targets = status.map(|status| status.targets).unwrap_or_default();
         for store in targets.iter().filter(|t| t.entry.kind == TargetKind::Store) {
-            let over = fill(store).fraction() - policy.high_water.fraction();
-            if over > 0.0 {
-                self.free(store, over + FREE_EXTRA).await;
+            let excess = fill(store).fraction() - policy.high_water.fraction();
+            if excess > 0.0 {
+                self.free(store, excess + EXTRA_FREE_SHARE).await;
             }
         }
     }
@@ -147,20 +147,24 @@
         let id = store.entry.id.clone();
         let jobs = self
             .directory
-            .ask(|tx| DirectoryMsg::Free(id, share, tx))
+            .query(|tx| DirectoryMsg::Free(id, share, tx))
             .await;
         for job in jobs.unwrap_or_default() {
-            let news = DirectoryUpdate::Unpublished {
+            let update = DirectoryUpdate::Unpublished {
                 root: job.root,
                 objects: job.objects.clone(),
             };
-            self.router.send(news).await;
-            tokio::spawn(free_later(self.client.clone(), self.log.clone(), job));
+            self.router.send(update).await;
+            tokio::spawn(free_after_pin_time(
+                self.client.clone(),
+                self.log.clone(),
+                job,
+            ));
         }
     }
 }
 
-async fn free_later(client: Client, log: Logger, job: FreeJob) {
+async fn free_after_pin_time(client: Client, log: Logger, job: FreeJob) {
     tokio::time::sleep(PIN_TIME).await;
     let store = HttpStore::new(client);
     let count = job.objects.len();
@@ -180,7 +184,7 @@
     Some(in_force.bundle.control.keeping.clone())
 }
 
-/// The store of a root: all keepers choose alike while they see the same stores.
+/// Returns the store for a root. Keepers that see the same stores choose the same one.
 fn choose_store<'a>(view: &'a View, root: &BlockName) -> Option<&'a TargetInfo> {
     let stores: Vec<&TargetInfo> = view.usable(TargetKind::Store).collect();
     let hashes = stores.iter().enumerate().map(|(index, store)| {
@@ -191,7 +195,7 @@
     best.first().map(|index| stores[*index])
 }
 
-fn kept(object: ObjectRef, store: &TargetInfo) -> StoredObject {
+fn stored_object(object: ObjectRef, store: &TargetInfo) -> StoredObject {
     StoredObject {
         block: object.block,
         generation: object.generation,
--- a/crates/sillpin-keeper/src/fleet/items.rs
+++ b/crates/sillpin-keeper/src/fleet/items.rs
@@ -1,4 +1,4 @@
-//! Versioned items with their digests.
+//! Versioned items, and the digests by which keepers compare them.
 
 use sillpin_core::{TargetId, ZoneId};
 use sillpin_policy::rendezvous;
@@ -8,7 +8,7 @@
 use std::collections::{HashMap, HashSet};
 use tokio::time::Instant;
 
-/// An item and when it last changed here.
+/// An item's version and value, and when it last changed in this keeper.
 pub(super) struct Stored {
     pub(super) version: ItemVersion,
     pub(super) value: ItemValue,
@@ -17,7 +17,7 @@
     hash: u64,
 }
 
-/// All items.
+/// All items of this keeper.
 #[derive(Default)]
 pub(super) struct Items {
     by_key: HashMap<ItemKey, Stored>,
@@ -25,27 +25,27 @@
     stamp: u64,
 }
 
-/// Which items two keepers compare.
+/// The items that two keepers compare.
 pub(super) struct Scope<'a> {
-    /// Whether they are of one zone: heartbeats stay in their zone.
+    /// Whether the keepers are in the same zone: heartbeats are not sent to other zones.
     pub(super) same_zone: bool,
-    /// The part of the foreign targets that is compared.
+    /// The partition of the targets of other zones that is compared.
     pub(super) foreign: TargetPartition,
-    /// Targets of the own zone, which are always compared.
-    pub(super) near: &'a HashSet<TargetId>,
+    /// Targets of this zone, which are always compared.
+    pub(super) local_targets: &'a HashSet<TargetId>,
 }
 
 impl Scope<'_> {
     fn contains(&self, key: &ItemKey, hash: u64) -> bool {
         match key {
             ItemKey::Box(_) => self.same_zone,
-            ItemKey::Target(id) => self.near.contains(id) || self.foreign.contains(hash),
+            ItemKey::Target(id) => self.local_targets.contains(id) || self.foreign.contains(hash),
             _ => true,
         }
     }
 }
 
-/// Hash of an item's name, the same in every process.
+/// Returns the hash of an item's key, which is the same in every process: it hashes the `Debug` text.
 fn hash_of(key: &ItemKey) -> u64 {
     rendezvous::key_of(&format!("{key:?}"))
 }
@@ -63,20 +63,20 @@
         self.stamp
     }
 
-    /// The version after the one known, and not below `floor`.
+    /// Returns the version after the current one, but at least `floor`.
     pub(super) fn next_version(&self, key: &ItemKey, floor: u64) -> ItemVersion {
-        let known = self.by_key.get(key).map_or(0, |stored| stored.version.0);
-        ItemVersion((known + 1).max(floor))
+        let current = self.by_key.get(key).map_or(0, |stored| stored.version.0);
+        ItemVersion((current + 1).max(floor))
     }
 
-    /// Takes an item if it is newer; says whether it was.
+    /// Stores an item if its version is higher than the current one. Returns whether it was stored.
     pub(super) fn put(&mut self, item: Item, now: Instant) -> bool {
-        let known = self.by_key.get(&item.key);
-        if known.is_some_and(|stored| stored.version >= item.version) {
+        let current = self.by_key.get(&item.key);
+        if current.is_some_and(|stored| stored.version >= item.version) {
             return false;
         }
         self.stamp += 1;
-        let hash = known.map_or_else(|| hash_of(&item.key), |stored| stored.hash);
+        let hash = current.map_or_else(|| hash_of(&item.key), |stored| stored.hash);
         self.by_hash.entry(hash).or_insert_with(|| item.key.clone());
         let stored = Stored {
             version: item.version,
@@ -96,13 +96,13 @@
         }
     }
 
-    /// Names and versions of the items in `scope`.
+    /// Returns the key hashes and versions of the items in `scope`.
     pub(super) fn digest(&self, zone: &ZoneId, scope: &Scope<'_>) -> Digest {
-        let known = self
+        let in_scope = self
             .by_key
             .iter()
             .filter(|(key, stored)| scope.contains(key, stored.hash));
-        let mut versions: Vec<_> = known.map(|(_, s)| (s.hash, s.version)).collect();
+        let mut versions: Vec<_> = in_scope.map(|(_, s)| (s.hash, s.version)).collect();
         versions.sort_unstable();
         Digest {
             zone: Some(zone.clone()),
@@ -111,15 +111,16 @@
         }
     }
 
-    /// What a peer that sent `digest` lacks of the items in `scope`, and what it has newer.
+    /// Returns the items in `scope` that the sender of `digest` lacks or holds in an older version, and the
+    /// hashes of those that it holds in a newer version.
     pub(super) fn exchange(&self, scope: &Scope<'_>, digest: &Digest) -> Exchange {
         let theirs: HashMap<u64, ItemVersion> = digest.versions.iter().copied().collect();
         let mut exchange = Exchange::default();
-        let known = self
+        let in_scope = self
             .by_key
             .iter()
             .filter(|(key, stored)| scope.contains(key, stored.hash));
-        for (key, stored) in known {
+        for (key, stored) in in_scope {
             let version = theirs.get(&stored.hash);
             if version.is_none_or(|version| *version < stored.version) {
                 exchange.newer.push(item(key, stored));
@@ -134,8 +135,8 @@
         exchange
     }
 
-    /// The items with these hashes.
-    pub(super) fn wanted(&self, hashes: &[u64]) -> Vec<Item> {
+    /// Returns the items whose keys have these hashes.
+    pub(super) fn by_hashes(&self, hashes: &[u64]) -> Vec<Item> {
         let keys = hashes.iter().filter_map(|hash| self.by_hash.get(hash));
         let found = keys.filter_map(|key| Some((key, self.by_key.get(key)?)));
         found.map(|(key, stored)| item(key, stored)).collect()
--- a/crates/sillpin-keeper/src/fleet/messages.rs
+++ b/crates/sillpin-keeper/src/fleet/messages.rs
@@ -1,4 +1,4 @@
-//! Messages to the fleet task, and the handle that sends them.
+//! Messages to the fleet task and the handle that sends them.
 
 use sillpin_bundle::Accepted;
 use sillpin_core::target::BoxList;
@@ -10,61 +10,61 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// One reading of a target.
+/// Result of polling a target.
 #[derive(Debug, Clone, PartialEq)]
-pub enum TargetReading {
-    /// It gave its load.
+pub enum PollResult {
+    /// The target returned its load.
     Load(LoadReport),
-    /// It did not answer.
+    /// The target did not respond.
     Failed,
 }
 
-/// What can be said to and asked of the fleet task.
+/// Messages to the fleet task; variants with a sender are queries.
 pub enum FleetMsg {
-    /// Items of a peer.
+    /// Items received from a peer.
     Apply(Vec<Item>),
-    /// The box list, as read, and when it was asked for.
+    /// The box list read from the platform, and when it was requested.
     BoxList(BoxList, Instant),
-    /// A revision, as read.
+    /// A bundle read from the platform.
     Bundle(Accepted),
-    /// Organisations, as read.
+    /// Organisations read from the platform, with their version.
     Organisations(Vec<Organisation>, ItemVersion),
-    /// A reading of a target.
-    Target(TargetId, TargetReading),
-    /// An arm is to stop in this zone.
+    /// Result of polling a target.
+    Target(TargetId, PollResult),
+    /// Stops an arm in this zone.
     StopArm(Revision, ArmName, Breach),
-    /// This box leaves.
+    /// Marks this box as leaving.
     Leave,
-    /// The platform answered.
+    /// The platform responded to a call.
     PlatformAnswered,
-    /// Asks for a digest for a peer of a zone.
+    /// Queries the digest to send to a peer of a zone.
     Digest(ZoneId, oneshot::Sender<Digest>),
-    /// Asks for the answer to a digest.
+    /// Queries the reply to a digest.
     Exchange(Digest, oneshot::Sender<Exchange>),
-    /// Asks for items by hash.
-    Wanted(Vec<u64>, oneshot::Sender<Vec<Item>>),
-    /// Asks what changed.
+    /// Queries items by the hashes of their keys.
+    ItemsByHash(Vec<u64>, oneshot::Sender<Vec<Item>>),
+    /// Queries the changes since a position.
     Update(FleetPosition, oneshot::Sender<FleetUpdate>),
-    /// Asks for the operators' view.
+    /// Queries the status for operators.
     Status(oneshot::Sender<FleetStatus>),
 }
 
-/// Sends messages to the fleet task. After the task's end, queries answer with defaults.
+/// Sends messages to the fleet task.
 #[derive(Clone)]
 pub struct FleetHandle {
     pub(super) tx: mpsc::Sender<FleetMsg>,
 }
 
 impl FleetHandle {
-    /// Tells the task something.
-    pub async fn tell(&self, msg: FleetMsg) {
+    /// Sends a message to the task.
+    pub async fn send(&self, msg: FleetMsg) {
         let _ = self.tx.send(msg).await;
     }
 
-    /// Asks the task something; `None` after its end.
-    pub async fn ask<T>(&self, msg: impl FnOnce(oneshot::Sender<T>) -> FleetMsg) -> Option<T> {
+    /// Sends a query to the task and returns the reply, or `None` if the task has ended.
+    pub async fn query<T>(&self, msg: impl FnOnce(oneshot::Sender<T>) -> FleetMsg) -> Option<T> {
         let (tx, rx) = oneshot::channel();
-        self.tell(msg(tx)).await;
+        self.send(msg(tx)).await;
         rx.await.ok()
     }
 }
--- a/crates/sillpin-keeper/src/fleet/mod.rs
+++ b/crates/sillpin-keeper/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! What this keeper knows of the fleet: one task owns it, others ask by message.
+//! This keeper's state of the fleet, owned by one task; other tasks query it by messages.
 
 mod items;
 mod messages;
@@ -6,6 +6,6 @@
 mod task;
 mod views;
 
-pub use messages::{FleetHandle, FleetMsg, TargetReading};
+pub use messages::{FleetHandle, FleetMsg, PollResult};
 pub use table::{FleetTable, Identity};
 pub use task::{Published, start};
--- a/crates/sillpin-keeper/src/fleet/table.rs
+++ b/crates/sillpin-keeper/src/fleet/table.rs
@@ -1,7 +1,7 @@
-//! Boxes, targets and documents out of the items. No I/O: the clock is passed in.
+//! State of boxes, targets and documents, stored as items. No I/O: callers pass the current time.
 
 use super::items::{Items, Scope, Stored};
-use super::messages::TargetReading;
+use super::messages::PollResult;
 use crate::view::InForce;
 use sillpin_bundle::{Accepted, Bundle, SignError, TrustedKey};
 use sillpin_core::switches::{Mechanism, is_off};
@@ -18,70 +18,71 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Who this keeper is.
+/// Identity of this keeper and the rules it applies to peers.
 #[derive(Debug, Clone)]
 pub struct Identity {
-    /// Its box.
+    /// Id of its box.
     pub box_id: BoxId,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Where it listens for peers.
+    /// Address on which it listens for peers.
     pub peer_addr: SocketAddr,
-    /// Its life.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
-    /// Silence after which a box of this zone is out of use.
+    /// Time without a heartbeat after which a box of this zone is not in use.
     pub dead_after: Duration,
-    /// Operators whose bundles are accepted.
+    /// Public keys of operators whose bundles are accepted.
     pub signers: Vec<TrustedKey>,
 }
 
-/// Targets of other zones that one round of gossip within a zone is about, at the most.
-const SLICE_LEN: usize = 96;
+/// Maximum average number of targets in a partition of the targets of other zones; one gossip round
+/// within a zone covers one partition.
+const PARTITION_TARGETS: usize = 96;
 
-/// Failed readings in a row after which a target is out of reach.
+/// Consecutive failed polls up to which a target still counts as reachable.
 const FAILURES_ALLOWED: u32 = 1;
 
-/// All that this keeper knows.
+/// This keeper's state of the fleet.
 pub struct FleetTable {
     pub(super) me: Identity,
     pub(super) items: Items,
     pub(super) in_force: Option<Arc<InForce>>,
     failures: std::collections::HashMap<TargetId, u32>,
-    pub(super) list_heard: Option<Instant>,
+    pub(super) list_updated: Option<Instant>,
     leaving: bool,
-    near: HashSet<TargetId>,
+    local_targets: HashSet<TargetId>,
     rounds: u64,
 }
 
 impl FleetTable {
-    /// A table that knows only this keeper.
+    /// Creates a table that contains only this keeper's heartbeat.
     pub fn new(me: Identity, now: Instant) -> Self {
         let mut table = Self {
             me,
             items: Items::default(),
             in_force: None,
             failures: Default::default(),
-            list_heard: None,
+            list_updated: None,
             leaving: false,
-            near: HashSet::new(),
+            local_targets: HashSet::new(),
             rounds: 0,
         };
-        table.beat(now);
+        table.heartbeat(now);
         table
     }
 
-    /// The newest change.
+    /// Returns the stamp of the latest change.
     pub fn stamp(&self) -> u64 {
         self.items.stamp()
     }
 
-    /// The bundle in force.
+    /// Returns the bundle in force.
     pub fn in_force(&self) -> Option<&Arc<InForce>> {
         self.in_force.as_ref()
     }
 
-    /// Takes this keeper's next heartbeat.
-    pub fn beat(&mut self, now: Instant) {
+    /// Writes this keeper's next heartbeat.
+    pub fn heartbeat(&mut self, now: Instant) {
         let key = ItemKey::Box(self.me.box_id.clone());
         let version = self.items.next_version(&key, self.me.incarnation.0);
         let state = BoxState {
@@ -94,10 +95,10 @@
         self.put(key, version, ItemValue::Box(state), now);
     }
 
-    /// From now on this box says that it leaves.
-    pub fn leave(&mut self, now: Instant) {
+    /// Marks this box as leaving in this and all later heartbeats.
+    pub fn set_leaving(&mut self, now: Instant) {
         self.leaving = true;
-        self.beat(now);
+        self.heartbeat(now);
     }
 
     pub(super) fn revision(&self) -> Revision {
@@ -105,8 +106,9 @@
         in_force.map_or(Revision(0), |in_force| in_force.revision)
     }
 
-    /// Takes items of a peer. A heartbeat of this box that is ahead of ours is from an earlier life
-    /// under a later clock: ours then continues above it.
+    /// Applies items received from a peer, and returns the errors of refused bundles. A heartbeat of this
+    /// box with a higher version than ours is from an earlier incarnation whose clock was ahead: ours
+    /// then continues above it.
     pub fn apply(&mut self, items: Vec<Item>, now: Instant) -> Vec<SignError> {
         let mut refused = Vec::new();
         for item in items {
@@ -115,7 +117,7 @@
                 refused.push(e);
             }
             if is_me {
-                self.beat(now);
+                self.heartbeat(now);
             }
         }
         refused
@@ -129,12 +131,12 @@
             (ItemKey::BoxList, ItemValue::BoxList(list)) => {
                 let value = ItemValue::BoxList(list);
                 if self.put(ItemKey::BoxList, item.version, value, now) {
-                    self.forget_unlisted();
+                    self.remove_unlisted();
                 }
-                self.list_heard = Some(now);
+                self.list_updated = Some(now);
             }
-            (ItemKey::Target(id), ItemValue::Target(_)) if !self.may_exist(&id) => {}
-            (key, value) if fits(&key, &value) => {
+            (ItemKey::Target(id), ItemValue::Target(_)) if !self.may_be_listed(&id) => {}
+            (key, value) if kinds_match(&key, &value) => {
                 self.put(key, item.version, value, now);
             }
             _ => {}
@@ -153,7 +155,8 @@
         )
     }
 
-    /// Brings a bundle into force if it verifies and its revision is higher; says whether it did.
+    /// Brings a bundle into force if its revision is higher than the current one. Returns whether it did,
+    /// or an error if the bundle does not verify.
     pub fn adopt(&mut self, accepted: Accepted, now: Instant) -> Result<bool, SignError> {
         let has_one = self.in_force.is_some();
         if accepted.revision <= self.revision() || (has_one && is_off(Mechanism::Adopt)) {
@@ -164,21 +167,21 @@
         let value = ItemValue::Bundle(Box::new(accepted));
         self.put(ItemKey::Bundle, ItemVersion(revision.0), value, now);
         self.in_force = Some(Arc::new(InForce { revision, bundle }));
-        self.drop_old_stops();
-        self.beat(now);
+        self.remove_outdated_stops();
+        self.heartbeat(now);
         Ok(true)
     }
 
-    fn drop_old_stops(&mut self) {
+    fn remove_outdated_stops(&mut self) {
         let current = self.revision();
-        let old = |stored: &Stored| match &stored.value {
+        let is_outdated = |stored: &Stored| match &stored.value {
             ItemValue::StoppedArm(stop) => stop.revision < current,
             _ => false,
         };
         let keys: Vec<ItemKey> = self
             .items
             .iter()
-            .filter(|(_, stored)| old(stored))
+            .filter(|(_, stored)| is_outdated(stored))
             .map(|(key, _)| key.clone())
             .collect();
         for key in keys {
@@ -186,35 +189,35 @@
         }
     }
 
-    /// Takes the box list as read from the platform. One that was asked for before a peer told a change may be older than that,
-    /// however late it came; the next reading decides.
-    pub fn read_box_list(&mut self, list: BoxList, asked: Instant, now: Instant) {
-        let known = self.items.get(&ItemKey::BoxList);
-        if known.is_some_and(|known| known.changed > asked) {
+    /// Applies the box list read from the platform. A list requested before a peer's change arrived may be older than that
+    /// change, however late the response came: it is ignored, and the next read decides.
+    pub fn apply_box_list(&mut self, list: BoxList, requested_at: Instant, now: Instant) {
+        let current = self.items.get(&ItemKey::BoxList);
+        if current.is_some_and(|current| current.changed > requested_at) {
             return;
         }
-        self.list_heard = Some(now);
+        self.list_updated = Some(now);
         if self.box_list() == Some(&list) {
             return;
         }
         let version = self.items.next_version(&ItemKey::BoxList, 0);
         self.put(ItemKey::BoxList, version, ItemValue::BoxList(list), now);
-        self.forget_unlisted();
+        self.remove_unlisted();
     }
 
-    /// Whether the list has a target, or there is no list yet. A state that a slower peer still
-    /// spreads after its target has gone is not taken in again.
-    fn may_exist(&self, id: &TargetId) -> bool {
+    /// Returns whether the box list contains a target, or there is no list yet. The state of a removed
+    /// target that an outdated peer still sends is thus not accepted again.
+    fn may_be_listed(&self, id: &TargetId) -> bool {
         let Some(list) = self.box_list() else {
             return true;
         };
         list.targets.iter().any(|t| t.id == *id)
     }
 
-    fn forget_unlisted(&mut self) {
+    fn remove_unlisted(&mut self) {
         let Some(list) = self.box_list() else { return };
-        let near = list.targets.iter().filter(|t| t.zone == self.me.zone);
-        let near: HashSet<TargetId> = near.map(|t| t.id.clone()).collect();
+        let local_targets = list.targets.iter().filter(|t| t.zone == self.me.zone);
+        let local_targets: HashSet<TargetId> = local_targets.map(|t| t.id.clone()).collect();
         let listed = |key: &ItemKey| match key {
             ItemKey::Target(id) => list.targets.iter().any(|t| t.id == *id),
             _ => true,
@@ -224,11 +227,11 @@
         for key in unlisted {
             self.items.remove(&key);
         }
-        self.near = near;
+        self.local_targets = local_targets;
     }
 
-    /// Takes the organisations as read from the platform at `version`.
-    pub fn read_organisations(
+    /// Applies the organisations read from the platform at `version`.
+    pub fn apply_organisations(
         &mut self,
         list: Vec<Organisation>,
         version: ItemVersion,
@@ -238,40 +241,40 @@
         self.put(ItemKey::Organisations, version, value, now);
     }
 
-    /// Takes one reading of a target.
-    pub fn read_target(
+    /// Applies the result of polling a target.
+    pub fn apply_poll(
         &mut self,
         id: TargetId,
-        reading: TargetReading,
-        wall_ms: u64,
+        result: PollResult,
+        unix_time_ms: u64,
         now: Instant,
     ) {
         let before = self.target_state(&id).cloned();
         let failures = self.failures.entry(id.clone()).or_default();
-        let state = match reading {
-            TargetReading::Load(load) => {
+        let state = match result {
+            PollResult::Load(load) => {
                 *failures = 0;
                 TargetState {
                     load: Some(load),
                     reachable: true,
                 }
             }
-            TargetReading::Failed => {
+            PollResult::Failed => {
                 *failures += 1;
                 let reachable = *failures <= FAILURES_ALLOWED;
                 let load = before.as_ref().and_then(|state| state.load.clone());
                 TargetState { load, reachable }
             }
         };
-        if before.is_some_and(|before| same_load(&before, &state)) {
+        if before.is_some_and(|before| equal_except_sequence(&before, &state)) {
             return;
         }
         let key = ItemKey::Target(id);
-        let version = self.items.next_version(&key, wall_ms);
+        let version = self.items.next_version(&key, unix_time_ms);
         self.put(key, version, ItemValue::Target(state), now);
     }
 
-    /// Stops an arm of the bundle in force in this zone; says whether it was running.
+    /// Stops an arm of the bundle in force in this zone. Returns whether this stopped it.
     pub fn stop_arm(
         &mut self,
         revision: Revision,
@@ -287,27 +290,27 @@
         self.put(key, ItemVersion(revision.0), value, now)
     }
 
-    /// What a peer of `peer_zone` is to compare with. Within the zone each round is about another
-    /// part of the foreign targets, so that the digest stays short however many there are.
+    /// Returns the digest to send to a peer of `peer_zone`. Within the zone, each round covers another
+    /// partition of the targets of other zones, so that the digest stays short however many there are.
     pub fn digest(&mut self, peer_zone: &ZoneId) -> Digest {
         let same_zone = *peer_zone == self.me.zone;
         let foreign = if same_zone {
-            self.next_slice()
+            self.next_partition()
         } else {
             TargetPartition::WHOLE
         };
         let scope = Scope {
             same_zone,
             foreign,
-            near: &self.near,
+            local_targets: &self.local_targets,
         };
         self.items.digest(&self.me.zone, &scope)
     }
 
-    fn next_slice(&mut self) -> TargetPartition {
+    fn next_partition(&mut self) -> TargetPartition {
         let targets = self.box_list().map_or(0, |list| list.targets.len());
-        let foreign = targets.saturating_sub(self.near.len());
-        let count = foreign.div_ceil(SLICE_LEN).max(1) as u64;
+        let foreign = targets.saturating_sub(self.local_targets.len());
+        let count = foreign.div_ceil(PARTITION_TARGETS).max(1) as u64;
         self.rounds += 1;
         TargetPartition {
             index: self.rounds % count,
@@ -315,24 +318,24 @@
         }
     }
 
-    /// The answer to a peer's digest.
+    /// Returns the reply to a peer's digest.
     pub fn exchange(&self, digest: &Digest) -> Exchange {
         let scope = Scope {
             same_zone: digest.zone.as_ref() == Some(&self.me.zone),
             foreign: digest.foreign,
-            near: &self.near,
+            local_targets: &self.local_targets,
         };
         self.items.exchange(&scope, digest)
     }
 
-    /// The items that a peer asked for.
-    pub fn wanted(&self, hashes: &[u64]) -> Vec<Item> {
-        self.items.wanted(hashes)
+    /// Returns the items that a peer requested by the hashes of their keys.
+    pub fn items_by_hash(&self, hashes: &[u64]) -> Vec<Item> {
+        self.items.by_hashes(hashes)
     }
 }
 
-/// Whether a value is of its key's kind.
-fn fits(key: &ItemKey, value: &ItemValue) -> bool {
+/// Returns whether a value has the kind of its key. Bundles and box lists are handled separately.
+fn kinds_match(key: &ItemKey, value: &ItemValue) -> bool {
     matches!(
         (key, value),
         (ItemKey::Box(_), ItemValue::Box(_))
@@ -342,8 +345,8 @@
     )
 }
 
-/// Whether two states say the same apart from the report's number.
-fn same_load(a: &TargetState, b: &TargetState) -> bool {
+/// Returns whether two states are equal apart from the sequence number of the load report.
+fn equal_except_sequence(a: &TargetState, b: &TargetState) -> bool {
     let without_sequence = |state: &TargetState| {
         let load = state.load.clone();
         load.map(|load| LoadReport {
--- a/crates/sillpin-keeper/src/fleet/task.rs
+++ b/crates/sillpin-keeper/src/fleet/task.rs
@@ -1,4 +1,4 @@
-//! The task that owns the table.
+//! The task that owns the fleet table.
 
 use super::messages::{FleetHandle, FleetMsg};
 use super::table::{FleetTable, Identity};
@@ -12,23 +12,23 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// Messages that may wait.
+/// Maximum number of queued messages.
 const QUEUE_LEN: usize = 1_024;
 
-/// Time between two heartbeats of this box, and between two looks for silent boxes.
-const BEAT_EVERY: Duration = Duration::from_millis(500);
+/// Interval between two heartbeats of this box.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the fleet task publishes.
+/// Fleet state that the fleet task publishes to other tasks.
 #[derive(Clone)]
 pub struct Published {
-    /// Boxes, targets and the bundle in force; changes when any of them does.
+    /// Boxes, targets and the bundle in force; notified when any of them changes.
     pub view: watch::Receiver<Arc<View>>,
-    /// The newest change of any item.
+    /// Stamp of the latest change of any item.
     pub stamp: watch::Receiver<u64>,
 }
 
-/// Time between two looks whether the view changed.
-const PUBLISH_EVERY: Duration = Duration::from_millis(100);
+/// Interval at which the view is recomputed, which also detects unresponsive boxes.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
 
 struct Task {
     table: FleetTable,
@@ -39,7 +39,7 @@
     platform_answered: Option<Instant>,
 }
 
-/// Starts the task; it ends with its last handle.
+/// Starts the task, which stops when its last handle is dropped.
 pub fn start(me: Identity, log: Logger) -> (FleetHandle, Published) {
     let (tx, rx) = mpsc::channel(QUEUE_LEN);
     let table = FleetTable::new(me.clone(), Instant::now());
@@ -63,15 +63,15 @@
 
 impl Task {
     async fn run(mut self, mut rx: mpsc::Receiver<FleetMsg>) {
-        let mut beat = tokio::time::interval(BEAT_EVERY);
-        let mut publish = tokio::time::interval(PUBLISH_EVERY);
+        let mut heartbeat = tokio::time::interval(HEARTBEAT_INTERVAL);
+        let mut publish = tokio::time::interval(PUBLISH_INTERVAL);
         loop {
             tokio::select! {
                 msg = rx.recv() => match msg {
                     Some(msg) => self.handle(msg),
                     None => return,
                 },
-                _ = beat.tick() => self.table.beat(Instant::now()),
+                _ = heartbeat.tick() => self.table.heartbeat(Instant::now()),
                 _ = publish.tick() => self.publish(),
             }
             let stamp = self.table.stamp();
@@ -84,13 +84,13 @@
         let now = Instant::now();
         match msg {
             FleetMsg::Apply(items) => self.apply(items, now),
-            FleetMsg::BoxList(list, asked) => self.table.read_box_list(list, asked, now),
+            FleetMsg::BoxList(list, at) => self.table.apply_box_list(list, at, now),
             FleetMsg::Bundle(accepted) => self.adopt(accepted, now),
             FleetMsg::Organisations(list, version) => {
-                self.table.read_organisations(list, version, now);
+                self.table.apply_organisations(list, version, now);
             }
-            FleetMsg::Target(id, reading) => {
-                self.table.read_target(id, reading, wall_ms(), now);
+            FleetMsg::Target(id, result) => {
+                self.table.apply_poll(id, result, unix_time_ms(), now);
             }
             FleetMsg::StopArm(revision, arm, breach) => {
                 let name = arm.to_string();
@@ -98,11 +98,11 @@
                     event!(self.log, events::ARM_STOPPED, "arm" => name, "breach" => %breach);
                 }
             }
-            FleetMsg::Leave => self.table.leave(now),
+            FleetMsg::Leave => self.table.set_leaving(now),
             FleetMsg::PlatformAnswered => self.platform_answered = Some(now),
             FleetMsg::Digest(zone, tx) => drop(tx.send(self.table.digest(&zone))),
             FleetMsg::Exchange(digest, tx) => drop(tx.send(self.table.exchange(&digest))),
-            FleetMsg::Wanted(hashes, tx) => drop(tx.send(self.table.wanted(&hashes))),
+            FleetMsg::ItemsByHash(hashes, tx) => drop(tx.send(self.table.items_by_hash(&hashes))),
             FleetMsg::Update(known, tx) => drop(tx.send(self.table.update_since(known))),
             FleetMsg::Status(tx) => drop(tx.send(self.status(now))),
         }
@@ -143,7 +143,7 @@
     fn publish(&mut self) {
         let view = self.table.view(Instant::now());
         let before = self.view.borrow().clone();
-        if same(&before, &view) {
+        if views_equal(&before, &view) {
             return;
         }
         self.log_changes(&before, &view);
@@ -205,12 +205,12 @@
     }
 }
 
-fn same(a: &View, b: &View) -> bool {
+fn views_equal(a: &View, b: &View) -> bool {
     let revision = |view: &View| view.in_force.as_ref().map(|f| f.revision);
     a.boxes == b.boxes && a.targets == b.targets && revision(a) == revision(b)
 }
 
-fn wall_ms() -> u64 {
+fn unix_time_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64)
 }
--- a/crates/sillpin-keeper/src/fleet/views.rs
+++ b/crates/sillpin-keeper/src/fleet/views.rs
@@ -1,4 +1,4 @@
-//! What the table says when asked: to operators, to the entry, to this keeper's other tasks.
+//! Queries of the table: for operators, for the entry, and for this keeper's other tasks.
 
 use super::table::FleetTable;
 use crate::view::{PeerView, TargetInfo, View};
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 impl FleetTable {
-    /// Arms of the bundle in force that guards stopped.
+    /// Returns the arms of the bundle in force that guards stopped.
     pub fn stopped_arms(&self) -> Vec<(ZoneId, ArmName, Breach)> {
         let current = self.revision();
         let stopped = self.items.iter().filter_map(|(key, stored)| {
@@ -51,20 +51,20 @@
             })
     }
 
-    fn is_live(&self, id: &BoxId, state: &BoxState, heard: Instant, now: Instant) -> bool {
-        let silent = state.zone == self.me.zone && now - heard > self.me.dead_after;
-        *id == self.me.box_id || !(silent || state.leaving)
+    fn is_live(&self, id: &BoxId, state: &BoxState, received: Instant, now: Instant) -> bool {
+        let unresponsive = state.zone == self.me.zone && now - received > self.me.dead_after;
+        *id == self.me.box_id || !(unresponsive || state.leaving)
     }
 
-    /// Boxes as operators see them.
+    /// Returns the status of all known boxes for operators, sorted by id.
     pub fn box_statuses(&self, now: Instant) -> Vec<BoxStatus> {
         let mut boxes: Vec<BoxStatus> = self
             .box_states()
-            .map(|(id, state, heard)| BoxStatus {
+            .map(|(id, state, received)| BoxStatus {
                 id: id.clone(),
                 state: state.clone(),
-                heartbeat_age_ms: (now - heard).as_millis() as u64,
-                live: self.is_live(id, state, heard, now),
+                heartbeat_age_ms: (now - received).as_millis() as u64,
+                live: self.is_live(id, state, received, now),
             })
             .collect();
         boxes.sort_by(|a, b| a.id.cmp(&b.id));
@@ -75,12 +75,12 @@
         let mut peers: Vec<PeerView> = self
             .box_states()
             .filter(|(_, state, _)| state.zone == self.me.zone)
-            .map(|(id, state, heard)| PeerView {
+            .map(|(id, state, received)| PeerView {
                 id: id.clone(),
                 hash: CandidateHash::of(id.as_str()),
                 zone: state.zone.clone(),
                 addr: state.peer_addr,
-                live: self.is_live(id, state, heard, now),
+                live: self.is_live(id, state, received, now),
             })
             .collect();
         let listed = self.box_list().map(|list| list.boxes.as_slice());
@@ -104,15 +104,15 @@
     fn target_info(&self, entry: &TargetEntry) -> TargetInfo {
         let state = self.target_state(&entry.id);
         let load = state.and_then(|state| state.load.as_ref());
-        let says_leaving = load.is_some_and(|load| load.presence == Presence::Leaving);
+        let reports_leaving = load.is_some_and(|load| load.presence == Presence::Leaving);
         TargetInfo {
             entry: entry.clone(),
             reachable: state.is_none_or(|state| state.reachable),
-            leaving: says_leaving || entry.presence == Presence::Leaving,
+            leaving: reports_leaving || entry.presence == Presence::Leaving,
         }
     }
 
-    /// What other tasks need.
+    /// Returns the view for this keeper's other tasks.
     pub fn view(&self, now: Instant) -> View {
         let targets = self.box_list().map(|list| list.targets.as_slice());
         let targets = targets.unwrap_or_default();
@@ -123,7 +123,7 @@
         }
     }
 
-    /// All targets, as operators and the entry see them.
+    /// Returns all targets, for operators and the entry.
     pub fn target_views(&self) -> Vec<TargetView> {
         let targets = self.box_list().map(|list| list.targets.as_slice());
         let targets = targets.unwrap_or_default();
@@ -138,12 +138,12 @@
         }
     }
 
-    /// Since the box list was last read or heard of.
+    /// Returns the time since the box list was last read or received from a peer.
     pub fn box_list_age(&self, now: Instant) -> Option<Duration> {
-        self.list_heard.map(|heard| now - heard)
+        self.list_updated.map(|received| now - received)
     }
 
-    /// What changed since `known`, for the entry.
+    /// Returns the changes since `known`, for the entry.
     pub fn update_since(&self, known: FleetPosition) -> FleetUpdate {
         let since = if known.incarnation == self.me.incarnation {
             known.stamp
@@ -166,7 +166,7 @@
             organisations: self
                 .document(&ItemKey::Organisations, since)
                 .and_then(as_organisations),
-            stopped_arms: stops_changed.then(|| self.stopped_here()),
+            stopped_arms: stops_changed.then(|| self.stopped_in_zone()),
         }
     }
 
@@ -176,10 +176,10 @@
         stops.any(|(_, stored)| stored.stamp > since)
     }
 
-    fn stopped_here(&self) -> Vec<ArmName> {
+    fn stopped_in_zone(&self) -> Vec<ArmName> {
         let stopped = self.stopped_arms().into_iter();
-        let here = stopped.filter(|(zone, _, _)| *zone == self.me.zone);
-        here.map(|(_, arm, _)| arm).collect()
+        let in_zone = stopped.filter(|(zone, _, _)| *zone == self.me.zone);
+        in_zone.map(|(_, arm, _)| arm).collect()
     }
 
     fn document(&self, key: &ItemKey, since: u64) -> Option<&ItemValue> {
@@ -187,7 +187,7 @@
         (stored.stamp > since).then_some(&stored.value)
     }
 
-    /// The accepted bundle in force, as it was signed.
+    /// Returns the bundle in force in its signed form.
     pub fn accepted(&self) -> Option<Accepted> {
         self.document(&ItemKey::Bundle, 0).and_then(as_bundle)
     }
--- a/crates/sillpin-keeper/src/gossip.rs
+++ b/crates/sillpin-keeper/src/gossip.rs
@@ -1,5 +1,5 @@
-//! Spreads items: each round this keeper compares with two random keepers of its zone and, as one
-//! of two in its zone, with one of another zone.
+//! Replicates items by gossip: in each round this keeper exchanges digests with two random keepers of
+//! its zone. Two keepers of each zone also exchange with one random keeper of another zone.
 
 use crate::fleet::{FleetHandle, FleetMsg, Published};
 use crate::peers::{PeerError, Peers};
@@ -12,16 +12,17 @@
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
 
-/// Keepers of the own zone asked in a round.
+/// Number of keepers of the own zone contacted in a round.
 const FANOUT: usize = 2;
 
-/// Longest wait for a peer's answer.
+/// Timeout of a call to a peer.
 const PEER_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Name of the task that two keepers of each zone do.
-const FOREIGN_TASK: &str = "gossip with other zones";
+/// Name of the task for which two keepers of each zone are selected. It is hashed, so it must be the
+/// same in all versions.
+const FOREIGN_GOSSIP_TASK: &str = "gossip with other zones";
 
-/// Runs rounds until `stop`.
+/// Runs gossip rounds until `stop`.
 pub async fn run(
     cfg: KeeperConfig,
     fleet: FleetHandle,
@@ -36,21 +37,21 @@
             _ = round.tick() => {}
         }
         let view = published.view.borrow().clone();
-        let partners = choose(&cfg, &view);
-        let exchanges = partners.into_iter().map(|partner| {
+        let selected = select_peers(&cfg, &view);
+        let exchanges = selected.into_iter().map(|peer| {
             let (fleet, peers) = (fleet.clone(), peers.clone());
-            async move { exchange(&fleet, &peers, partner).await }
+            async move { exchange(&fleet, &peers, peer).await }
         });
         futures::future::join_all(exchanges).await;
     }
 }
 
-struct Partner {
+struct GossipPeer {
     addr: SocketAddr,
     zone: ZoneId,
 }
 
-impl From<&PeerView> for Partner {
+impl From<&PeerView> for GossipPeer {
     fn from(peer: &PeerView) -> Self {
         Self {
             addr: peer.addr,
@@ -59,55 +60,57 @@
     }
 }
 
-/// Partners of a round. Silent boxes stay among them, so that a box that returns is found; seeds
-/// serve while nobody else is known.
-fn choose(cfg: &KeeperConfig, view: &View) -> Vec<Partner> {
+/// Selects the peers of a round. Unresponsive boxes stay candidates, so that a box that recovers is
+/// found; seeds are used while no other box is known.
+fn select_peers(cfg: &KeeperConfig, view: &View) -> Vec<GossipPeer> {
     let mut rng = rand::rng();
     let others = view.boxes.iter().filter(|b| b.id != cfg.box_id);
-    let (mine, foreign): (Vec<_>, Vec<_>) = others.partition(|b| b.zone == cfg.zone);
-    let near = mine.sample(&mut rng, FANOUT);
-    let mut partners: Vec<Partner> = near.map(|peer| Partner::from(*peer)).collect();
-    let carriers = view.zone_readers(&cfg.zone, FOREIGN_TASK);
-    if carriers.iter().any(|b| b.id == cfg.box_id) {
-        partners.extend(foreign.choose(&mut rng).map(|peer| Partner::from(*peer)));
+    let (local, foreign): (Vec<_>, Vec<_>) = others.partition(|b| b.zone == cfg.zone);
+    let local_peers = local.sample(&mut rng, FANOUT);
+    let mut selected: Vec<GossipPeer> = local_peers.map(|peer| GossipPeer::from(*peer)).collect();
+    let zone_gossipers = view.zone_readers(&cfg.zone, FOREIGN_GOSSIP_TASK);
+    if zone_gossipers.iter().any(|b| b.id == cfg.box_id) {
+        selected.extend(foreign.choose(&mut rng).map(|peer| GossipPeer::from(*peer)));
     }
-    if partners.is_empty() {
+    if selected.is_empty() {
         let seed = cfg.seeds.choose(&mut rng);
-        partners.extend(seed.map(|addr| Partner {
+        selected.extend(seed.map(|addr| GossipPeer {
             addr: *addr,
             zone: cfg.zone.clone(),
         }));
     }
-    partners
+    selected
 }
 
-async fn exchange(fleet: &FleetHandle, peers: &Peers, partner: Partner) {
-    let Some(digest) = fleet.ask(|tx| FleetMsg::Digest(partner.zone, tx)).await else {
+async fn exchange(fleet: &FleetHandle, peers: &Peers, peer: GossipPeer) {
+    let Some(digest) = fleet.query(|tx| FleetMsg::Digest(peer.zone, tx)).await else {
         return;
     };
-    let step = "compare what is known";
-    let call = peers.call(step, partner.addr, PEER_TIMEOUT, |client, cx| async move {
+    let step = "exchange digests";
+    let call = peers.call(step, peer.addr, PEER_TIMEOUT, |client, cx| async move {
         client.exchange(cx, digest).await
     });
     let Ok(reply) = call.await else { return };
-    let _ = finish(fleet, peers, partner.addr, reply).await;
+    let _ = complete_exchange(fleet, peers, peer.addr, reply).await;
 }
 
-async fn finish(
+async fn complete_exchange(
     fleet: &FleetHandle,
     peers: &Peers,
     peer: SocketAddr,
     reply: Exchange,
 ) -> Result<(), PeerError> {
     if !reply.newer.is_empty() {
-        fleet.tell(FleetMsg::Apply(reply.newer)).await;
+        fleet.send(FleetMsg::Apply(reply.newer)).await;
     }
     if reply.wanted.is_empty() {
         return Ok(());
     }
-    let items = fleet.ask(|tx| FleetMsg::Wanted(reply.wanted, tx)).await;
+    let items = fleet
+        .query(|tx| FleetMsg::ItemsByHash(reply.wanted, tx))
+        .await;
     let items = items.unwrap_or_default();
-    let step = "hand over what is known";
+    let step = "push items";
     let call = peers.call(step, peer, PEER_TIMEOUT, |client, cx| async move {
         client.push(cx, items).await
     });
--- a/crates/sillpin-keeper/src/lib.rs
+++ b/crates/sillpin-keeper/src/lib.rs
@@ -1,17 +1,17 @@
-//! The control side of a box.
+//! The control process of a box.
 //!
-//! Tasks own their state and sockets and talk by messages:
+//! Each task owns its state and sockets; tasks communicate by messages:
 //!
-//! - [`fleet`]: what is known of boxes, targets and documents; publishes a [`view`],
-//! - [`gossip`]: spreads it among keepers,
+//! - [`fleet`]: state of boxes, targets and documents; publishes a [`view`],
+//! - [`gossip`]: replicates that state among keepers,
 //! - [`platform`]: reads the box list, bundles and organisations from the platform,
-//! - [`readers`]: read loads and cache events of the targets this keeper is responsible for,
-//! - [`directory`]: this keeper's part of the directory of blocks,
-//! - [`router`]: carries news to the owners of roots,
-//! - [`exports`]: has blocks written to stores and freed there,
-//! - [`claims`]: the journal of calls that run at most once,
-//! - [`weights`]: has engines load the bundle's weight versions,
-//! - [`api`]: answers the entry, other keepers and operators.
+//! - [`readers`]: poll loads and cache events of the targets assigned to this keeper,
+//! - [`directory`]: this keeper's part of the directory of cached and stored blocks,
+//! - [`router`]: sends directory updates to the owners of roots,
+//! - [`exports`]: exports blocks to stores and frees them there,
+//! - [`claims`]: journal of calls that run at most once,
+//! - [`weights`]: orders engines to load the bundle's weight versions,
+//! - [`api`]: serves the entry, other keepers and operators.
 
 pub mod api;
 pub mod claims;
--- a/crates/sillpin-keeper/src/ops.rs
+++ b/crates/sillpin-keeper/src/ops.rs
@@ -1,4 +1,4 @@
-//! Runs a keeper: starts its tasks and waits for the stop.
+//! Starts the keeper's tasks and runs them until the stop signal.
 
 use crate::api::entry::EntryApi;
 use crate::api::http::KeeperHttp;
@@ -27,10 +27,10 @@
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
-/// How long a stopping keeper goes on telling that it leaves.
-const LEAVE_TIME: Duration = Duration::from_millis(1_500);
+/// How long a stopping keeper keeps running, so that peers receive its heartbeat marked as leaving.
+const LEAVE_NOTICE_TIME: Duration = Duration::from_millis(1_500);
 
-/// Where a keeper listens.
+/// Addresses on which a keeper listens.
 #[derive(Debug, Clone, Copy)]
 pub struct Listening {
     /// For the entry.
@@ -65,7 +65,7 @@
     })
 }
 
-/// Runs a keeper until `stop`; `ready` is told where it listens.
+/// Runs a keeper until `stop`; `ready` is called with its addresses.
 pub async fn run(
     cfg: KeeperConfig,
     telemetry: Telemetry,
@@ -89,8 +89,8 @@
     event!(log, events::KEEPER_STARTED, "peer" => %at.peer, "entry" => %at.entry);
     ready(at);
     stop.cancelled().await;
-    fleet.tell(FleetMsg::Leave).await;
-    tokio::time::sleep(LEAVE_TIME).await;
+    fleet.send(FleetMsg::Leave).await;
+    tokio::time::sleep(LEAVE_NOTICE_TIME).await;
     end.cancel();
     traces.shutdown();
     event!(log, events::KEEPER_STOPPED);
--- a/crates/sillpin-keeper/src/peers.rs
+++ b/crates/sillpin-keeper/src/peers.rs
@@ -1,4 +1,4 @@
-//! Connections to other keepers, opened when needed and shared.
+//! Connections to other keepers, opened on demand and shared.
 
 use derive_more::{Display, Error};
 use sillpin_rpc::peer_link::PeerLinkClient;
@@ -11,15 +11,15 @@
 use tarpc::client::{Config, RpcError};
 use tarpc::context::Context;
 
-/// A call of a peer that failed, with its step and peer.
+/// A failed call to a peer.
 #[derive(Debug, Display, Error)]
 #[display("{step} at keeper {peer}: {what}")]
 pub struct PeerError {
-    /// What was being done.
+    /// Step that failed.
     pub step: &'static str,
-    /// Who was asked.
+    /// Address of the peer.
     pub peer: SocketAddr,
-    /// What went wrong.
+    /// Cause of the failure.
     pub what: String,
 }
 
@@ -34,7 +34,7 @@
         self.open.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Calls a peer. A connection that fails is dropped, and the next call opens another.
+    /// Calls a peer. After a failed call the connection is dropped; the next call opens a new one.
     pub async fn call<T, F>(
         &self,
         step: &'static str,
@@ -46,13 +46,14 @@
         F: Future<Output = Result<T, RpcError>>,
     {
         let failed = |what: String| PeerError { step, peer, what };
-        let work = async {
+        let connect_and_call = async {
             let client = self.client(peer).await.map_err(|e| failed(e.to_string()))?;
             let reply = call(client, within(timeout)).await;
             reply.map_err(|e| failed(e.to_string()))
         };
-        let reply = tokio::time::timeout(timeout, work).await;
-        let reply = reply.unwrap_or_else(|_| Err(failed("no answer in time".to_owned())));
+        let reply = tokio::time::timeout(timeout, connect_and_call).await;
+        let reply =
+            reply.unwrap_or_else(|_| Err(failed("no response within the timeout".to_owned())));
         if reply.is_err() {
             self.lock().remove(&peer);
         }
--- a/crates/sillpin-keeper/src/platform.rs
+++ b/crates/sillpin-keeper/src/platform.rs
@@ -1,8 +1,8 @@
 //! Reads the box list, the log of bundles and the organisations from the platform's service.
 //!
-//! Two keepers of each zone do it; the others learn by gossip. So the service sees a fixed number
-//! of calls for each zone, however many boxes the zone has. After a failure a reader waits longer
-//! each time, with jitter, so that the service's return meets no herd.
+//! Two keepers of each zone do so; the others receive the state by gossip. The service thus gets a
+//! fixed number of calls from each zone, however many boxes the zone has. Readers back off
+//! exponentially with jitter after failures, so that a recovering service gets no thundering herd.
 
 use crate::fleet::{FleetHandle, FleetMsg, Published};
 use crate::settings::KeeperConfig;
@@ -17,68 +17,68 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// How long a watch waits.
+/// How long a watch waits for a change.
 const WATCH_WAIT: Duration = Duration::from_secs(20);
 
-/// Longest wait between two tries after failures.
+/// Maximum wait between two attempts after failures.
 const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
-/// First wait after a failure.
+/// Bound of the wait after the first failure.
 const MIN_BACKOFF: Duration = Duration::from_millis(250);
 
-/// Longest wait before the first call, in times between two readings of the box list.
-const MAX_START_PAUSE: f64 = 1.5;
+/// Maximum wait before the first call, in intervals between two reads of the box list.
+const MAX_START_DELAY: f64 = 1.5;
 
-/// How often a keeper that is no reader looks whether it has become one.
-const ROLE_CHECK: Duration = Duration::from_millis(500);
+/// Interval at which a keeper checks whether it is a reader of its zone.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Waits that grow with each failure, with jitter.
+/// Exponential backoff with jitter.
 #[derive(Debug, Default)]
 pub struct Backoff {
     failures: u32,
 }
 
 impl Backoff {
-    /// The wait after one more failure: between half and the whole of a doubling bound.
+    /// Records a failure and returns the wait after it: between half of a bound that doubles, and the bound.
     pub fn next_wait(&mut self) -> Duration {
         let doubled = MIN_BACKOFF * 2u32.pow(self.failures.min(10));
         self.failures += 1;
-        let most = doubled.min(MAX_BACKOFF);
-        most.mul_f64(rand::rng().random_range(0.5..1.0))
+        let bound = doubled.min(MAX_BACKOFF);
+        bound.mul_f64(rand::rng().random_range(0.5..1.0))
     }
 
-    /// Forgets the failures.
+    /// Resets the backoff after a success.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// Whether the last try failed.
+    /// Returns whether the last attempt failed.
     pub fn is_failing(&self) -> bool {
         self.failures > 0
     }
 }
 
-/// A random wait before the first call, so that a fleet that starts as a whole meets the service
-/// spread out, and learns from its peers before most of it has asked.
-fn start_pause(cfg: &KeeperConfig) -> Duration {
+/// Returns a random wait before the first call. When a whole fleet starts at once, this spreads the
+/// calls to the service, and most keepers receive the state from peers before they call.
+fn start_delay(cfg: &KeeperConfig) -> Duration {
     cfg.list_every
-        .mul_f64(MAX_START_PAUSE * rand::rng().random_range(0.0..1.0))
+        .mul_f64(MAX_START_DELAY * rand::rng().random_range(0.0..1.0))
 }
 
-/// What the readers share.
+/// Dependencies of the readers.
 #[derive(Clone)]
 pub struct Reader<P> {
-    /// The platform.
+    /// Client of the platform's service.
     pub platform: P,
-    /// Settings.
+    /// Settings of the keeper.
     pub cfg: KeeperConfig,
-    /// The fleet task.
+    /// Handle of the fleet task.
     pub fleet: FleetHandle,
-    /// What it publishes.
+    /// State that the fleet task publishes.
     pub published: Published,
-    /// Log.
+    /// Logger.
     pub log: Logger,
-    /// Ends the readers.
+    /// Stops the readers.
     pub stop: CancellationToken,
 }
 
@@ -90,23 +90,23 @@
         tokio::spawn(self.watch(ORGANISATIONS_KEY));
     }
 
-    /// Waits until this keeper is to read `task` for its zone, or knows nobody who is.
-    async fn my_turn(&self, task: &str) {
+    /// Waits until this keeper is a reader of `task` for its zone, or no reader is known.
+    async fn wait_for_reader_role(&self, task: &str) {
         loop {
             let view = self.published.view.borrow().clone();
             let readers = view.zone_readers(&self.cfg.zone, task);
             if readers.is_empty() || readers.iter().any(|b| b.id == self.cfg.box_id) {
                 return;
             }
-            tokio::time::sleep(ROLE_CHECK).await;
+            tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
         }
     }
 
-    /// Resolves when other keepers of the zone are to read `task`, so that a waiting watch is given
-    /// up: the service counts it.
-    async fn turn_lost(&self, task: &str) {
+    /// Resolves when this keeper is no longer a reader of `task` for its zone. The pending watch is then
+    /// cancelled, because it counts towards the service's number of watches.
+    async fn reader_role_lost(&self, task: &str) {
         loop {
-            tokio::time::sleep(ROLE_CHECK).await;
+            tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
             let view = self.published.view.borrow().clone();
             let readers = view.zone_readers(&self.cfg.zone, task);
             if !readers.is_empty() && readers.iter().all(|b| b.id != self.cfg.box_id) {
@@ -117,35 +117,37 @@
 
     async fn read_box_list(self) {
         let mut backoff = Backoff::default();
-        let work = async {
-            tokio::time::sleep(start_pause(&self.cfg)).await;
+        let read_loop = async {
+            tokio::time::sleep(start_delay(&self.cfg)).await;
             loop {
-                self.my_turn("box list").await;
-                let asked = Instant::now();
-                let read = self.platform.box_list().await;
-                let wait = self.after(&read, &mut backoff, self.cfg.list_every).await;
-                if let Ok(list) = read {
-                    self.fleet.tell(FleetMsg::BoxList(list, asked)).await;
+                self.wait_for_reader_role("box list").await;
+                let requested_at = Instant::now();
+                let result = self.platform.box_list().await;
+                let wait = self
+                    .record_result(&result, &mut backoff, self.cfg.list_every)
+                    .await;
+                if let Ok(list) = result {
+                    self.fleet.send(FleetMsg::BoxList(list, requested_at)).await;
                 }
                 tokio::time::sleep(wait).await;
             }
         };
         tokio::select! {
             () = self.stop.cancelled() => {}
-            () = work => {}
+            () = read_loop => {}
         }
     }
 
-    /// What to wait before the next call, and what to say of this one.
-    async fn after<T>(
+    /// Logs and reports the result of a call. Returns the wait before the next call.
+    async fn record_result<T>(
         &self,
-        read: &Result<T, PlatformError>,
+        result: &Result<T, PlatformError>,
         backoff: &mut Backoff,
         pause: Duration,
     ) -> Duration {
-        match read {
+        match result {
             Ok(_) => {
-                self.fleet.tell(FleetMsg::PlatformAnswered).await;
+                self.fleet.send(FleetMsg::PlatformAnswered).await;
                 if backoff.is_failing() {
                     event!(self.log, events::PLATFORM_RECOVERED);
                 }
@@ -164,29 +166,31 @@
     async fn watch(self, prefix: &'static str) {
         let mut backoff = Backoff::default();
         let mut after = KvRevision::ABSENT;
-        let work = async {
-            tokio::time::sleep(start_pause(&self.cfg)).await;
+        let read_loop = async {
+            tokio::time::sleep(start_delay(&self.cfg)).await;
             loop {
-                self.my_turn(prefix).await;
-                let seen = tokio::select! {
-                    seen = self.platform.watch(prefix, after, WATCH_WAIT) => seen,
-                    () = self.turn_lost(prefix) => continue,
+                self.wait_for_reader_role(prefix).await;
+                let reply = tokio::select! {
+                    reply = self.platform.watch(prefix, after, WATCH_WAIT) => reply,
+                    () = self.reader_role_lost(prefix) => continue,
                 };
-                let wait = self.after(&seen, &mut backoff, Duration::ZERO).await;
-                if let Ok(seen) = seen {
-                    after = seen.revision;
-                    self.take(seen.changed).await;
+                let wait = self
+                    .record_result(&reply, &mut backoff, Duration::ZERO)
+                    .await;
+                if let Ok(reply) = reply {
+                    after = reply.revision;
+                    self.apply_changes(reply.changed).await;
                 }
                 tokio::time::sleep(wait).await;
             }
         };
         tokio::select! {
             () = self.stop.cancelled() => {}
-            () = work => {}
+            () = read_loop => {}
         }
     }
 
-    async fn take(&self, changed: Vec<KvEntry>) {
+    async fn apply_changes(&self, changed: Vec<KvEntry>) {
         for entry in changed {
             let Some(text) = &entry.value else { continue };
             let msg = if entry.key == ORGANISATIONS_KEY {
@@ -196,7 +200,7 @@
                 serde_json::from_str::<Accepted>(text).map(FleetMsg::Bundle)
             };
             match msg {
-                Ok(msg) => self.fleet.tell(msg).await,
+                Ok(msg) => self.fleet.send(msg).await,
                 Err(e) => event!(self.log, events::BUNDLE_REFUSED,
                     "from" => "platform", "key" => &entry.key, "error" => %e),
             }
--- a/crates/sillpin-keeper/src/readers.rs
+++ b/crates/sillpin-keeper/src/readers.rs
@@ -1,11 +1,11 @@
-//! Reads the loads of the targets that this keeper is responsible for, and the cache events of
-//! the engines among them.
+//! Polls the loads of the targets assigned to this keeper, and the cache events of the engines among
+//! them.
 //!
-//! Two keepers of a target's zone read its load; the first of them also follows its cache events
-//! and hands them to the owners of the roots. It keeps the engine's cached blocks, so that it can
-//! tell everything again when the owners change.
+//! Two keepers of a target's zone poll its load; the first of them also follows its cache events and
+//! sends them to the owners of the roots. It keeps the set of the engine's cached blocks, so that it
+//! can send all of them again when the owners change.
 
-use crate::fleet::{FleetHandle, FleetMsg, Published, TargetReading};
+use crate::fleet::{FleetHandle, FleetMsg, PollResult, Published};
 use crate::router::RouterHandle;
 use crate::settings::KeeperConfig;
 use crate::view::View;
@@ -21,64 +21,64 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-/// How long a call for cache events waits for one.
-const EVENTS_WAIT: Duration = Duration::from_secs(5);
+/// How long a poll for cache events waits for an event.
+const EVENTS_POLL_WAIT: Duration = Duration::from_secs(5);
 
-/// Wait after a failed call for cache events.
+/// Wait after a failed poll for cache events.
 const EVENTS_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Objects asked of a store at a time.
-const LIST_PAGE: usize = 1_000;
+/// Number of objects requested from a store in one page.
+const LIST_PAGE_LEN: usize = 1_000;
 
 /// Pause between two pages of a store's objects.
 const LIST_PAUSE: Duration = Duration::from_millis(100);
 
-/// The second reader of a target stands by: it reads less often than the first by this factor.
+/// The second reader of a target is a standby: its poll interval is the first's times this factor.
 const SECOND_READER_FACTOR: u32 = 4;
 
-/// What the readers share.
+/// Dependencies of the readers.
 #[derive(Clone)]
 pub struct Readers {
-    /// Settings.
+    /// Settings of the keeper.
     pub cfg: KeeperConfig,
-    /// The fleet task.
+    /// Handle of the fleet task.
     pub fleet: FleetHandle,
-    /// What it publishes.
+    /// State that the fleet task publishes.
     pub published: Published,
-    /// Carries news to the owners of roots.
+    /// Sends directory updates to the owners of roots.
     pub router: RouterHandle,
     /// Connections to targets.
     pub client: Client,
-    /// Log.
+    /// Logger.
     pub log: Logger,
 }
 
-/// What this keeper does for a target.
+/// A target assigned to this keeper, and whether this keeper is its first reader.
 #[derive(Debug, Clone, PartialEq)]
-struct Duty {
+struct Assignment {
     entry: TargetEntry,
     first: bool,
 }
 
 impl Readers {
-    /// Starts and ends readers as the view changes, until `stop`.
+    /// Starts and stops readers as the view changes, until `stop`.
     pub async fn run(self, stop: CancellationToken) {
-        let mut running: HashMap<TargetId, (Duty, CancellationToken)> = HashMap::new();
+        let mut running: HashMap<TargetId, (Assignment, CancellationToken)> = HashMap::new();
         let mut view = self.published.view.clone();
         loop {
-            let duties = self.duties(&view.borrow_and_update());
-            running.retain(|id, (duty, token)| {
-                let keep = duties.get(id) == Some(duty);
+            let assignments = self.assignments(&view.borrow_and_update());
+            running.retain(|id, (assignment, token)| {
+                let keep = assignments.get(id) == Some(assignment);
                 if !keep {
                     token.cancel();
                 }
                 keep
             });
-            for (id, duty) in duties {
+            for (id, assignment) in assignments {
                 running.entry(id).or_insert_with(|| {
                     let token = stop.child_token();
-                    self.clone().start(duty.clone(), token.clone());
-                    (duty, token)
+                    self.clone().start(assignment.clone(), token.clone());
+                    (assignment, token)
                 });
             }
             tokio::select! {
@@ -88,41 +88,41 @@
         }
     }
 
-    fn duties(&self, view: &View) -> HashMap<TargetId, Duty> {
-        let mut duties = HashMap::new();
+    fn assignments(&self, view: &View) -> HashMap<TargetId, Assignment> {
+        let mut assignments = HashMap::new();
         for target in &view.targets {
             let readers = view.readers(&target.entry);
-            let mine = readers.iter().position(|b| b.id == self.cfg.box_id);
-            if let Some(place) = mine {
-                let duty = Duty {
+            let own_rank = readers.iter().position(|b| b.id == self.cfg.box_id);
+            if let Some(rank) = own_rank {
+                let assignment = Assignment {
                     entry: target.entry.clone(),
-                    first: place == 0,
+                    first: rank == 0,
                 };
-                duties.insert(target.entry.id.clone(), duty);
+                assignments.insert(target.entry.id.clone(), assignment);
             }
         }
-        duties
+        assignments
     }
 
-    fn start(self, duty: Duty, stop: CancellationToken) {
+    fn start(self, assignment: Assignment, stop: CancellationToken) {
         let mut every = self.cfg.load_every;
-        if !duty.first {
+        if !assignment.first {
             every *= SECOND_READER_FACTOR;
         }
-        let loads = self.clone().read_loads(duty.entry.clone(), every);
-        tokio::spawn(until(stop.clone(), loads));
-        match (duty.first, duty.entry.kind) {
+        let loads = self.clone().poll_loads(assignment.entry.clone(), every);
+        tokio::spawn(run_until(stop.clone(), loads));
+        match (assignment.first, assignment.entry.kind) {
             (true, TargetKind::Engine) => {
-                tokio::spawn(until(stop, self.follow_cache(duty.entry)));
+                tokio::spawn(run_until(stop, self.follow_cache_events(assignment.entry)));
             }
             (true, TargetKind::Store) => {
-                tokio::spawn(until(stop, self.list_store(duty.entry)));
+                tokio::spawn(run_until(stop, self.send_store_list(assignment.entry)));
             }
             _ => {}
         }
     }
 
-    async fn read_loads(self, entry: TargetEntry, every: Duration) {
+    async fn poll_loads(self, entry: TargetEntry, every: Duration) {
         let engine = HttpEngine::new(self.client.clone());
         let mut every = tokio::time::interval(every);
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -131,27 +131,28 @@
             if entry.kind == TargetKind::Weights {
                 continue;
             }
-            let reading = match engine.load(entry.addr).await {
-                Ok(load) => TargetReading::Load(load),
-                Err(_) => TargetReading::Failed,
+            let result = match engine.load(entry.addr).await {
+                Ok(load) => PollResult::Load(load),
+                Err(_) => PollResult::Failed,
             };
             self.fleet
-                .tell(FleetMsg::Target(entry.id.clone(), reading))
+                .send(FleetMsg::Target(entry.id.clone(), result))
                 .await;
         }
     }
 
-    async fn follow_cache(self, entry: TargetEntry) {
+    async fn follow_cache_events(self, entry: TargetEntry) {
         let engine = HttpEngine::new(self.client.clone());
         let mut cached = Cached::default();
         let mut view = self.published.view.clone();
         let mut members = members(&view.borrow_and_update());
         loop {
-            let asked = engine.cache_events(entry.addr, cached.epoch, cached.sequence, EVENTS_WAIT);
+            let poll =
+                engine.cache_events(entry.addr, cached.epoch, cached.sequence, EVENTS_POLL_WAIT);
             let reply = tokio::select! {
-                reply = asked => reply,
+                reply = poll => reply,
                 () = members_changed(&mut view, &mut members) => {
-                    self.tell(&entry, cached.all()).await;
+                    self.send_changes(&entry, cached.all_as_stored()).await;
                     continue;
                 }
             };
@@ -160,14 +161,14 @@
                     if cached.has_gap(&reply) {
                         event!(self.log, events::CACHE_EVENTS_LOST, "target" => %entry.id);
                     }
-                    self.tell(&entry, cached.take(reply)).await;
+                    self.send_changes(&entry, cached.apply(reply)).await;
                 }
                 Err(_) => tokio::time::sleep(EVENTS_BACKOFF).await,
             }
         }
     }
 
-    async fn tell(&self, entry: &TargetEntry, changes: Changes) {
+    async fn send_changes(&self, entry: &TargetEntry, changes: Changes) {
         for (root, (stored, removed)) in changes {
             let change = HolderChange {
                 root,
@@ -179,26 +180,29 @@
         }
     }
 
-    /// Tells the owners what the store holds, at first and whenever the boxes change.
-    async fn list_store(self, entry: TargetEntry) {
+    /// Sends the owners the list of the store's objects, at the start and whenever the live boxes change.
+    async fn send_store_list(self, entry: TargetEntry) {
         let store = HttpStore::new(self.client.clone());
         let mut view = self.published.view.clone();
         let mut members = members(&view.borrow_and_update());
         loop {
-            self.list_once(&store, &entry).await;
+            self.send_store_list_once(&store, &entry).await;
             members_changed(&mut view, &mut members).await;
         }
     }
 
-    async fn list_once(&self, store: &HttpStore, entry: &TargetEntry) {
+    async fn send_store_list_once(&self, store: &HttpStore, entry: &TargetEntry) {
         let mut after: Option<(BlockName, Generation)> = None;
-        while let Ok(page) = store.list(entry.addr, after, LIST_PAGE).await {
+        while let Ok(page) = store.list(entry.addr, after, LIST_PAGE_LEN).await {
             let Some(last) = page.last() else { return };
             after = Some((last.block, last.generation));
             let mut by_root: HashMap<BlockName, Vec<StoredObject>> = HashMap::new();
             for object in page {
                 let root = object.seal.root;
-                by_root.entry(root).or_default().push(kept(entry, object));
+                by_root
+                    .entry(root)
+                    .or_default()
+                    .push(stored_object(entry, object));
             }
             for (root, objects) in by_root {
                 self.router
@@ -210,7 +214,7 @@
     }
 }
 
-fn kept(entry: &TargetEntry, object: SealedObject) -> StoredObject {
+fn stored_object(entry: &TargetEntry, object: SealedObject) -> StoredObject {
     StoredObject {
         block: object.block,
         generation: object.generation,
@@ -222,7 +226,7 @@
     }
 }
 
-async fn until(stop: CancellationToken, work: impl Future<Output = ()>) {
+async fn run_until(stop: CancellationToken, work: impl Future<Output = ()>) {
     tokio::select! {
         () = stop.cancelled() => {}
         () = work => {}
@@ -234,7 +238,7 @@
     live.map(|b| b.id.to_string()).collect()
 }
 
-/// Resolves when the boxes in use are others than `known`, which is brought up to date.
+/// Resolves when the live boxes differ from `known`, and updates `known`.
 async fn members_changed(
     view: &mut watch::Receiver<std::sync::Arc<View>>,
     known: &mut HashSet<String>,
@@ -254,7 +258,7 @@
 /// Blocks stored and removed, by root.
 type Changes = HashMap<BlockName, (Vec<BlockName>, Vec<BlockName>)>;
 
-/// What an engine caches, as its events say.
+/// Blocks that an engine caches according to its events, with their roots.
 #[derive(Default)]
 struct Cached {
     epoch: u64,
@@ -268,8 +272,8 @@
         reply.epoch == self.epoch && first.is_some_and(|first| first > self.sequence + 1)
     }
 
-    /// Takes events in and says what they change. An engine's new life holds nothing of before.
-    fn take(&mut self, reply: CacheEvents) -> Changes {
+    /// Applies events and returns the changes. A new epoch of the engine starts with an empty cache.
+    fn apply(&mut self, reply: CacheEvents) -> Changes {
         let mut changes = Changes::new();
         if reply.epoch != self.epoch {
             for (block, root) in self.roots.drain() {
@@ -293,7 +297,7 @@
         changes
     }
 
-    fn all(&self) -> Changes {
+    fn all_as_stored(&self) -> Changes {
         let mut changes = Changes::new();
         for (block, root) in &self.roots {
             changes.entry(*root).or_default().0.push(*block);
--- a/crates/sillpin-keeper/src/records.rs
+++ b/crates/sillpin-keeper/src/records.rs
@@ -1,4 +1,4 @@
-//! What this box's entry reports: its last decision records, and what its arms measured.
+//! Reports of this box's entry: its latest decision records and the measurements of its arms.
 
 use sillpin_core::RequestId;
 use sillpin_rpc::arms::ArmFigures;
@@ -6,10 +6,10 @@
 use std::collections::{HashMap, VecDeque};
 use tokio::sync::{mpsc, oneshot};
 
-/// Records kept.
-const KEPT: usize = 2_000;
+/// Maximum number of records held; the oldest are evicted first.
+const MAX_RECORDS: usize = 2_000;
 
-/// Messages that may wait.
+/// Maximum number of queued messages.
 const QUEUE_LEN: usize = 256;
 
 enum RecordMsg {
@@ -19,19 +19,19 @@
     Arms(oneshot::Sender<Vec<ArmFigures>>),
 }
 
-/// Speaks to the task that owns the records.
+/// Sends messages to the task that owns the records.
 #[derive(Clone)]
 pub struct RecordsHandle {
     tx: mpsc::Sender<RecordMsg>,
 }
 
 impl RecordsHandle {
-    /// Adds records.
+    /// Adds records, and evicts the oldest beyond the limit.
     pub async fn add(&self, records: Vec<DecisionRecord>) {
         let _ = self.tx.send(RecordMsg::Add(records)).await;
     }
 
-    /// The record of a request, if it is still kept.
+    /// Returns the record of a request, if it is still held.
     pub async fn find(&self, request: RequestId) -> Option<DecisionRecord> {
         let (tx, rx) = oneshot::channel();
         self.tx.send(RecordMsg::Find(request, tx)).await.ok()?;
@@ -40,12 +40,12 @@
 }
 
 impl RecordsHandle {
-    /// Takes what the arms have measured so far.
+    /// Replaces the measurements of the arms.
     pub async fn set_arms(&self, figures: Vec<ArmFigures>) {
         let _ = self.tx.send(RecordMsg::SetArms(figures)).await;
     }
 
-    /// What the arms have measured.
+    /// Returns the latest measurements of the arms.
     pub async fn arms(&self) -> Vec<ArmFigures> {
         let (tx, rx) = oneshot::channel();
         let _ = self.tx.send(RecordMsg::Arms(tx)).await;
@@ -53,7 +53,7 @@
     }
 }
 
-/// Starts the task; it ends with its last handle.
+/// Starts the task, which stops when its last handle is dropped.
 pub fn start() -> RecordsHandle {
     let (tx, mut rx) = mpsc::channel(QUEUE_LEN);
     tokio::spawn(async move {
@@ -83,7 +83,7 @@
             self.order.push_back(record.request);
             self.by_request.insert(record.request, record);
         }
-        while self.order.len() > KEPT {
+        while self.order.len() > MAX_RECORDS {
             if let Some(oldest) = self.order.pop_front() {
                 self.by_request.remove(&oldest);
             }
--- a/crates/sillpin-keeper/src/router.rs
+++ b/crates/sillpin-keeper/src/router.rs
@@ -1,4 +1,4 @@
-//! Carries news to the owners of roots, in batches.
+//! Sends directory updates, in batches, to the keepers that own the roots concerned.
 
 use crate::directory::{DirectoryHandle, DirectoryMsg};
 use crate::fleet::Published;
@@ -10,29 +10,29 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// News that may wait; more make their senders wait.
+/// Maximum number of queued updates; when the queue is full, senders wait.
 const QUEUE_LEN: usize = 4_096;
 
-/// How long news waits for more.
-const BATCH_EVERY: Duration = Duration::from_millis(50);
+/// Interval at which batches are sent.
+const BATCH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Longest wait for an owner to take news.
-const LEARN_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout for sending a batch to an owner.
+const UPDATE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Takes news for the owners of their roots.
+/// Queues updates for the owners of their roots.
 #[derive(Clone)]
 pub struct RouterHandle {
     tx: mpsc::Sender<DirectoryUpdate>,
 }
 
 impl RouterHandle {
-    /// Sends news; it may be lost on the way, as hints may.
-    pub async fn send(&self, news: DirectoryUpdate) {
-        let _ = self.tx.send(news).await;
+    /// Queues an update. It may be lost in transit: the directory only holds hints.
+    pub async fn send(&self, update: DirectoryUpdate) {
+        let _ = self.tx.send(update).await;
     }
 }
 
-/// Starts the router; it ends with its last handle.
+/// Starts the router, which stops when its last handle is dropped.
 pub fn start(
     me: BoxId,
     published: Published,
@@ -61,11 +61,11 @@
 
 impl Router {
     async fn run(mut self, mut rx: mpsc::Receiver<DirectoryUpdate>) {
-        let mut flush = tokio::time::interval(BATCH_EVERY);
+        let mut flush = tokio::time::interval(BATCH_INTERVAL);
         loop {
             tokio::select! {
-                news = rx.recv() => match news {
-                    Some(news) => self.sort(news).await,
+                update = rx.recv() => match update {
+                    Some(update) => self.route(update).await,
                     None => return,
                 },
                 _ = flush.tick() => self.flush(),
@@ -73,19 +73,19 @@
         }
     }
 
-    async fn sort(&mut self, news: DirectoryUpdate) {
-        let Some(root) = news.root() else { return };
+    async fn route(&mut self, update: DirectoryUpdate) {
+        let Some(root) = update.root() else { return };
         let view = self.published.view.borrow().clone();
         for owner in view.owners(&root) {
             if owner.id == self.me {
                 self.directory
-                    .tell(DirectoryMsg::Learn(vec![news.clone()]))
+                    .send(DirectoryMsg::Update(vec![update.clone()]))
                     .await;
             } else {
                 self.batches
                     .entry(owner.addr)
                     .or_default()
-                    .push(news.clone());
+                    .push(update.clone());
             }
         }
     }
@@ -94,8 +94,8 @@
         for (peer, batch) in self.batches.drain() {
             let peers = self.peers.clone();
             tokio::spawn(async move {
-                let step = "tell an owner";
-                let call = peers.call(step, peer, LEARN_TIMEOUT, |client, cx| async move {
+                let step = "send updates to an owner";
+                let call = peers.call(step, peer, UPDATE_TIMEOUT, |client, cx| async move {
                     client.update_directory(cx, batch).await
                 });
                 let _ = call.await;
--- a/crates/sillpin-keeper/src/settings.rs
+++ b/crates/sillpin-keeper/src/settings.rs
@@ -1,4 +1,4 @@
-//! The keeper's settings.
+//! Settings of the keeper.
 
 use sillpin_bundle::TrustedKey;
 use sillpin_core::{BoxId, ZoneId};
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What the keeper reads.
+/// Sections and keys of the keeper's settings.
 pub const SCHEMA: Schema = &[
     Section {
         name: "box",
@@ -18,7 +18,11 @@
     },
     Section {
         name: "platform",
-        keys: &[Key::required("addr", Kind::Addr, "The platform's service")],
+        keys: &[Key::required(
+            "addr",
+            Kind::Addr,
+            "Address of the platform's service",
+        )],
     },
     Section {
         name: "keeper",
@@ -45,7 +49,7 @@
                 "seeds",
                 Kind::AddrList,
                 "",
-                "Keepers to ask when the platform cannot be reached",
+                "Keepers to contact while no other keeper is known, such as when the platform is unreachable",
             ),
             Key::optional(
                 "signers",
@@ -60,7 +64,7 @@
                     max: 60_000,
                 },
                 "1000",
-                "Time between two rounds of gossip",
+                "Interval between two gossip rounds",
             ),
             Key::optional(
                 "dead-after-ms",
@@ -69,7 +73,7 @@
                     max: 600_000,
                 },
                 "2500",
-                "Silence after which a box of this zone is out of use",
+                "Time without a heartbeat after which a box of this zone is not in use",
             ),
             Key::optional(
                 "load-ms",
@@ -78,7 +82,7 @@
                     max: 60_000,
                 },
                 "500",
-                "Time between two readings of a target's load",
+                "Interval at which the load of a target is polled",
             ),
             Key::optional(
                 "list-ms",
@@ -87,7 +91,7 @@
                     max: 600_000,
                 },
                 "1000",
-                "Time between two readings of the box list",
+                "Interval at which the box list is read",
             ),
         ],
     },
@@ -95,14 +99,14 @@
     LOG_SECTION,
 ];
 
-/// The keeper's settings.
+/// Values of the keeper's settings.
 #[derive(Debug, Clone)]
 pub struct KeeperConfig {
     /// This box.
     pub box_id: BoxId,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// The platform's service.
+    /// Address of the platform's service.
     pub platform: SocketAddr,
     /// Listener for the entry.
     pub entry_listen: SocketAddr,
@@ -110,24 +114,24 @@
     pub peer_listen: SocketAddr,
     /// Listener for health and metrics.
     pub http_listen: SocketAddr,
-    /// Keepers to ask first.
+    /// Keepers to contact while no other keeper is known.
     pub seeds: Vec<SocketAddr>,
-    /// Trusted operators.
+    /// Public keys of operators whose bundles are accepted.
     pub signers: Vec<TrustedKey>,
-    /// Time between two rounds of gossip.
+    /// Interval between two gossip rounds.
     pub gossip_every: Duration,
-    /// Silence after which a box is out of use.
+    /// Time without a heartbeat after which a box of this zone is not in use.
     pub dead_after: Duration,
-    /// Time between two readings of a load.
+    /// Interval at which the load of a target is polled.
     pub load_every: Duration,
-    /// Time between two readings of the box list.
+    /// Interval at which the box list is read.
     pub list_every: Duration,
-    /// Collector of traces.
+    /// Address of the trace collector, if traces are exported.
     pub collector: Option<SocketAddr>,
 }
 
 impl KeeperConfig {
-    /// Takes the values out of checked settings.
+    /// Reads the values from loaded settings. Fails if a value does not parse.
     pub fn from_loaded(loaded: &Loaded) -> Result<Self, Faults> {
         let collectors: Vec<SocketAddr> = loaded.list("telemetry", "collector")?;
         let millis = |key| loaded.get("keeper", key).map(Duration::from_millis);
--- a/crates/sillpin-keeper/src/view.rs
+++ b/crates/sillpin-keeper/src/view.rs
@@ -1,4 +1,4 @@
-//! The slowly changing part of what a keeper knows, for its other tasks.
+//! Snapshot of the slowly changing part of the fleet state, published to the keeper's other tasks.
 
 use sillpin_bundle::Bundle;
 use sillpin_core::target::TargetEntry;
@@ -7,32 +7,32 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Owners of a root, and readers of a target.
+/// Number of owners of a root, and of readers of a target.
 pub const REPLICAS: usize = 2;
 
-/// A box as other tasks need it.
+/// What other tasks need of a box.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerView {
     /// The box.
     pub id: BoxId,
-    /// Hash of its name.
+    /// Hash of its id, for rendezvous hashing.
     pub hash: CandidateHash,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Where its keeper listens for peers.
+    /// Address on which its keeper listens for peers.
     pub addr: SocketAddr,
-    /// Whether it is in use.
+    /// Whether it is in use: neither unresponsive nor leaving.
     pub live: bool,
 }
 
-/// A target as other tasks need it.
+/// What other tasks need of a target.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TargetInfo {
     /// Its entry in the box list.
     pub entry: TargetEntry,
-    /// Whether it answered the last calls; true while nobody has asked.
+    /// Whether it responded to the last calls; true until it has been polled.
     pub reachable: bool,
-    /// Whether any source says that it leaves.
+    /// Whether its load report or the box list marks it as leaving.
     pub leaving: bool,
 }
 
@@ -48,7 +48,7 @@
 /// Boxes, targets and the bundle in force.
 #[derive(Debug, Clone, Default)]
 pub struct View {
-    /// All boxes that are not leaving, this one included.
+    /// All known boxes, including this one.
     pub boxes: Vec<PeerView>,
     /// All targets.
     pub targets: Vec<TargetInfo>,
@@ -57,42 +57,47 @@
 }
 
 impl View {
-    /// Boxes of a zone that are in use.
+    /// Returns the boxes of a zone that are in use.
     pub fn live_in<'a>(&'a self, zone: &'a ZoneId) -> impl Iterator<Item = &'a PeerView> {
         self.boxes.iter().filter(move |b| b.live && b.zone == *zone)
     }
 
-    fn top(&self, key: u64, count: usize, wanted: impl Fn(&PeerView) -> bool) -> Vec<&PeerView> {
-        let boxes = self.boxes.iter().enumerate().filter(|(_, b)| wanted(b));
+    fn top_boxes(
+        &self,
+        key: u64,
+        count: usize,
+        eligible: impl Fn(&PeerView) -> bool,
+    ) -> Vec<&PeerView> {
+        let boxes = self.boxes.iter().enumerate().filter(|(_, b)| eligible(b));
         let best = rendezvous::top(key, boxes.map(|(i, b)| (i, b.hash, 1.0)), count);
         best.into_iter().map(|index| &self.boxes[index]).collect()
     }
 
-    /// The keepers that own a root's part of the directory, the first one first.
+    /// Returns the keepers that own a root's part of the directory, by descending rendezvous score.
     pub fn owners(&self, root: &BlockName) -> Vec<&PeerView> {
-        self.top(root.placement_hash(), REPLICAS, |b| b.live)
+        self.top_boxes(root.placement_hash(), REPLICAS, |b| b.live)
     }
 
-    /// The keepers that read a target's load, the first one first: of the target's zone.
+    /// Returns the keepers of the target's zone that poll its load, by descending rendezvous score.
     pub fn readers(&self, target: &TargetEntry) -> Vec<&PeerView> {
         let key = rendezvous::key_of(target.id.as_str());
-        self.top(key, REPLICAS, |b| b.live && b.zone == target.zone)
+        self.top_boxes(key, REPLICAS, |b| b.live && b.zone == target.zone)
     }
 
-    /// The keepers of a zone that do a task for all of it, the first one first.
+    /// Returns the keepers of a zone that run `task` for the whole zone, by descending rendezvous score.
     pub fn zone_readers(&self, zone: &ZoneId, task: &str) -> Vec<&PeerView> {
-        self.top(rendezvous::key_of(task), REPLICAS, |b| {
+        self.top_boxes(rendezvous::key_of(task), REPLICAS, |b| {
             b.live && b.zone == *zone
         })
     }
 
-    /// The targets of a kind that may get new work.
+    /// Returns the targets of a kind that accept new work.
     pub fn usable(&self, kind: TargetKind) -> impl Iterator<Item = &TargetInfo> {
         let usable = move |t: &&TargetInfo| t.entry.kind == kind && t.reachable && !t.leaving;
         self.targets.iter().filter(usable)
     }
 
-    /// A target by its name.
+    /// Returns a target by its id.
     pub fn target(&self, id: &TargetId) -> Option<&TargetInfo> {
         self.targets.iter().find(|t| t.entry.id == *id)
     }
--- a/crates/sillpin-keeper/src/weights.rs
+++ b/crates/sillpin-keeper/src/weights.rs
@@ -1,11 +1,11 @@
-//! Has engines load the weight versions that the bundle in force names.
+//! Orders engines to load the weight versions that the bundle in force specifies.
 //!
-//! The first reader of an engine sees to it. It needs one of three slots of the weight store, each
-//! a key of the platform's service under a lease, and a pool never has fewer engines serving than
-//! the bundle's floor. The slot's revision is the order's fence: it grows with every holder, so an
-//! engine that checks refuses the delayed order of an earlier one. For engines that do not check,
-//! an order is only sent in the first half of the lease and is given up before the lease's end, by
-//! this keeper's own clock.
+//! An engine's first reader sends its orders. For each it acquires one of the weight store's three slots,
+//! each a key of the platform's service under a lease; a pool never has fewer serving engines than
+//! the bundle's floor. The slot's revision is the order's fence: it increases with every holder, so
+//! an engine that checks it refuses a delayed order of an earlier holder. For engines that do not
+//! check it, an order is only sent in the first half of the lease and times out before the lease
+//! expires, by this keeper's own clock.
 
 use crate::fleet::{FleetHandle, FleetMsg, Published};
 use crate::settings::KeeperConfig;
@@ -25,43 +25,43 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Loads at once that a weight store serves at full speed.
+/// Number of concurrent loads that a weight store serves at full speed.
 const SLOTS: u32 = 3;
 
-/// Time between two looks at which engines are behind.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+/// Interval at which outdated engines are searched for.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Life of a slot's lease.
+/// Time to live of a slot's lease.
 const LEASE_TTL: Duration = Duration::from_secs(30);
 
-/// Prefix of the slots in the platform's service.
+/// Key prefix of the slots in the platform's service.
 const SLOT_PREFIX: &str = "loads/";
 
-/// How long an engine's word that it has loaded counts for more than its load reports, which lag.
-const TRUST_LOADED: Duration = Duration::from_secs(10);
+/// How long an engine's confirmation of a load takes precedence over its load reports, which lag.
+const CONFIRMATION_TTL: Duration = Duration::from_secs(10);
 
-/// Engines that said that they have loaded a version, and when.
-type Loaded = HashMap<TargetId, (WeightVersion, Instant)>;
+/// Engines that have confirmed a load, with the version and the time.
+type ConfirmedLoads = HashMap<TargetId, (WeightVersion, Instant)>;
 
-/// What the orderer of loads needs.
+/// Dependencies of the task that orders loads.
 #[derive(Clone)]
 pub struct Weights<P> {
-    /// The platform.
+    /// Client of the platform's service.
     pub platform: P,
-    /// Settings.
+    /// Settings of the keeper.
     pub cfg: KeeperConfig,
-    /// The fleet task.
+    /// Handle of the fleet task.
     pub fleet: FleetHandle,
-    /// What it publishes.
+    /// State that the fleet task publishes.
     pub published: Published,
     /// Connections to targets.
     pub client: Client,
-    /// Log.
+    /// Logger.
     pub log: Logger,
 }
 
-/// An engine that is behind.
-struct Behind {
+/// An engine that serves another version than its pool's bundle entry specifies.
+struct OutdatedEngine {
     engine: TargetEntry,
     version: WeightVersion,
     slots: u32,
@@ -69,42 +69,46 @@
 }
 
 impl<P: Platform> Weights<P> {
-    /// Runs until `stop`.
+    /// Runs the task until `stop`.
     pub async fn run(self, stop: CancellationToken) {
-        let mut look = tokio::time::interval(LOOK_EVERY);
-        let mut loaded = Loaded::new();
-        look.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut poll = tokio::time::interval(POLL_INTERVAL);
+        let mut loaded = ConfirmedLoads::new();
+        poll.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 () = stop.cancelled() => return,
-                _ = look.tick() => {}
+                _ = poll.tick() => {}
             }
-            loaded.retain(|_, (_, at)| at.elapsed() < TRUST_LOADED);
-            if let Some(behind) = self.find_behind(&loaded).await {
-                self.bring_up(behind, &mut loaded).await;
+            loaded.retain(|_, (_, at)| at.elapsed() < CONFIRMATION_TTL);
+            if let Some(outdated) = self.find_outdated(&loaded).await {
+                self.update_weights(outdated, &mut loaded).await;
             }
         }
     }
 
-    async fn find_behind(&self, loaded: &Loaded) -> Option<Behind> {
+    async fn find_outdated(&self, loaded: &ConfirmedLoads) -> Option<OutdatedEngine> {
         let view = self.published.view.borrow().clone();
         let bundle = &view.in_force.as_ref()?.bundle;
         if bundle.pools.values().all(|pool| pool.version.is_none()) {
             return None;
         }
-        let status = self.fleet.ask(FleetMsg::Status).await?;
-        let mine = |t: &&TargetView| self.is_mine(&view, t);
-        status.targets.iter().filter(mine).find_map(|target| {
-            let pool = bundle.pools.get(&target.entry.pool)?;
-            let done = loaded.get(&target.entry.id).map(|(version, _)| *version);
-            if done.is_some() && done == pool.version {
-                return None;
-            }
-            behind(&view, &status.targets, target, pool)
-        })
+        let status = self.fleet.query(FleetMsg::Status).await?;
+        let is_first_reader = |t: &&TargetView| self.is_first_reader(&view, t);
+        status
+            .targets
+            .iter()
+            .filter(is_first_reader)
+            .find_map(|target| {
+                let pool = bundle.pools.get(&target.entry.pool)?;
+                let confirmed = loaded.get(&target.entry.id).map(|(version, _)| *version);
+                if confirmed.is_some() && confirmed == pool.version {
+                    return None;
+                }
+                if_outdated(&view, &status.targets, target, pool)
+            })
     }
 
-    fn is_mine(&self, view: &View, target: &TargetView) -> bool {
+    fn is_first_reader(&self, view: &View, target: &TargetView) -> bool {
         let readers = view.readers(&target.entry);
         let first = readers
             .first()
@@ -112,26 +116,29 @@
         first && target.entry.kind == TargetKind::Engine
     }
 
-    async fn bring_up(&self, behind: Behind, loaded: &mut Loaded) {
-        let begun = Instant::now();
-        let Ok(Some((slot, fence))) = self.take_slot(&behind).await else {
+    async fn update_weights(&self, outdated: OutdatedEngine, loaded: &mut ConfirmedLoads) {
+        let started = Instant::now();
+        let Ok(Some((slot, fence))) = self.acquire_slot(&outdated).await else {
             return;
         };
-        if begun.elapsed() < LEASE_TTL / 2 && self.order(&behind, fence).await {
-            let done = (behind.version, Instant::now());
-            loaded.insert(behind.engine.id.clone(), done);
+        if started.elapsed() < LEASE_TTL / 2 && self.order(&outdated, fence).await {
+            let confirmed = (outdated.version, Instant::now());
+            loaded.insert(outdated.engine.id.clone(), confirmed);
         }
         let _ = self.platform.delete(&slot, KvRevision(fence.0)).await;
     }
 
-    /// Takes a free slot; gives its key and the fence.
-    async fn take_slot(&self, behind: &Behind) -> Result<Option<(String, Fence)>, PlatformError> {
+    /// Acquires a free slot, if there is one. Returns its key and the fence.
+    async fn acquire_slot(
+        &self,
+        outdated: &OutdatedEngine,
+    ) -> Result<Option<(String, Fence)>, PlatformError> {
         if is_off(Mechanism::Slots) {
             return Ok(Some((String::new(), Fence(u64::MAX))));
         }
-        let prefix = format!("{SLOT_PREFIX}{}/", behind.weights.id);
+        let prefix = format!("{SLOT_PREFIX}{}/", outdated.weights.id);
         let taken = self.platform.list(&prefix, None, SLOTS as usize).await?;
-        let slots = (0..behind.slots).map(|slot| format!("{prefix}{slot}"));
+        let slots = (0..outdated.slots).map(|slot| format!("{prefix}{slot}"));
         let mut free = slots.filter(|slot| taken.iter().all(|entry| entry.key != *slot));
         let Some(slot) = free.next() else {
             return Ok(None);
@@ -145,26 +152,26 @@
         Ok(Some((slot, Fence(written.0))))
     }
 
-    /// Orders a load; says whether the engine has loaded.
-    async fn order(&self, behind: &Behind, fence: Fence) -> bool {
-        let engine = &behind.engine;
+    /// Orders a load. Returns whether the engine confirmed it.
+    async fn order(&self, outdated: &OutdatedEngine, fence: Fence) -> bool {
+        let engine = &outdated.engine;
         let Some(model) = engine.model.clone() else {
             return false;
         };
         event!(self.log, events::WEIGHTS_ORDERED,
-            "engine" => %engine.id, "version" => %behind.version, "fence" => %fence);
+            "engine" => %engine.id, "version" => %outdated.version, "fence" => %fence);
         let order = LoadOrder {
             fence,
             model,
-            version: behind.version,
-            weights: behind.weights.addr,
+            version: outdated.version,
+            weights: outdated.weights.addr,
         };
         let client = HttpEngine::new(self.client.clone());
         let loaded = tokio::time::timeout(LEASE_TTL / 3, client.load_weights(engine.addr, &order));
         match loaded.await {
             Ok(Ok(())) => {
                 event!(self.log, events::WEIGHTS_LOADED,
-                    "engine" => %engine.id, "version" => %behind.version);
+                    "engine" => %engine.id, "version" => %outdated.version);
                 true
             }
             Ok(Err(e)) => {
@@ -187,13 +194,13 @@
     !target.leaving && target.state.as_ref().is_some_and(|state| state.reachable)
 }
 
-/// The load that an engine needs, if it is behind and its pool can spare it.
-fn behind(
+/// Returns the load that an engine needs, if it is outdated and its pool can do without it meanwhile.
+fn if_outdated(
     view: &View,
     targets: &[TargetView],
     target: &TargetView,
     pool: &PoolPolicy,
-) -> Option<Behind> {
+) -> Option<OutdatedEngine> {
     let version = pool.version?;
     if !is_serving(target) || version_of(target)? == version {
         return None;
@@ -202,7 +209,7 @@
     let serving = in_pool.filter(|t| is_serving(t)).count() as u32;
     let slots = serving.saturating_sub(pool.floor).min(SLOTS);
     let weights = view.usable(TargetKind::Weights).next()?;
-    (slots > 0).then(|| Behind {
+    (slots > 0).then(|| OutdatedEngine {
         engine: target.entry.clone(),
         version,
         slots,
--- a/crates/sillpin-keeper/tests/claims.rs
+++ b/crates/sillpin-keeper/tests/claims.rs
@@ -1,14 +1,14 @@
-//! Interleavings of claims on one key: lost and late answers, refusals, slowness, boxes that die
-//! before or after the send. Whatever happens, the call runs at most once, and where nobody died the
-//! key comes free again.
+//! Interleavings of claims on one key: lost and late responses, refusals, slow calls, boxes that crash
+//! before or after sending. In all of them the call runs at most once, and if all requests abandon it,
+//! the key becomes free again.
 //!
-//! Every sleep here is a move of the paused clock, part of the interleaving: no time passes.
+//! Sleeps only advance the paused clock, as part of the interleaving: no real time passes.
 //!
-//! `PROPTEST_CASES=100000 cargo test -p sillpin-keeper --test claims` runs longer.
+//! `PROPTEST_CASES=100000 cargo test -p sillpin-keeper --test claims` tries more interleavings.
 
 mod common;
 
-use common::{ScriptedPlatform, Weather};
+use common::{CallBehaviour, ScriptedPlatform};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use sillpin_core::{Outcome, RequestId};
@@ -19,50 +19,53 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
-/// Interleavings tried in CI.
+/// Number of interleavings tried in CI.
 const CASES: u32 = 3_000;
 
 /// What a box does with a granted claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Then {
+enum Action {
     Send,
-    SendAndDie,
-    DieBeforeSending,
-    GiveUp,
+    SendAndCrash,
+    CrashBeforeSending,
+    Abandon,
 }
 
-/// One request for the call.
+/// One request for the call, with the behaviour of its calls to the platform.
 #[derive(Debug, Clone)]
 struct Attempt {
     starts_at: u64,
-    weather: Vec<Weather>,
-    then: Then,
+    behaviours: Vec<CallBehaviour>,
+    action: Action,
 }
 
-fn weather() -> impl Strategy<Value = Weather> {
+fn behaviour() -> impl Strategy<Value = CallBehaviour> {
     prop_oneof![
-        3 => Just(Weather::Fair),
-        1 => Just(Weather::Refused),
-        2 => Just(Weather::AnswerLost),
-        2 => (0..8_000u64).prop_map(Weather::Late),
-        1 => (0..2_500u64).prop_map(Weather::Slow),
+        3 => Just(CallBehaviour::Normal),
+        1 => Just(CallBehaviour::Refused),
+        2 => Just(CallBehaviour::AnswerLost),
+        2 => (0..8_000u64).prop_map(CallBehaviour::Late),
+        1 => (0..2_500u64).prop_map(CallBehaviour::Slow),
     ]
 }
 
 fn attempt() -> impl Strategy<Value = Attempt> {
-    let then = prop_oneof![
-        3 => Just(Then::Send),
-        1 => Just(Then::SendAndDie),
-        1 => Just(Then::DieBeforeSending),
-        2 => Just(Then::GiveUp),
+    let action = prop_oneof![
+        3 => Just(Action::Send),
+        1 => Just(Action::SendAndCrash),
+        1 => Just(Action::CrashBeforeSending),
+        2 => Just(Action::Abandon),
     ];
-    (0..6_000u64, prop::collection::vec(weather(), 0..8), then).prop_map(
-        |(starts_at, weather, then)| Attempt {
-            starts_at,
-            weather,
-            then,
-        },
+    (
+        0..6_000u64,
+        prop::collection::vec(behaviour(), 0..8),
+        action,
     )
+        .prop_map(|(starts_at, behaviours, action)| Attempt {
+            starts_at,
+            behaviours,
+            action,
+        })
 }
 
 fn key() -> ClaimKey {
@@ -86,7 +89,7 @@
 
 async fn run(attempt: Attempt, platform: ScriptedPlatform, executions: Arc<AtomicU32>) {
     tokio::time::sleep(Duration::from_millis(attempt.starts_at)).await;
-    let journal = journal(platform.through(attempt.weather));
+    let journal = journal(platform.with_script(attempt.behaviours));
     let req = request();
     let end = |outcome| ClaimEnd {
         key: key(),
@@ -96,20 +99,20 @@
     if journal.claim(req.clone()).await != ClaimReply::Granted {
         return;
     }
-    match attempt.then {
-        Then::Send => {
+    match attempt.action {
+        Action::Send => {
             executions.fetch_add(1, Ordering::Relaxed);
             journal.write_end(end(Outcome::Ran)).await;
         }
-        Then::SendAndDie => {
+        Action::SendAndCrash => {
             executions.fetch_add(1, Ordering::Relaxed);
         }
-        Then::DieBeforeSending => {}
-        Then::GiveUp => journal.write_end(end(Outcome::NotRun)).await,
+        Action::CrashBeforeSending => {}
+        Action::Abandon => journal.write_end(end(Outcome::NotRun)).await,
     }
 }
 
-/// Runs the attempts side by side; gives the executions and whether the key is free afterwards.
+/// Runs the attempts concurrently. Returns the number of executions and whether the key is free afterwards.
 async fn run_all(attempts: Vec<Attempt>) -> (u32, bool) {
     let platform = ScriptedPlatform::new();
     let executions = Arc::new(AtomicU32::new(0));
@@ -130,8 +133,8 @@
     })]
 
     #[test]
-    fn a_call_runs_at_most_once_and_its_key_comes_free(attempts in prop::collection::vec(attempt(), 1..5)) {
-        let nobody_sends_or_dies = attempts.iter().all(|a| a.then == Then::GiveUp);
+    fn a_call_runs_at_most_once_and_an_abandoned_key_is_released(attempts in prop::collection::vec(attempt(), 1..5)) {
+        let all_abandon = attempts.iter().all(|a| a.action == Action::Abandon);
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_time()
             .start_paused(true)
@@ -139,7 +142,7 @@
             .unwrap();
         let (executions, free) = runtime.block_on(run_all(attempts));
         prop_assert!(executions <= 1, "{executions} executions");
-        prop_assert!(executions == 0 || !free, "the key of a call that ran came free");
-        prop_assert!(free || !nobody_sends_or_dies, "nobody sent, and the key is not free");
+        prop_assert!(executions == 0 || !free, "the key of a call that ran was released");
+        prop_assert!(free || !all_abandon, "all requests abandoned the call, but the key is not free");
     }
 }
--- a/crates/sillpin-keeper/tests/common/mod.rs
+++ b/crates/sillpin-keeper/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A platform in memory whose calls go wrong as a script says, on the paused clock.
+//! An in-memory platform whose calls fail according to a script, on the paused clock.
 
 use sillpin_core::target::BoxList;
 use sillpin_platform::{
@@ -8,18 +8,18 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// How one call goes.
+/// Behaviour of one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Weather {
-    /// As it should.
-    Fair,
-    /// Refused; nothing happens.
+pub enum CallBehaviour {
+    /// Succeeds.
+    Normal,
+    /// Is refused and has no effect.
     Refused,
-    /// It takes effect and its answer is lost.
+    /// Takes effect, but its response is lost.
     AnswerLost,
-    /// Its answer is lost, and it takes effect this much later.
+    /// Its response is lost, and it takes effect this many milliseconds later.
     Late(u64),
-    /// It is slow by this much.
+    /// Takes effect after this many milliseconds.
     Slow(u64),
 }
 
@@ -50,15 +50,15 @@
     }
 }
 
-/// The platform as one keeper sees it; all share the keys, each has its own script.
+/// The platform as one keeper sees it: clones share the keys and the script.
 #[derive(Clone)]
 pub struct ScriptedPlatform {
     kv: Arc<Mutex<Kv>>,
-    script: Arc<Mutex<VecDeque<Weather>>>,
+    script: Arc<Mutex<VecDeque<CallBehaviour>>>,
 }
 
 impl ScriptedPlatform {
-    /// An empty platform in fair weather.
+    /// Creates an empty platform whose calls all succeed.
     pub fn new() -> Self {
         Self {
             kv: Arc::default(),
@@ -66,8 +66,8 @@
         }
     }
 
-    /// The same keys, seen through `script`; after its end the weather is fair.
-    pub fn through(&self, script: Vec<Weather>) -> Self {
+    /// Returns a platform with the same keys whose calls follow `script` and succeed after its end.
+    pub fn with_script(&self, script: Vec<CallBehaviour>) -> Self {
         Self {
             kv: self.kv.clone(),
             script: Arc::new(Mutex::new(script.into())),
@@ -78,12 +78,12 @@
         self.kv.lock().unwrap()
     }
 
-    fn weather(&self) -> Weather {
+    fn next_behaviour(&self) -> CallBehaviour {
         self.script
             .lock()
             .unwrap()
             .pop_front()
-            .unwrap_or(Weather::Fair)
+            .unwrap_or(CallBehaviour::Normal)
     }
 }
 
@@ -97,13 +97,13 @@
 
 impl Platform for ScriptedPlatform {
     async fn get(&self, key: &str) -> Result<Option<KvEntry>, PlatformError> {
-        match self.weather() {
-            Weather::Refused => return Err(failed(PlatformFault::Refused)),
-            Weather::AnswerLost | Weather::Late(_) => {
+        match self.next_behaviour() {
+            CallBehaviour::Refused => return Err(failed(PlatformFault::Refused)),
+            CallBehaviour::AnswerLost | CallBehaviour::Late(_) => {
                 return Err(failed(PlatformFault::AnswerLost));
             }
-            Weather::Slow(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
-            Weather::Fair => tokio::time::sleep(Duration::from_millis(1)).await,
+            CallBehaviour::Slow(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
+            CallBehaviour::Normal => tokio::time::sleep(Duration::from_millis(1)).await,
         }
         let found = self.lock().values.get(key).cloned();
         Ok(found.map(|(value, revision)| KvEntry {
@@ -120,13 +120,13 @@
         expect: KvRevision,
         _: Option<LeaseId>,
     ) -> Result<KvRevision, PlatformError> {
-        match self.weather() {
-            Weather::Refused => return Err(failed(PlatformFault::Refused)),
-            Weather::AnswerLost => {
+        match self.next_behaviour() {
+            CallBehaviour::Refused => return Err(failed(PlatformFault::Refused)),
+            CallBehaviour::AnswerLost => {
                 let _ = self.lock().put(key, value, expect);
                 return Err(failed(PlatformFault::AnswerLost));
             }
-            Weather::Late(ms) => {
+            CallBehaviour::Late(ms) => {
                 let (kv, key, value) = (self.kv.clone(), key.to_owned(), value.to_owned());
                 tokio::spawn(async move {
                     tokio::time::sleep(Duration::from_millis(ms)).await;
@@ -134,8 +134,8 @@
                 });
                 return Err(failed(PlatformFault::AnswerLost));
             }
-            Weather::Slow(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
-            Weather::Fair => tokio::time::sleep(Duration::from_millis(1)).await,
+            CallBehaviour::Slow(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
+            CallBehaviour::Normal => tokio::time::sleep(Duration::from_millis(1)).await,
         }
         self.lock().put(key, value, expect).map_err(failed)
     }
--- a/crates/sillpin-keeper/tests/fleet.rs
+++ b/crates/sillpin-keeper/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet's table: what it takes in, what it never takes back.
+//! The fleet table: which items and box lists it accepts, and that outdated ones never replace newer ones.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -47,14 +47,14 @@
     table.in_force().map(|f| f.revision).unwrap_or_default()
 }
 
-/// One step between a few keepers.
+/// One step of an interleaving of several keepers.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     /// A keeper reads a revision from the platform.
     Read { keeper: usize, revision: u64 },
-    /// A keeper compares with another.
+    /// A keeper exchanges digests and items with another.
     Gossip { from: usize, to: usize },
-    /// A keeper loses everything.
+    /// A keeper restarts with an empty table.
     Restart { keeper: usize },
 }
 
@@ -72,7 +72,7 @@
     let zone = "kariakoo".parse().unwrap();
     let digest = tables[from].digest(&zone);
     let exchange = tables[to].exchange(&digest);
-    let wanted = tables[from].wanted(&exchange.wanted);
+    let wanted = tables[from].items_by_hash(&exchange.wanted);
     tables[from].apply(exchange.newer, now);
     tables[to].apply(wanted, now);
 }
@@ -85,7 +85,7 @@
     })]
 
     #[test]
-    fn a_revision_never_goes_back_while_its_keeper_lives(steps in prop::collection::vec(step(), 1..40)) {
+    fn the_revision_never_decreases_until_its_keeper_restarts(steps in prop::collection::vec(step(), 1..40)) {
         let key = SignerKey::generate();
         let now = Instant::now();
         let new = |number: usize| FleetTable::new(identity(&format!("box-{number}"), &key), now);
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_heartbeat_of_an_earlier_life_under_a_later_clock_is_overtaken() {
+fn a_heartbeat_replaces_that_of_an_earlier_incarnation_with_a_later_clock() {
     let key = SignerKey::generate();
     let now = Instant::now();
     let me: sillpin_core::BoxId = "box".parse().unwrap();
@@ -140,7 +140,7 @@
         },
         now,
     );
-    old.beat(now);
+    old.heartbeat(now);
     let mut peer = FleetTable::new(identity("peer", &key), now);
     let zone = "kariakoo".parse().unwrap();
     let digest = peer.digest(&zone);
@@ -156,12 +156,12 @@
 }
 
 #[test]
-fn a_target_that_has_gone_does_not_come_back_by_gossip() {
+fn gossip_does_not_restore_a_removed_target() {
     let key = SignerKey::generate();
     let now = Instant::now();
     let mut table = FleetTable::new(identity("box", &key), now);
-    table.read_box_list(BoxList::default(), now, now);
-    let gone = Item {
+    table.apply_box_list(BoxList::default(), now, now);
+    let removed = Item {
         key: ItemKey::Target("engine-1".parse().unwrap()),
         version: ItemVersion(9),
         value: ItemValue::Target(TargetState {
@@ -170,11 +170,11 @@
         }),
     };
     let before = table.stamp();
-    table.apply(vec![gone], now);
+    table.apply(vec![removed], now);
     assert_eq!(table.stamp(), before);
 }
 
-/// A list of one engine.
+/// Returns a box list with one engine.
 fn listed(presence: Presence) -> BoxList {
     let engine = TargetEntry {
         id: "engine-1".parse().unwrap(),
@@ -192,26 +192,26 @@
     }
 }
 
-/// The platform was slow to answer one of the two keepers of a zone that read the list of targets. What it told was older than what the
-/// other had read and spread meanwhile, but came later and so counted as newer: in all keepers of the fleet a leaving target was in
-/// use again until the next reading.
+/// Two keepers of a zone read the box list. The platform's response to one of them was slow and contained an older list than the other
+/// had read and gossiped meanwhile, but arrived later and so got a higher version: all keepers of the fleet used a leaving target again
+/// until the next read.
 #[tokio::test(start_paused = true)]
-async fn a_list_that_comes_late_does_not_bring_back_a_leaving_target() {
+async fn an_outdated_list_that_arrives_late_does_not_restore_a_leaving_target() {
     let key = SignerKey::generate();
     let start = Instant::now();
     let new = |id: &str| FleetTable::new(identity(id, &key), start);
     let mut tables = [new("slow"), new("quick")];
-    tables[0].read_box_list(listed(Presence::Live), start, start);
+    tables[0].apply_box_list(listed(Presence::Live), start, start);
     gossip(&mut tables, 0, 1, start);
     advance(Duration::from_secs(1)).await;
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     advance(Duration::from_millis(500)).await;
     let now = Instant::now();
-    tables[1].read_box_list(listed(Presence::Leaving), now, now);
+    tables[1].apply_box_list(listed(Presence::Leaving), now, now);
     gossip(&mut tables, 0, 1, now);
     advance(Duration::from_secs(2)).await;
     let now = Instant::now();
-    tables[0].read_box_list(listed(Presence::Live), asked, now);
+    tables[0].apply_box_list(listed(Presence::Live), requested_at, now);
     gossip(&mut tables, 0, 1, now);
     for table in &tables {
         let views = table.target_views();
--- a/crates/sillpin-keeper/tests/program.rs
+++ b/crates/sillpin-keeper/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program's arguments.
+//! Checks of the program's settings on the command line.
 
 #[path = "../../sillpin-settings/tests/support/program.rs"]
 mod program;
