--- a/crates/sillpin-keeper/src/claims.rs
+++ b/crates/sillpin-keeper/src/claims.rs
@@ -46,7 +46,7 @@
 }
 
 impl<P: Platform> Journal<P> {
-    /// Creates a journal that box `me` keeps at `platform`.
+    /// Creates the journal of box `me`, stored at `platform`.
     pub fn new(platform: P, me: BoxId, log: Logger) -> Self {
         Self { platform, me, log }
     }
--- a/crates/sillpin-keeper/src/directory/table.rs
+++ b/crates/sillpin-keeper/src/directory/table.rs
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Removes objects from the hints, and rejects them for [`REJECT_UNPUBLISHED_FOR`].
+    /// Removes objects from the hints, and rejects them for `REJECT_UNPUBLISHED_FOR`.
     pub fn unpublish(
         &mut self,
         root: BlockName,
@@ -227,8 +227,8 @@
 
     fn free_job(&self, root: &BlockName, store: &TargetId, limit: usize) -> Option<FreeJob> {
         let prompt = self.prompts.get(root)?;
-        let here = prompt.stored.values().filter(|o| o.store == *store);
-        let objects: Vec<&StoredObject> = here.take(limit).collect();
+        let in_store = prompt.stored.values().filter(|o| o.store == *store);
+        let objects: Vec<&StoredObject> = in_store.take(limit).collect();
         Some(FreeJob {
             root: *root,
             addr: objects.first()?.addr,
--- a/crates/sillpin-keeper/src/fleet/items.rs
+++ b/crates/sillpin-keeper/src/fleet/items.rs
@@ -8,7 +8,8 @@
 use std::collections::{HashMap, HashSet};
 use tokio::time::Instant;
 
-/// An item's version and value, and when it last changed in this keeper.
+/// An item's version and value, with the time and the stamp of its last change in this keeper. The
+/// stamp counts this keeper's changes of all items.
 pub(super) struct Stored {
     pub(super) version: ItemVersion,
     pub(super) value: ItemValue,
--- a/crates/sillpin-keeper/src/fleet/messages.rs
+++ b/crates/sillpin-keeper/src/fleet/messages.rs
@@ -36,7 +36,7 @@
     /// Marks this box as leaving.
     Leave,
     /// The platform responded to a call.
-    PlatformAnswered,
+    PlatformResponded,
     /// Queries the digest to send to a peer of a zone.
     Digest(ZoneId, oneshot::Sender<Digest>),
     /// Queries the reply to a digest.
--- a/crates/sillpin-keeper/src/fleet/table.rs
+++ b/crates/sillpin-keeper/src/fleet/table.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Identity of this keeper and the rules it applies to peers.
+/// Identity of this keeper, and the settings that the table needs.
 #[derive(Debug, Clone)]
 pub struct Identity {
     /// Id of its box.
@@ -48,7 +48,7 @@
     pub(super) items: Items,
     pub(super) in_force: Option<Arc<InForce>>,
     failures: std::collections::HashMap<TargetId, u32>,
-    pub(super) list_updated: Option<Instant>,
+    pub(super) list_received: Option<Instant>,
     leaving: bool,
     local_targets: HashSet<TargetId>,
     rounds: u64,
@@ -62,7 +62,7 @@
             items: Items::default(),
             in_force: None,
             failures: Default::default(),
-            list_updated: None,
+            list_received: None,
             leaving: false,
             local_targets: HashSet::new(),
             rounds: 0,
@@ -112,11 +112,11 @@
     pub fn apply(&mut self, items: Vec<Item>, now: Instant) -> Vec<SignError> {
         let mut refused = Vec::new();
         for item in items {
-            let is_me = item.key == ItemKey::Box(self.me.box_id.clone());
+            let is_own_heartbeat = item.key == ItemKey::Box(self.me.box_id.clone());
             if let Err(e) = self.apply_one(item, now) {
                 refused.push(e);
             }
-            if is_me {
+            if is_own_heartbeat {
                 self.heartbeat(now);
             }
         }
@@ -133,7 +133,7 @@
                 if self.put(ItemKey::BoxList, item.version, value, now) {
                     self.remove_unlisted();
                 }
-                self.list_updated = Some(now);
+                self.list_received = Some(now);
             }
             (ItemKey::Target(id), ItemValue::Target(_)) if !self.may_be_listed(&id) => {}
             (key, value) if kinds_match(&key, &value) => {
@@ -158,8 +158,8 @@
     /// Brings a bundle into force if its revision is higher than the current one. Returns whether it did,
     /// or an error if the bundle does not verify.
     pub fn adopt(&mut self, accepted: Accepted, now: Instant) -> Result<bool, SignError> {
-        let has_one = self.in_force.is_some();
-        if accepted.revision <= self.revision() || (has_one && is_off(Mechanism::Adopt)) {
+        let has_bundle = self.in_force.is_some();
+        if accepted.revision <= self.revision() || (has_bundle && is_off(Mechanism::Adopt)) {
             return Ok(false);
         }
         let bundle: Bundle = accepted.bundle.verify(&self.me.signers)?;
@@ -189,14 +189,15 @@
         }
     }
 
-    /// Applies the box list read from the platform. A list requested before a peer's change arrived may be older than that
-    /// change, however late the response came: it is ignored, and the next read decides.
+    /// Applies the box list read from the platform. A list that was requested before the latest change
+    /// arrived from a peer may be older than that change, however late the response came: it is
+    /// ignored, and the next read decides.
     pub fn apply_box_list(&mut self, list: BoxList, requested_at: Instant, now: Instant) {
         let current = self.items.get(&ItemKey::BoxList);
         if current.is_some_and(|current| current.changed > requested_at) {
             return;
         }
-        self.list_updated = Some(now);
+        self.list_received = Some(now);
         if self.box_list() == Some(&list) {
             return;
         }
--- a/crates/sillpin-keeper/src/fleet/task.rs
+++ b/crates/sillpin-keeper/src/fleet/task.rs
@@ -36,7 +36,7 @@
     log: Logger,
     view: watch::Sender<Arc<View>>,
     stamp: watch::Sender<u64>,
-    platform_answered: Option<Instant>,
+    platform_responded: Option<Instant>,
 }
 
 /// Starts the task, which stops when its last handle is dropped.
@@ -55,7 +55,7 @@
         log,
         view,
         stamp,
-        platform_answered: None,
+        platform_responded: None,
     };
     tokio::spawn(task.run(rx));
     (FleetHandle { tx }, published)
@@ -99,7 +99,7 @@
                 }
             }
             FleetMsg::Leave => self.table.set_leaving(now),
-            FleetMsg::PlatformAnswered => self.platform_answered = Some(now),
+            FleetMsg::PlatformResponded => self.platform_responded = Some(now),
             FleetMsg::Digest(zone, tx) => drop(tx.send(self.table.digest(&zone))),
             FleetMsg::Exchange(digest, tx) => drop(tx.send(self.table.exchange(&digest))),
             FleetMsg::ItemsByHash(hashes, tx) => drop(tx.send(self.table.items_by_hash(&hashes))),
@@ -194,7 +194,7 @@
             boxes: self.table.box_statuses(now),
             targets: self.table.target_views(),
             stopped_arms: self.table.stopped_arms(),
-            platform_age_ms: age(self.platform_answered),
+            platform_age_ms: age(self.platform_responded),
             box_list_age_ms: self
                 .table
                 .box_list_age(now)
--- a/crates/sillpin-keeper/src/fleet/views.rs
+++ b/crates/sillpin-keeper/src/fleet/views.rs
@@ -140,7 +140,7 @@
 
     /// Returns the time since the box list was last read or received from a peer.
     pub fn box_list_age(&self, now: Instant) -> Option<Duration> {
-        self.list_updated.map(|received| now - received)
+        self.list_received.map(|received| now - received)
     }
 
     /// Returns the changes since `known`, for the entry.
--- a/crates/sillpin-keeper/src/lib.rs
+++ b/crates/sillpin-keeper/src/lib.rs
@@ -1,4 +1,4 @@
-//! The control process of a box.
+//! The control side of a box.
 //!
 //! Each task owns its state and sockets; tasks communicate by messages:
 //!
--- a/crates/sillpin-keeper/src/main.rs
+++ b/crates/sillpin-keeper/src/main.rs
@@ -1,4 +1,4 @@
-//! `sillpin-keeper`: the control process of a box.
+//! `sillpin-keeper`: the control side of a box.
 
 use clap::Command;
 use sillpin_keeper::ops;
--- a/crates/sillpin-keeper/src/peers.rs
+++ b/crates/sillpin-keeper/src/peers.rs
@@ -26,12 +26,12 @@
 /// Connections by address; clones share them.
 #[derive(Clone, Default)]
 pub struct Peers {
-    open: Arc<Mutex<HashMap<SocketAddr, PeerLinkClient>>>,
+    connections: Arc<Mutex<HashMap<SocketAddr, PeerLinkClient>>>,
 }
 
 impl Peers {
     fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, PeerLinkClient>> {
-        self.open.lock().unwrap_or_else(|e| e.into_inner())
+        self.connections.lock().unwrap_or_else(|e| e.into_inner())
     }
 
     /// Calls a peer. After a failed call the connection is dropped; the next call opens a new one.
--- a/crates/sillpin-keeper/src/platform.rs
+++ b/crates/sillpin-keeper/src/platform.rs
@@ -147,7 +147,7 @@
     ) -> Duration {
         match result {
             Ok(_) => {
-                self.fleet.send(FleetMsg::PlatformAnswered).await;
+                self.fleet.send(FleetMsg::PlatformResponded).await;
                 if backoff.is_failing() {
                     event!(self.log, events::PLATFORM_RECOVERED);
                 }
--- a/crates/sillpin-keeper/tests/claims.rs
+++ b/crates/sillpin-keeper/tests/claims.rs
@@ -43,7 +43,7 @@
     prop_oneof![
         3 => Just(CallBehaviour::Normal),
         1 => Just(CallBehaviour::Refused),
-        2 => Just(CallBehaviour::AnswerLost),
+        2 => Just(CallBehaviour::ResponseLost),
         2 => (0..8_000u64).prop_map(CallBehaviour::Late),
         1 => (0..2_500u64).prop_map(CallBehaviour::Slow),
     ]
--- a/crates/sillpin-keeper/tests/common/mod.rs
+++ b/crates/sillpin-keeper/tests/common/mod.rs
@@ -16,7 +16,7 @@
     /// Is refused and has no effect.
     Refused,
     /// Takes effect, but its response is lost.
-    AnswerLost,
+    ResponseLost,
     /// Its response is lost, and it takes effect this many milliseconds later.
     Late(u64),
     /// Takes effect after this many milliseconds.
@@ -99,7 +99,7 @@
     async fn get(&self, key: &str) -> Result<Option<KvEntry>, PlatformError> {
         match self.next_behaviour() {
             CallBehaviour::Refused => return Err(failed(PlatformFault::Refused)),
-            CallBehaviour::AnswerLost | CallBehaviour::Late(_) => {
+            CallBehaviour::ResponseLost | CallBehaviour::Late(_) => {
                 return Err(failed(PlatformFault::AnswerLost));
             }
             CallBehaviour::Slow(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
@@ -122,7 +122,7 @@
     ) -> Result<KvRevision, PlatformError> {
         match self.next_behaviour() {
             CallBehaviour::Refused => return Err(failed(PlatformFault::Refused)),
-            CallBehaviour::AnswerLost => {
+            CallBehaviour::ResponseLost => {
                 let _ = self.lock().put(key, value, expect);
                 return Err(failed(PlatformFault::AnswerLost));
             }
--- a/crates/sillpin-keeper/tests/fleet.rs
+++ b/crates/sillpin-keeper/tests/fleet.rs
@@ -192,9 +192,10 @@
     }
 }
 
-/// Two keepers of a zone read the box list. The platform's response to one of them was slow and contained an older list than the other
-/// had read and gossiped meanwhile, but arrived later and so got a higher version: all keepers of the fleet used a leaving target again
-/// until the next read.
+/// Guards against an outdated box list that replaces a newer one. Two keepers of a zone read the list.
+/// The platform's response to one of them was slow and contained an older list than the other had read
+/// and gossiped meanwhile, but arrived later and so got a higher version: all keepers of the fleet
+/// used a leaving target again until the next read.
 #[tokio::test(start_paused = true)]
 async fn an_outdated_list_that_arrives_late_does_not_restore_a_leaving_target() {
     let key = SignerKey::generate();
