--- a/crates/sillpin-bundle/src/bundle.rs
+++ b/crates/sillpin-bundle/src/bundle.rs
@@ -1,4 +1,4 @@
-//! A bundle of policies and its checks.
+//! The bundle document: the policies, arms and pools that a fleet runs with, and its validation.
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
@@ -8,80 +8,81 @@
 use sillpin_policy::guard::Guard;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Longest bundle accepted, in bytes of JSON; the platform's service holds values to a megabyte.
+/// Maximum length of a bundle, in bytes of JSON; the platform's store limits values to a megabyte.
 pub const MAX_BUNDLE_LEN: usize = 256 << 10;
 
-/// Most attempts at one request that a bundle may allow.
+/// Upper limit of `max_attempts` (attempts per request) in a bundle.
 const MAX_ATTEMPTS: u8 = 8;
 
-/// Most candidates of one decision that a bundle may ask for.
+/// Upper limit of the candidates (homes and samples) that one placement decision may consider.
 const MAX_CANDIDATES: u8 = 32;
 
-/// An arm under comparison with the control arm.
+/// An arm of an experiment: a share of the prompts that gets a policy of its own, for comparison with
+/// the control arm.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Arm {
-    /// Its name.
+    /// Name of the arm.
     pub name: ArmName,
-    /// Its share of the prompts where it runs, in hundredths of a percent.
+    /// Share of the prompts in `zones` that the arm gets, in hundredths of a percent.
     pub share: Share,
-    /// Availability zones in which it runs.
+    /// Availability zones in which the arm runs.
     pub zones: Vec<ZoneId>,
-    /// Its policy.
+    /// Policy for the arm's prompts.
     pub policy: PolicySet,
 }
 
-/// What a bundle says of a pool of engines.
+/// Configuration of a pool of targets.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PoolPolicy {
-    /// The kind of its targets.
+    /// Kind of the pool's targets.
     pub kind: TargetKind,
-    /// Model that it serves, if its targets are engines.
+    /// Model that the pool serves; set for engines only.
     #[serde(default)]
     pub model: Option<ModelId>,
-    /// Weight version that its engines are to load; absent: leave them.
+    /// Desired weight version of the pool's engines; `None` leaves the loaded version unchanged.
     #[serde(default)]
     pub version: Option<WeightVersion>,
-    /// Engines that must go on serving while others load.
+    /// Minimum number of engines that keep serving while others load weights.
     #[serde(default)]
     pub floor: u32,
 }
 
-/// A bundle of policies.
+/// A bundle: all policies that are rolled out together as one revision.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bundle {
-    /// Name for people.
+    /// Human-readable name.
     pub name: String,
-    /// What it is meant to do.
+    /// Purpose of the bundle, as free text.
     #[serde(default)]
     pub description: String,
-    /// Policy of all traffic that belongs to no other arm.
+    /// Policy for all traffic that belongs to none of `arms`.
     pub control: PolicySet,
-    /// Arms under comparison.
+    /// Arms that are compared with the control arm.
     #[serde(default)]
     pub arms: Vec<Arm>,
-    /// When an arm stops by itself.
+    /// Thresholds at which an arm is stopped automatically.
     #[serde(default)]
     pub guard: Guard,
-    /// Pools that callers may name.
+    /// Pools that callers may address.
     #[serde(default)]
     pub pools: BTreeMap<PoolId, PoolPolicy>,
 }
 
-/// Something in a bundle that is refused.
+/// A validation error of a bundle.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error, Serialize, Deserialize)]
 #[display("{field}: {what}")]
 pub struct BundleFault {
-    /// Path of the field.
+    /// Path of the invalid field.
     pub field: String,
-    /// What is wrong and what is accepted.
+    /// Description of the error and of the accepted values.
     pub what: String,
 }
 
 impl Bundle {
-    /// Reads a bundle; the fault names the place.
+    /// Parses a bundle from JSON. Fails if the text is longer than [`MAX_BUNDLE_LEN`] or not a bundle.
     pub fn from_json(text: &str) -> Result<Self, BundleFault> {
         let fault = |what: String| BundleFault {
             field: "bundle".to_owned(),
@@ -93,7 +94,7 @@
         serde_json::from_str(text).map_err(|e| fault(e.to_string()))
     }
 
-    /// Every fault of the bundle; empty if it may be signed.
+    /// Validates the bundle and returns all errors; an empty list means that it may be signed.
     pub fn check(&self) -> Vec<BundleFault> {
         let mut faults = Faults::default();
         faults.require(!self.name.is_empty(), "name", "must not be empty");
@@ -105,18 +106,18 @@
 
     fn check_arms(&self, faults: &mut Faults) {
         let shares = self.arms.iter().map(|arm| u32::from(arm.share.units()));
-        let whole = u32::from(Share::WHOLE_UNITS);
+        let all_units = u32::from(Share::WHOLE_UNITS);
         let total: u32 = shares.sum();
         faults.require(
-            total < whole,
+            total < all_units,
             "arms",
             "shares must leave some for the control arm",
         );
         let mut names = BTreeSet::new();
         for arm in &self.arms {
             let field = format!("arms.{}", arm.name);
-            let fresh = names.insert(&arm.name) && arm.name.as_str() != CONTROL_ARM;
-            faults.require(fresh, &field, "name stands twice or is `control`");
+            let is_valid = names.insert(&arm.name) && arm.name.as_str() != CONTROL_ARM;
+            faults.require(is_valid, &field, "name is used twice or is `control`");
             faults.require(!arm.zones.is_empty(), &field, "zones must not be empty");
             check_policy(&arm.policy, &field, faults);
         }
@@ -139,7 +140,8 @@
         }
     }
 
-    /// The arm of a prompt in a zone.
+    /// Returns the arm that `prompt` (a hash) belongs to in `zone`; `None` is the control arm. Arms for
+    /// which `stopped` returns true are not considered.
     pub fn arm(
         &self,
         zone: &ZoneId,
@@ -155,7 +157,7 @@
         self.arms.iter().find(|arm| arm.name == *name)
     }
 
-    /// The engine pool that serves a model.
+    /// Returns the engine pool that serves `model`.
     pub fn pool_of_model(&self, model: &ModelId) -> Option<&PoolId> {
         let serves = |pool: &PoolPolicy| pool.model.as_ref() == Some(model);
         let mut pools = self.pools.iter();
@@ -163,13 +165,15 @@
     }
 }
 
-/// Name of the control arm in figures and records.
+/// Name of the control arm in metrics and decision records.
 pub const CONTROL_ARM: &str = "control";
 
+/// Collects the validation errors of a bundle.
 #[derive(Default)]
 struct Faults(Vec<BundleFault>);
 
 impl Faults {
+    /// Adds an error for `field` unless `holds`.
     fn require(&mut self, holds: bool, field: &str, what: &str) {
         if !holds {
             self.0.push(BundleFault {
--- a/crates/sillpin-bundle/src/lib.rs
+++ b/crates/sillpin-bundle/src/lib.rs
@@ -1,10 +1,11 @@
-//! Versioned bundles of policies: immutable, named by their digest, signed.
+//! Versioned bundles of policies: immutable, identified by their digest, and signed.
 //!
-//! - [`bundle`]: the document and its checks,
-//! - [`signed`]: digest, signature and acceptance.
+//! - [`bundle`]: the document and its validation,
+//! - [`signed`]: digest, signature and the record of an accepted revision.
 //!
-//! The log of accepted bundles lives in the platform's service, one key a revision, each created if
-//! absent: of two operators that race, one gets the revision and the other is told who has it.
+//! The log of accepted bundles is stored in the platform's store, one key per revision. Keys are only
+//! created, never overwritten: when two operators accept at the same time, one gets the revision and
+//! the other gets an error that names the first.
 
 pub mod bundle;
 pub mod signed;
--- a/crates/sillpin-bundle/src/signed.rs
+++ b/crates/sillpin-bundle/src/signed.rs
@@ -1,4 +1,4 @@
-//! Digest, signature and acceptance of a bundle.
+//! Digest and signature of a bundle, and the record of an accepted revision.
 
 use crate::bundle::{Bundle, BundleFault};
 use base64::Engine as _;
@@ -11,51 +11,52 @@
 use sillpin_core::Revision;
 use std::str::FromStr;
 
-/// Prefix of the log of accepted bundles in the platform's service.
+/// Key prefix of the log of accepted bundles in the platform's store.
 pub const REVISION_PREFIX: &str = "bundles/";
 
-/// Key of a revision in the platform's service; keys sort as revisions do.
+/// Returns the key of a revision in the platform's store. The number is zero-padded, so keys sort in
+/// the order of revisions.
 pub fn revision_key(revision: Revision) -> String {
     format!("{REVISION_PREFIX}{:020}", revision.0)
 }
 
-/// BLAKE3 of a bundle's JSON text, in hexadecimal: the bundle's name.
+/// BLAKE3 of a bundle's JSON text, in hexadecimal; it identifies the bundle.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Digest(String);
 
 impl Digest {
-    /// The digest of `text`.
+    /// Computes the digest of `text`.
     pub fn of(text: &str) -> Self {
         Self(blake3::hash(text.as_bytes()).to_hex().to_string())
     }
 
-    /// The first digits, for people.
+    /// Returns the first 12 digits, for display.
     pub fn short(&self) -> &str {
         self.0.get(..12).unwrap_or(&self.0)
     }
 }
 
-/// Why a bundle is not accepted.
+/// Error of signing or verifying a bundle.
 #[derive(Debug, Display, Error, From)]
 pub enum SignError {
-    /// A key is unreadable.
-    #[display("key is unreadable")]
+    /// A key cannot be decoded.
+    #[display("key cannot be decoded")]
     #[from(skip)]
     Key,
-    /// The signature is not by the key that it names, or not over this text.
+    /// The signature was not made by the named key, or not over this text.
     #[display("signature does not verify")]
     #[from(skip)]
     Signature,
-    /// The key that signed is not trusted.
+    /// The signer's key is not in the list of trusted keys.
     #[display("signed by a key that is not trusted: {_0}")]
     #[from(skip)]
     Untrusted(#[error(not(source))] String),
-    /// The digest is not that of the text.
-    #[display("digest does not fit the text")]
+    /// The digest does not match the text.
+    #[display("digest does not match the text")]
     #[from(skip)]
     Digest,
-    /// The text is no bundle.
+    /// The text is not a valid bundle.
     #[display("{_0}")]
     Bundle(BundleFault),
 }
@@ -64,31 +65,31 @@
 pub struct SignerKey(SigningKey);
 
 impl SignerKey {
-    /// A new key.
+    /// Generates a random key.
     pub fn generate() -> Self {
         let seed: [u8; 32] = rand::random();
         Self(SigningKey::from_bytes(&seed))
     }
 
-    /// Reads a key in PKCS#8 PEM.
+    /// Decodes a key from PKCS#8 PEM.
     pub fn from_pem(pem: &str) -> Result<Self, SignError> {
         let key = SigningKey::from_pkcs8_pem(pem);
         key.map(Self).map_err(|_| SignError::Key)
     }
 
-    /// The key in PKCS#8 PEM.
+    /// Encodes the key as PKCS#8 PEM.
     pub fn to_pem(&self) -> Result<String, SignError> {
         let pem = self.0.to_pkcs8_pem(LineEnding::LF);
         pem.map(|pem| pem.to_string()).map_err(|_| SignError::Key)
     }
 
-    /// The public half, as settings list it.
+    /// Returns the public key, in the form that settings list it in.
     pub fn public(&self) -> TrustedKey {
         TrustedKey(self.0.verifying_key())
     }
 }
 
-/// An operator's public key, in base64.
+/// An operator's public key; its text form is base64.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TrustedKey(VerifyingKey);
 
@@ -112,18 +113,18 @@
 /// A bundle's text with its digest and signature.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SignedBundle {
-    /// The bundle as JSON, to the letter as it was signed.
+    /// The bundle as JSON, byte for byte as it was signed.
     pub text: String,
-    /// Its digest.
+    /// Digest of `text`.
     pub digest: Digest,
     /// The signer's public key, in base64.
     pub signer: String,
-    /// The signature over the text, in base64.
+    /// The signature over `text`, in base64.
     pub signature: String,
 }
 
 impl SignedBundle {
-    /// Signs a bundle that passes its checks.
+    /// Signs a bundle. Fails with the first error if the bundle is not valid.
     pub fn sign(text: &str, key: &SignerKey) -> Result<Self, SignError> {
         let bundle = Bundle::from_json(text)?;
         if let Some(fault) = bundle.check().into_iter().next() {
@@ -137,7 +138,7 @@
         })
     }
 
-    /// Checks digest and signature against the trusted keys and reads the bundle.
+    /// Verifies that a trusted key signed the bundle and that the digest matches, then parses the bundle.
     pub fn verify(&self, trusted: &[TrustedKey]) -> Result<Bundle, SignError> {
         let signer: TrustedKey = self.signer.parse()?;
         if !trusted.contains(&signer) {
@@ -157,15 +158,16 @@
     }
 }
 
-/// A revision as it stands in the platform's service.
+/// An accepted revision, as stored in the platform's store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// Its place in the log.
+    /// Number of the revision in the log.
     pub revision: Revision,
-    /// The bundle.
+    /// The accepted bundle.
     pub bundle: SignedBundle,
-    /// Who accepted it, as they name themselves.
+    /// Operator who accepted the bundle, as given on the command line.
     pub operator: String,
-    /// Unique to the act, so that a lost answer can be settled by reading back.
+    /// Unique to this acceptance: after a lost response, reading the key back shows whether this write or
+    /// another one created the revision.
     pub token: String,
 }
