--- a/crates/sillpin-cli/src/commands/bundle.rs
+++ b/crates/sillpin-cli/src/commands/bundle.rs
@@ -1,4 +1,4 @@
-//! `sillpin bundle`: make, check, sign and accept bundles.
+//! `sillpin bundle`: creates, checks, signs, accepts and compares bundles.
 
 use super::{file_arg, keeper_arg, platform, platform_arg, show, value};
 use clap::{Arg, ArgMatches, Command, value_parser};
@@ -11,7 +11,7 @@
 
 pub fn cli() -> Command {
     Command::new("bundle")
-        .about("Bundles of policies")
+        .about("Manages bundles of policies")
         .subcommand_required(true)
         .subcommand(
             Command::new("new")
@@ -20,12 +20,12 @@
         )
         .subcommand(
             Command::new("check")
-                .about("Checks a bundle and prints every fault")
+                .about("Checks a bundle and prints all errors")
                 .arg(file_arg("file", "The bundle")),
         )
         .subcommand(
             Command::new("sign")
-                .about("Checks and signs a bundle and prints it signed")
+                .about("Checks a bundle and prints it with its signature")
                 .arg(file_arg("file", "The bundle"))
                 .arg(file_arg("key", "The signing key")),
         )
@@ -53,7 +53,7 @@
                 .long("operator")
                 .env("USER")
                 .default_value("operator")
-                .help("Who accepts"),
+                .help("Name of the operator, recorded with the revision"),
         )
         .arg(
             Arg::new("expect")
@@ -83,6 +83,7 @@
     Ok(())
 }
 
+/// Output of `bundle check`.
 #[derive(Serialize)]
 struct Checked {
     name: String,
@@ -109,6 +110,7 @@
     Ok(())
 }
 
+/// Output of `bundle accept`, and of `bundle log` for each revision.
 #[derive(Serialize)]
 struct Row {
     revision: Revision,
@@ -155,6 +157,7 @@
     Ok(())
 }
 
+/// Output of `bundle status` for each box.
 #[derive(Serialize)]
 struct BoxRow {
     id: BoxId,
@@ -163,9 +166,9 @@
 }
 
 async fn status(args: &ArgMatches) -> Result<(), CliError> {
-    let seen = fleet::status(value(args, "keeper")?).await?;
+    let fleet_status = fleet::status(value(args, "keeper")?).await?;
     let mut rows = Vec::new();
-    for status in seen.boxes {
+    for status in fleet_status.boxes {
         rows.push(BoxRow {
             id: status.id,
             revision: status.state.revision,
--- a/crates/sillpin-cli/src/commands/compare.rs
+++ b/crates/sillpin-cli/src/commands/compare.rs
@@ -1,4 +1,4 @@
-//! `sillpin bundle compare`: two arms of the bundle in force.
+//! `sillpin bundle compare`: compares two arms of the bundle in force.
 
 use super::{keeper_arg, show, value};
 use clap::{Arg, ArgMatches, Command, value_parser};
@@ -13,10 +13,10 @@
         Arg::new(name)
             .required(true)
             .value_parser(value_parser!(ArmName))
-            .help("An arm; `control` is the control arm")
+            .help("Name of an arm; `control` is the control arm")
     };
     Command::new("compare")
-        .about("Compares two arms of the bundle in force, by zone, with 95% intervals")
+        .about("Compares two arms of the bundle in force, by zone, with 95% confidence intervals")
         .arg(arm("a"))
         .arg(arm("b"))
         .arg(keeper_arg())
@@ -24,7 +24,7 @@
             Arg::new("plot")
                 .long("plot")
                 .value_parser(value_parser!(PathBuf))
-                .help("Write a plot (SVG)"),
+                .help("File to write a plot of both arms to (SVG)"),
         )
 }
 
--- a/crates/sillpin-cli/src/commands/explain.rs
+++ b/crates/sillpin-cli/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `sillpin explain`: why a request went where it went.
+//! `sillpin explain`: shows why a request was routed to its target.
 
 use super::{keeper_arg, show, value};
 use clap::{Arg, ArgMatches, Command, value_parser};
@@ -9,12 +9,14 @@
 
 pub fn cli() -> Command {
     Command::new("explain")
-        .about("Shows the candidates of a request, their costs, and what became of each attempt")
+        .about(
+            "Shows the candidate targets of a request, their costs, and the result of each attempt",
+        )
         .arg(
             Arg::new("request")
                 .required(true)
                 .value_parser(value_parser!(RequestId))
-                .help("Request id, as every answer carries it"),
+                .help("Request id from the response's headers"),
         )
         .arg(keeper_arg())
 }
--- a/crates/sillpin-cli/src/commands/key.rs
+++ b/crates/sillpin-cli/src/commands/key.rs
@@ -1,4 +1,4 @@
-//! `sillpin key`: an operator's signing key.
+//! `sillpin key`: creates an operator's signing key.
 
 use super::{file_arg, show, value};
 use clap::{ArgMatches, Command};
@@ -9,12 +9,13 @@
 
 pub fn cli() -> Command {
     Command::new("key")
-        .about("Makes a signing key and prints its public half for the settings")
-        .arg(file_arg("file", "Where to write the private key"))
+        .about("Creates a signing key and prints its public key for the settings")
+        .arg(file_arg("file", "File to write the private key to"))
 }
 
+/// Output of `key`.
 #[derive(Serialize)]
-struct Made {
+struct NewKey {
     public: String,
 }
 
@@ -24,6 +25,6 @@
     let pem = pem.map_err(|e| CliError::caused(ExitStatus::Failed, "cannot write the key", e))?;
     ops::write_file(&value::<PathBuf>(args, "file")?, &pem)?;
     let public = key.public().to_string();
-    show(args, &Made { public }, |made| format!("{}\n", made.public));
+    show(args, &NewKey { public }, |new| format!("{}\n", new.public));
     Ok(())
 }
--- a/crates/sillpin-cli/src/commands/mod.rs
+++ b/crates/sillpin-cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands: each declares its arguments beside the function that runs it.
+//! The commands. Each module has the arguments of its command (`cli`) and the function that runs it.
 
 mod bundle;
 mod compare;
@@ -16,10 +16,10 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Name of the platform's address in the environment.
+/// Environment variable with the platform's address.
 const PLATFORM_ENV: &str = "SILLPIN_PLATFORM_ADDR";
 
-/// Name of a keeper's address in the environment.
+/// Environment variable with a keeper's address.
 const KEEPER_ENV: &str = "SILLPIN_KEEPER_PEER";
 
 pub fn cli() -> Command {
@@ -32,7 +32,7 @@
                 .long("json")
                 .global(true)
                 .action(ArgAction::SetTrue)
-                .help("Print one JSON document"),
+                .help("Print the output as one JSON document"),
         )
         .subcommand(bundle::cli())
         .subcommand(explain::cli())
@@ -60,7 +60,7 @@
         .env(PLATFORM_ENV)
         .required(true)
         .value_parser(value_parser!(SocketAddr))
-        .help("Address of the platform's service")
+        .help("Address of the platform's store")
 }
 
 fn keeper_arg() -> Arg {
@@ -79,11 +79,13 @@
         .help(help)
 }
 
+/// Returns the value of a required argument.
 fn value<T: Clone + Send + Sync + 'static>(args: &ArgMatches, name: &str) -> Result<T, CliError> {
     let value = args.get_one::<T>(name).cloned();
     value.ok_or_else(|| CliError::new(ExitStatus::Usage, format!("{name} is missing")))
 }
 
+/// Returns a client of the platform at the `platform` argument's address.
 fn platform(args: &ArgMatches) -> Result<HttpPlatform, CliError> {
     Ok(HttpPlatform::new(
         Client::default(),
@@ -91,7 +93,7 @@
     ))
 }
 
-/// Prints a document as JSON if that was asked for, else as text.
+/// Prints a document as JSON with `--json`, otherwise as text.
 fn show<T: Serialize>(args: &ArgMatches, document: &T, text: impl FnOnce(&T) -> String) {
     if args.get_flag("json") {
         println!("{}", serde_json::to_string(document).unwrap_or_default());
--- a/crates/sillpin-cli/src/commands/organisation.rs
+++ b/crates/sillpin-cli/src/commands/organisation.rs
@@ -1,4 +1,4 @@
-//! `sillpin organisation`: organisations and their keys.
+//! `sillpin organisation`: manages organisations and their keys.
 
 use super::{platform, platform_arg, show, value};
 use clap::{Arg, ArgMatches, Command, value_parser};
@@ -15,29 +15,30 @@
             .help("Name of the organisation")
     };
     Command::new("organisation")
-        .about("Organisations and their keys")
+        .about("Manages organisations and their keys")
         .subcommand_required(true)
         .subcommand(
             Command::new("add-key")
-                .about("Makes a key, prints it once and keeps its hash")
+                .about("Creates a key, prints it once and stores its hash")
                 .arg(name())
                 .arg(platform_arg()),
         )
         .subcommand(
             Command::new("revoke")
-                .about("Takes all keys of an organisation back")
+                .about("Revokes all keys of an organisation")
                 .arg(name())
                 .arg(platform_arg()),
         )
         .subcommand(
             Command::new("list")
-                .about("Lists organisations")
+                .about("Lists organisations and their number of keys")
                 .arg(platform_arg()),
         )
 }
 
+/// Output of `organisation add-key`.
 #[derive(Serialize)]
-struct Made {
+struct NewKey {
     key: String,
 }
 
@@ -47,7 +48,7 @@
             let key = organisation::new_key();
             let hash = organisation::hash_key(&key);
             organisation::add_key(&platform(args)?, value(args, "name")?, hash).await?;
-            show(args, &Made { key }, |made| format!("{}\n", made.key));
+            show(args, &NewKey { key }, |new| format!("{}\n", new.key));
             Ok(())
         }
         Some(("revoke", args)) => {
--- a/crates/sillpin-cli/src/commands/status.rs
+++ b/crates/sillpin-cli/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `sillpin status`: what a keeper sees of the fleet.
+//! `sillpin status`: shows the fleet as a keeper sees it.
 
 use super::{keeper_arg, show, value};
 use clap::{ArgMatches, Command};
@@ -9,7 +9,9 @@
 
 pub fn cli() -> Command {
     Command::new("status")
-        .about("Shows boxes, targets, the revision in force and how old each piece of news is")
+        .about(
+            "Shows boxes, targets, the revision in force and how old the keeper's information is",
+        )
         .arg(keeper_arg())
 }
 
--- a/crates/sillpin-cli/src/commands/trace.rs
+++ b/crates/sillpin-cli/src/commands/trace.rs
@@ -1,4 +1,4 @@
-//! `sillpin trace`: one request's records out of the logs of many boxes.
+//! `sillpin trace`: shows the records of one request from the logs of many boxes.
 
 use super::{show, value};
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
@@ -10,7 +10,7 @@
 
 pub fn cli() -> Command {
     Command::new("trace")
-        .about("Shows a request's records in the logs of boxes, and what the boxes reported around them")
+        .about("Shows a request's records in the logs of boxes, with related events of these boxes")
         .arg(
             Arg::new("request")
                 .required(true)
@@ -21,7 +21,7 @@
                 .action(ArgAction::Append)
                 .num_args(0..)
                 .value_parser(value_parser!(PathBuf))
-                .help("Logs of boxes; none: standard input"),
+                .help("Log files of boxes (default: standard input)"),
         )
 }
 
@@ -40,13 +40,13 @@
 fn read_logs(args: &ArgMatches) -> Result<String, CliError> {
     let files = args.get_many::<PathBuf>("logs").into_iter().flatten();
     let mut text = String::new();
-    let mut any = false;
+    let mut has_files = false;
     for file in files {
-        any = true;
+        has_files = true;
         text.push_str(&read_file(file)?);
         text.push('\n');
     }
-    if !any {
+    if !has_files {
         let read = std::io::stdin().read_to_string(&mut text);
         read.map_err(|e| CliError::caused(ExitStatus::Failed, "cannot read standard input", e))?;
     }
--- a/crates/sillpin-cli/src/error.rs
+++ b/crates/sillpin-cli/src/error.rs
@@ -1,22 +1,22 @@
-//! Errors of the command line and the exit codes that stand for them.
+//! Errors of the command line and their exit codes.
 
 use derive_more::{Display, Error};
 use std::process::ExitCode;
 
-/// What the exit code says.
+/// Exit code of a failed command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitStatus {
     /// Something could not be read, written or reached.
     Failed = 1,
-    /// The arguments are wrong (`clap` uses it too).
+    /// The arguments are invalid (`clap` exits with this code too).
     Usage = 2,
-    /// A bundle or key is refused as it stands.
+    /// The bundle or key is invalid.
     Refused = 3,
-    /// Somebody else was first.
+    /// Another operator made a conflicting change first.
     Conflict = 4,
-    /// What was asked for does not exist.
+    /// The requested item does not exist.
     NotFound = 5,
-    /// It may or may not have taken effect.
+    /// The operation may or may not have taken effect.
     Unknown = 6,
 }
 
@@ -26,21 +26,21 @@
     }
 }
 
-/// A command that failed.
+/// Error of a failed command.
 #[derive(Debug, Display, Error)]
 #[display("{what}")]
 pub struct CliError {
-    /// What the exit code says.
+    /// Exit code of the program.
     pub status: ExitStatus,
-    /// What failed.
+    /// Description of the failed operation.
     pub what: String,
-    /// Why.
+    /// Underlying error.
     #[error(source)]
     pub cause: Option<Box<dyn std::error::Error + Send + Sync>>,
 }
 
 impl CliError {
-    /// An error without a deeper cause.
+    /// Creates an error without an underlying error.
     pub fn new(status: ExitStatus, what: impl Into<String>) -> Self {
         Self {
             status,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// An error with its cause.
+    /// Creates an error with its underlying error.
     pub fn caused(
         status: ExitStatus,
         what: impl Into<String>,
--- a/crates/sillpin-cli/src/main.rs
+++ b/crates/sillpin-cli/src/main.rs
@@ -1,7 +1,7 @@
 //! `sillpin`: the operators' command line.
 //!
-//! Exit codes: 0 done; 1 something could not be read, written or reached; 2 wrong arguments;
-//! 3 refused as it stands; 4 somebody else was first; 5 does not exist; 6 may have taken effect.
+//! Exit codes: 0 success; 1 something could not be read, written or reached; 2 invalid arguments;
+//! 3 invalid bundle or key; 4 conflict with another operator; 5 not found; 6 may have taken effect.
 
 mod commands;
 
--- a/crates/sillpin-cli/src/ops/bundle.rs
+++ b/crates/sillpin-cli/src/ops/bundle.rs
@@ -1,8 +1,8 @@
-//! Making, checking, signing and accepting bundles.
+//! Creating, checking, signing and accepting bundles.
 //!
-//! Accepting creates the next revision if it is absent. Of two operators who race, one creates it;
-//! the other's creation fails, and is told whose bundle has the number. When an answer is lost, the
-//! revision is read back: the act's token says whose it is.
+//! Accepting creates the key of the next revision if it is absent. When two operators accept at the
+//! same time, one creates it; the other gets a conflict error that names the first. When a response is
+//! lost, the revision is read back: its token shows which operator's write created it.
 
 use crate::{CliError, ExitStatus};
 use sillpin_bundle::signed::REVISION_PREFIX;
@@ -11,14 +11,14 @@
 use sillpin_platform::{KvEntry, KvRevision, Platform, PlatformError, PlatformFault};
 use std::time::Duration;
 
-/// Revisions kept in the log; older ones are deleted after an acceptance.
-pub const KEPT_REVISIONS: usize = 32;
+/// Revisions retained in the log; older ones are deleted after each acceptance.
+pub const RETAINED_REVISIONS: usize = 32;
 
-/// Tries to settle an acceptance whose answer was lost, and the pause between them.
-const SETTLE_TRIES: u32 = 20;
-const SETTLE_PAUSE: Duration = Duration::from_millis(250);
+/// Attempts to read a revision back after a lost response or a conflict, and the delay between them.
+const READ_BACK_ATTEMPTS: u32 = 20;
+const READ_BACK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A bundle with default policies, to start from.
+/// Returns a bundle with default policies, as a starting point for operators.
 pub fn new_bundle(name: &str) -> Bundle {
     Bundle {
         name: name.to_owned(),
@@ -26,7 +26,7 @@
     }
 }
 
-/// Checks a bundle's text; the error lists every fault.
+/// Parses and validates a bundle; the error lists all validation errors.
 pub fn check(text: &str) -> Result<Bundle, CliError> {
     let refused = |e: &dyn std::fmt::Display| {
         CliError::new(ExitStatus::Refused, format!("the bundle is refused: {e}"))
@@ -40,7 +40,7 @@
     Err(refused(&lines.concat()))
 }
 
-/// Signs a bundle's text.
+/// Validates and signs a bundle's text with a key in PKCS#8 PEM.
 pub fn sign(text: &str, key_pem: &str) -> Result<SignedBundle, CliError> {
     check(text)?;
     let failed = |e| CliError::caused(ExitStatus::Refused, "cannot sign the bundle", e);
@@ -48,29 +48,29 @@
     SignedBundle::sign(text, &key).map_err(failed)
 }
 
-/// Reads a signed bundle.
+/// Parses a signed bundle from JSON.
 pub fn parse_signed(text: &str) -> Result<SignedBundle, CliError> {
     serde_json::from_str(text)
-        .map_err(|e| CliError::caused(ExitStatus::Refused, "the file is no signed bundle", e))
+        .map_err(|e| CliError::caused(ExitStatus::Refused, "the file is not a signed bundle", e))
 }
 
 fn platform_failed(e: PlatformError) -> CliError {
-    CliError::caused(ExitStatus::Failed, "the platform did not do it", e)
+    CliError::caused(ExitStatus::Failed, "the platform request failed", e)
 }
 
 fn parse_accepted(entry: &KvEntry) -> Option<Accepted> {
     serde_json::from_str(entry.value.as_deref()?).ok()
 }
 
-/// The log of accepted revisions, oldest first.
+/// Returns the log of accepted revisions, oldest first. Unreadable entries are left out.
 pub async fn log<P: Platform>(platform: &P) -> Result<Vec<Accepted>, CliError> {
     let entries = platform.list(REVISION_PREFIX, None, usize::MAX).await;
     let entries = entries.map_err(platform_failed)?;
     Ok(entries.iter().filter_map(parse_accepted).collect())
 }
 
-/// Accepts a signed bundle as the next revision. With `expect`, only if that is the revision in
-/// force now.
+/// Accepts a signed bundle as the next revision. With `expect`, fails unless that is the newest
+/// revision.
 pub async fn accept<P: Platform>(
     platform: &P,
     bundle: SignedBundle,
@@ -94,40 +94,42 @@
     Ok(accepted)
 }
 
+/// Creates the key of a new revision.
 async fn create<P: Platform>(platform: &P, accepted: &Accepted) -> Result<(), CliError> {
     let key = revision_key(accepted.revision);
     let text = serde_json::to_string(accepted)
         .map_err(|e| CliError::caused(ExitStatus::Failed, "cannot write the revision", e))?;
     match platform.put(&key, &text, KvRevision::ABSENT, None).await {
         Ok(_) => Ok(()),
-        Err(e) if e.fault == PlatformFault::Conflict => settle(platform, accepted).await,
-        Err(e) if e.fault == PlatformFault::AnswerLost => settle(platform, accepted).await,
+        Err(e) if e.fault == PlatformFault::Conflict => read_back(platform, accepted).await,
+        Err(e) if e.fault == PlatformFault::AnswerLost => read_back(platform, accepted).await,
         Err(e) => Err(platform_failed(e)),
     }
 }
 
-/// Reads back whose the revision is.
-async fn settle<P: Platform>(platform: &P, accepted: &Accepted) -> Result<(), CliError> {
+/// Reads the revision back to find out whether `accepted` or another operator's bundle has its number.
+async fn read_back<P: Platform>(platform: &P, accepted: &Accepted) -> Result<(), CliError> {
     let key = revision_key(accepted.revision);
-    for _ in 0..SETTLE_TRIES {
+    for _ in 0..READ_BACK_ATTEMPTS {
         if let Ok(Some(entry)) = platform.get(&key).await {
             let found = parse_accepted(&entry);
             return match found {
                 Some(found) if found.token == accepted.token => Ok(()),
-                Some(found) => Err(taken(&found)),
+                Some(found) => Err(conflict(&found)),
                 None => Err(CliError::new(
                     ExitStatus::Failed,
                     "the revision is unreadable",
                 )),
             };
         }
-        tokio::time::sleep(SETTLE_PAUSE).await;
+        tokio::time::sleep(READ_BACK_INTERVAL).await;
     }
-    let what = "the platform's answer was lost; the bundle may come into force: see `sillpin bundle status`";
+    let what = "no response from the platform; the bundle may still come into force: see `sillpin bundle status`";
     Err(CliError::new(ExitStatus::Unknown, what))
 }
 
-fn taken(found: &Accepted) -> CliError {
+/// The error for a revision that another operator created.
+fn conflict(found: &Accepted) -> CliError {
     let what = format!(
         "revision {} was accepted by {} (digest {})",
         found.revision,
@@ -137,12 +139,12 @@
     CliError::new(ExitStatus::Conflict, what)
 }
 
-/// Deletes revisions that are no longer needed. The newest stay, so no number is used twice.
+/// Deletes the oldest revisions. The newest are retained, so that no revision number is reused.
 async fn prune<P: Platform>(platform: &P) {
     let Ok(entries) = platform.list(REVISION_PREFIX, None, usize::MAX).await else {
         return;
     };
-    let old = entries.len().saturating_sub(KEPT_REVISIONS);
+    let old = entries.len().saturating_sub(RETAINED_REVISIONS);
     for entry in &entries[..old] {
         let _ = platform.delete(&entry.key, entry.revision).await;
     }
--- a/crates/sillpin-cli/src/ops/compare.rs
+++ b/crates/sillpin-cli/src/ops/compare.rs
@@ -1,5 +1,5 @@
-//! Comparing two arms of the bundle in force, by zone: figures, confidence intervals, and a verdict
-//! that says so when no difference is shown.
+//! Compares two arms of the bundle in force, by zone: figures and 95% confidence intervals of their
+//! differences.
 
 use super::fleet;
 use crate::{CliError, ExitStatus};
@@ -12,13 +12,13 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Half the width of a 95% interval, in standard errors.
+/// Half the width of a 95% confidence interval, in standard errors.
 const Z95: f64 = 1.96;
 
-/// Resamplings for the interval of a percentile.
+/// Bootstrap resamples for the confidence interval of a percentile.
 const RESAMPLES: usize = 400;
 
-/// Samples needed on each side before anything is said.
+/// Minimum samples of each arm for a comparison.
 const MIN_SAMPLES: u64 = 20;
 
 /// Seed of the resampling, so that the same figures give the same interval.
@@ -27,59 +27,60 @@
 /// Plot size in pixels.
 const PLOT_SIZE: (u32, u32) = (800, 500);
 
-/// A figure of both arms, and the interval of their difference (B less A).
+/// A figure of both arms, with the confidence interval of their difference (B minus A).
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Compared {
-    /// Of arm A.
+    /// Value of arm A.
     pub a: f64,
-    /// Of arm B.
+    /// Value of arm B.
     pub b: f64,
-    /// Lower end of the 95% interval of B less A.
+    /// Lower bound of the 95% confidence interval of B minus A.
     pub low: f64,
-    /// Upper end.
+    /// Upper bound of that interval.
     pub high: f64,
 }
 
 impl Compared {
-    /// Whether the interval excludes no difference.
+    /// Returns whether the difference is significant: the interval does not contain zero.
     pub fn is_shown(&self) -> bool {
         self.low > 0.0 || self.high < 0.0
     }
 }
 
-/// Two arms in one zone.
+/// Comparison of two arms in one zone, or in all zones together.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ZoneComparison {
-    /// The zone; `None` is all of them.
+    /// The zone; `None` is all zones together.
     pub zone: Option<ZoneId>,
-    /// Whole answers of each arm.
+    /// Complete responses of each arm.
     pub samples: (u64, u64),
-    /// Requests without a whole answer of each arm.
+    /// Requests of each arm without a complete response.
     pub failed: (u64, u64),
     /// Median time to first token, in milliseconds.
     pub first_token_p50_ms: Compared,
     /// 95th percentile of the time to first token, in milliseconds.
     pub first_token_p95_ms: Compared,
-    /// Prompt tokens computed, over all.
+    /// Share of the prompt tokens that were computed rather than served from caches.
     pub recomputed_share: Compared,
-    /// Bytes fetched from stores, for each request.
+    /// Bytes fetched from cache stores per request.
     pub link_bytes: Compared,
 }
 
-/// Two arms of a revision.
+/// Comparison of two arms of a revision.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Comparison {
-    /// The revision.
+    /// Revision of the bundle.
     pub revision: Revision,
-    /// Arm A.
+    /// Name of arm A.
     pub a: ArmName,
-    /// Arm B.
+    /// Name of arm B.
     pub b: ArmName,
-    /// All zones together, then each.
+    /// All zones together first, then each zone that has enough samples.
     pub zones: Vec<ZoneComparison>,
 }
 
-/// Asks all boxes for what the arms measured under the newest revision.
+/// Collects from all live boxes the figures of the arms under the newest revision. Boxes that do not
+/// answer are skipped.
 pub async fn figures(keeper: SocketAddr) -> Result<Vec<ArmFigures>, CliError> {
     let status = fleet::status(keeper).await?;
     let mut all = Vec::new();
@@ -95,9 +96,10 @@
     Ok(all)
 }
 
-/// Figures of one arm added up.
+/// Sums of the figures of one arm.
 #[derive(Default)]
 struct Sums {
+    /// Number of responses by time to first token, in microseconds.
     first_tokens: BTreeMap<u64, u64>,
     failed: u64,
     computed: RatioSums,
@@ -122,7 +124,7 @@
         self.first_tokens.values().sum()
     }
 
-    /// The value below which `share` of the samples lie, in milliseconds.
+    /// Returns the time to first token, in milliseconds, that `share` of the samples do not exceed.
     fn quantile(&self, share: f64) -> f64 {
         quantile(&self.first_tokens, share)
     }
@@ -138,13 +140,14 @@
         let mut drawn: BTreeMap<u64, u64> = BTreeMap::new();
         for _ in 0..total {
             let point = rng.random_range(0..total);
-            let place = ends.partition_point(|(end, _)| *end <= point);
-            *drawn.entry(ends[place].1).or_default() += 1;
+            let index = ends.partition_point(|(end, _)| *end <= point);
+            *drawn.entry(ends[index].1).or_default() += 1;
         }
         quantile(&drawn, share)
     }
 }
 
+/// Returns the quantile, in milliseconds, of samples that are counted by microseconds.
 fn quantile(counts: &BTreeMap<u64, u64>, share: f64) -> f64 {
     let total: u64 = counts.values().sum();
     let rank = ((total as f64 * share).ceil() as u64).max(1);
@@ -158,7 +161,7 @@
     0.0
 }
 
-/// Compares two arms; the error says which one has measured too little.
+/// Compares two arms. Fails if an arm has fewer than [`MIN_SAMPLES`] samples.
 pub fn compare(
     figures: &[ArmFigures],
     revision: Revision,
@@ -168,8 +171,8 @@
     let mut zones: Vec<ZoneId> = figures.iter().map(|f| f.zone.clone()).collect();
     zones.sort();
     zones.dedup();
-    let whole = compare_in(figures, None, a, b);
-    for (arm, samples) in [(a, whole.samples.0), (b, whole.samples.1)] {
+    let overall = compare_in(figures, None, a, b);
+    for (arm, samples) in [(a, overall.samples.0), (b, overall.samples.1)] {
         if samples < MIN_SAMPLES {
             let what = format!(
                 "arm {arm} has {samples} answers under revision {revision}; {MIN_SAMPLES} are needed"
@@ -185,7 +188,9 @@
         revision,
         a: a.clone(),
         b: b.clone(),
-        zones: std::iter::once(whole).chain(each.filter(enough)).collect(),
+        zones: std::iter::once(overall)
+            .chain(each.filter(enough))
+            .collect(),
     })
 }
 
@@ -213,22 +218,24 @@
     }
 }
 
-/// By the bootstrap: the middle 95% of the differences of resampled quantiles.
+/// Compares a quantile of both arms by bootstrap: the interval is the middle 95% of the differences of
+/// resampled quantiles.
 fn compare_quantile(a: &Sums, b: &Sums, share: f64) -> Compared {
     let mut rng = SmallRng::seed_from_u64(SEED);
     let mut differences: Vec<f64> = (0..RESAMPLES)
         .map(|_| b.resampled(&mut rng, share) - a.resampled(&mut rng, share))
         .collect();
     differences.sort_by(f64::total_cmp);
-    let outside = RESAMPLES / 40;
+    let cut_off = RESAMPLES / 40;
     Compared {
         a: a.quantile(share),
         b: b.quantile(share),
-        low: differences[outside],
-        high: differences[RESAMPLES - 1 - outside],
+        low: differences[cut_off],
+        high: differences[RESAMPLES - 1 - cut_off],
     }
 }
 
+/// Compares a ratio of both arms by the normal approximation.
 fn compare_ratio(a: &RatioSums, b: &RatioSums) -> Compared {
     let error = a.standard_error().hypot(b.standard_error());
     let difference = b.ratio() - a.ratio();
@@ -240,7 +247,7 @@
     }
 }
 
-/// Draws the share of answers whose first token came within a time, for both arms, as SVG.
+/// Plots the cumulative distribution of the time to first token of both arms, as SVG.
 pub fn plot(figures: &[ArmFigures], a: &ArmName, b: &ArmName) -> Result<String, CliError> {
     let mut svg = String::new();
     draw(figures, a, b, &mut svg).map_err(|e| {
--- a/crates/sillpin-cli/src/ops/fleet.rs
+++ b/crates/sillpin-cli/src/ops/fleet.rs
@@ -1,4 +1,4 @@
-//! Asking keepers for what they see.
+//! Queries to keepers: status of the fleet, decision records and the figures of arms.
 
 use crate::{CliError, ExitStatus};
 use sillpin_core::RequestId;
@@ -10,8 +10,10 @@
 use std::time::Duration;
 use tarpc::client::Config;
 
+/// Time limit of one call to a keeper.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
+/// Connects to a keeper.
 async fn open(keeper: SocketAddr) -> Result<PeerLinkClient, CliError> {
     let failed = |e| {
         let what = format!("cannot reach keeper {keeper}");
@@ -21,14 +23,14 @@
     Ok(PeerLinkClient::new(Config::default(), transport).spawn())
 }
 
-/// What a keeper sees of the fleet.
+/// Returns the fleet's status as a keeper sees it.
 pub async fn status(keeper: SocketAddr) -> Result<FleetStatus, CliError> {
     let client = open(keeper).await?;
     let status = client.status(within(TIMEOUT)).await;
     status.map_err(|e| CliError::caused(ExitStatus::Failed, "the keeper did not answer", e))
 }
 
-/// The decision record of a request: asked of the keeper, then of all boxes it knows.
+/// Returns the decision record of a request: queries the keeper first, then all boxes that it lists.
 pub async fn explain(keeper: SocketAddr, request: RequestId) -> Result<DecisionRecord, CliError> {
     let status = status(keeper).await?;
     let others = status.boxes.iter().map(|b| b.state.peer_addr);
@@ -36,7 +38,7 @@
     keepers.extend(others.filter(|addr| *addr != keeper));
     let mut unreached = 0;
     for keeper in keepers {
-        match ask_record(keeper, request).await {
+        match fetch_record(keeper, request).await {
             Ok(Some(record)) => return Ok(record),
             Ok(None) => {}
             Err(_) => unreached += 1,
@@ -46,14 +48,15 @@
     Err(CliError::new(ExitStatus::NotFound, what))
 }
 
-/// What the arms of the bundle in force measured in a box.
+/// Returns the figures that a box measured for the arms of the bundle in force.
 pub async fn arms(keeper: SocketAddr) -> Result<Vec<ArmFigures>, CliError> {
     let client = open(keeper).await?;
     let figures = client.arms(within(TIMEOUT)).await;
     figures.map_err(|e| CliError::caused(ExitStatus::Failed, "the keeper did not answer", e))
 }
 
-async fn ask_record(
+/// Queries one keeper for a decision record.
+async fn fetch_record(
     keeper: SocketAddr,
     request: RequestId,
 ) -> Result<Option<DecisionRecord>, CliError> {
--- a/crates/sillpin-cli/src/ops/mod.rs
+++ b/crates/sillpin-cli/src/ops/mod.rs
@@ -1,4 +1,4 @@
-//! The work behind the commands.
+//! Operations behind the commands.
 
 pub mod bundle;
 pub mod compare;
--- a/crates/sillpin-cli/src/ops/organisation.rs
+++ b/crates/sillpin-cli/src/ops/organisation.rs
@@ -1,28 +1,28 @@
-//! Organisations and their keys: only hashes of keys are kept.
+//! Organisations and their keys. Only hashes of keys are stored.
 
 use crate::{CliError, ExitStatus};
 use sillpin_core::OrgId;
 use sillpin_platform::{KvRevision, Platform, PlatformError, PlatformFault};
 use sillpin_rpc::gossip::{ORGANISATIONS_KEY, Organisation};
 
-/// Bytes of randomness in a key.
+/// Random bytes in a key.
 const KEY_LEN: usize = 32;
 
-/// Tries before giving up on other operators' changes.
-const TRIES: u32 = 8;
+/// Compare-and-swap attempts before a change fails because of concurrent changes.
+const MAX_ATTEMPTS: u32 = 8;
 
-/// A new key for an organisation. It is shown once; its hash is kept.
+/// Generates a key for an organisation. It is printed once; only its hash is stored.
 pub fn new_key() -> String {
     let bytes: [u8; KEY_LEN] = rand::random();
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// The hash under which a key is kept.
+/// Computes the hash that is stored for a key.
 pub fn hash_key(key: &str) -> String {
     blake3::hash(key.as_bytes()).to_hex().to_string()
 }
 
-/// Adds a key's hash to an organisation, which is made if it does not exist.
+/// Adds a key's hash to an organisation, which is created if it does not exist.
 pub async fn add_key<P: Platform>(platform: &P, org: OrgId, hash: String) -> Result<(), CliError> {
     change(platform, |list| {
         match list.iter_mut().find(|o| o.id == org) {
@@ -36,21 +36,22 @@
     .await
 }
 
-/// Takes all keys of an organisation back.
+/// Revokes all keys of an organisation by removing the organisation from the list.
 pub async fn revoke_keys<P: Platform>(platform: &P, org: OrgId) -> Result<(), CliError> {
     change(platform, |list| list.retain(|o| o.id != org)).await
 }
 
-/// The organisations.
+/// Lists the organisations.
 pub async fn list<P: Platform>(platform: &P) -> Result<Vec<Organisation>, CliError> {
     let (list, _) = read(platform).await.map_err(failed)?;
     Ok(list)
 }
 
 fn failed(e: PlatformError) -> CliError {
-    CliError::caused(ExitStatus::Failed, "the platform did not do it", e)
+    CliError::caused(ExitStatus::Failed, "the platform request failed", e)
 }
 
+/// Reads the list and the revision of its key.
 async fn read<P: Platform>(platform: &P) -> Result<(Vec<Organisation>, KvRevision), PlatformError> {
     let entry = platform.get(ORGANISATIONS_KEY).await?;
     let Some(entry) = entry else {
@@ -63,13 +64,13 @@
     ))
 }
 
-/// Changes the list by compare-and-swap. The change is made again when somebody else was first or
-/// an answer was lost, so it must bear being made twice.
+/// Changes the list by compare-and-swap. `change` is applied again after a conflict or a lost
+/// response, so it must be idempotent (duplicate key hashes are removed here).
 async fn change<P: Platform>(
     platform: &P,
     change: impl Fn(&mut Vec<Organisation>),
 ) -> Result<(), CliError> {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let (mut list, revision) = read(platform).await.map_err(failed)?;
         change(&mut list);
         for org in &mut list {
@@ -86,6 +87,6 @@
     }
     Err(CliError::new(
         ExitStatus::Conflict,
-        "others change the organisations all the time",
+        "the organisations were changed concurrently at every attempt",
     ))
 }
--- a/crates/sillpin-cli/src/ops/trace.rs
+++ b/crates/sillpin-cli/src/ops/trace.rs
@@ -1,37 +1,39 @@
-//! One request's records out of the logs of many boxes.
+//! Collects the records of one request from the logs of many boxes.
 
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-/// Events that change what a box believes or can reach; they explain a request's records.
+/// Events that change a box's view of the fleet or what it can reach; they are shown as context of a
+/// request's records.
 const CONTEXT_EVENTS: [u64; 10] = [301, 302, 310, 312, 317, 318, 320, 321, 330, 331];
 
-/// Records of the same box this long before and after the request's own are shown beside them.
+/// Context events of a box are shown if they are at most this many seconds before or after one of its
+/// records of the request.
 const CONTEXT_SECONDS: f64 = 3.0;
 
 /// A log record of a box.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Record {
-    /// When, as the box's clock has it.
+    /// Time by the box's clock (RFC 3339).
     pub time: String,
-    /// The box.
+    /// Box that wrote the record.
     pub by: String,
     /// Number of the event.
     pub event: u64,
-    /// What happened.
+    /// Text of the event.
     pub text: String,
-    /// Everything else that the record says.
+    /// All other fields of the record.
     pub fields: Map<String, Value>,
 }
 
-/// What is known of a request.
+/// The records that concern a request.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Trace {
-    /// Its own records, in order of time.
+    /// Records of the request itself, by time.
     pub records: Vec<Record>,
-    /// What else its boxes reported around that time.
+    /// Context events of the same boxes around that time.
     pub context: Vec<Record>,
-    /// Lines that are no records.
+    /// Number of lines that are not records.
     pub unreadable: usize,
 }
 
@@ -40,7 +42,7 @@
     let mut unreadable = 0;
     let mut all = Vec::new();
     for line in lines.filter(|line| !line.trim().is_empty()) {
-        match read(line) {
+        match parse_record(line) {
             Some(record) => all.push(record),
             None => unreadable += 1,
         }
@@ -59,7 +61,8 @@
     }
 }
 
-/// Whether a record was made by a box of the request around its own records.
+/// Returns whether a record is within [`CONTEXT_SECONDS`] of one of the request's records (`own`) from
+/// the same box.
 fn is_near(record: &Record, own: &[Record]) -> bool {
     let own: Vec<f64> = own
         .iter()
@@ -72,7 +75,7 @@
     own.iter().any(|own| (own - at).abs() <= CONTEXT_SECONDS)
 }
 
-/// Seconds since midnight of a time such as `2026-01-14T19:05:10.02Z`.
+/// Returns the seconds since midnight of a time such as `2026-01-14T19:05:10.02Z`.
 fn second_of_day(time: &str) -> Option<f64> {
     let clock = time.split_once('T')?.1.trim_end_matches('Z');
     let mut fields = clock.split(':');
@@ -82,15 +85,16 @@
     Some((hours * 60.0 + minutes) * 60.0 + seconds)
 }
 
-fn read(line: &str) -> Option<Record> {
-    // A collector may have put something before the document.
+/// Parses a log line; `None` if it is not a record.
+fn parse_record(line: &str) -> Option<Record> {
+    // A log collector may prepend text to the document.
     let start = line.find('{')?;
     let mut fields: Map<String, Value> = serde_json::from_str(&line[start..]).ok()?;
-    let mut take = |name: &str| match fields.remove(name) {
+    let mut remove_text = |name: &str| match fields.remove(name) {
         Some(Value::String(text)) => text,
         _ => String::new(),
     };
-    let (time, by, text) = (take("ts"), take("box"), take("msg"));
+    let (time, by, text) = (remove_text("ts"), remove_text("box"), remove_text("msg"));
     for name in ["level", "program", "zone"] {
         fields.remove(name);
     }
