--- a/crates/sillpin-bundle/tests/bundle.rs
+++ b/crates/sillpin-bundle/tests/bundle.rs
@@ -1,4 +1,4 @@
-//! Signing, verifying and checking bundles.
+//! Signing, verifying and validating bundles.
 
 use sillpin_bundle::{Bundle, SignError, SignedBundle, SignerKey};
 
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn absurd_limits_are_refused_with_their_place() {
+fn invalid_limits_are_refused_with_their_field() {
     let mut bundle: Bundle = serde_json::from_str(&bundle_text()).unwrap();
     bundle.control.limits.max_attempts = 0;
     bundle.control.placement.first_token_weight = 0;
--- a/crates/sillpin-cli/tests/compare.rs
+++ b/crates/sillpin-cli/tests/compare.rs
@@ -1,10 +1,11 @@
-//! What a comparison says of figures that are known.
+//! Comparisons of two arms with known figures.
 
 use sillpin_cli::ops::compare::compare;
 use sillpin_core::Revision;
 use sillpin_rpc::arms::{ArmFigures, RatioSums};
 
-/// An arm with `count` answers, first tokens from `first_us` on, and a share of computed tokens.
+/// Figures of an arm with `count` responses, times to first token from `first_us` microseconds on, and
+/// the share `computed` of computed tokens.
 fn figures(arm: &str, count: u64, first_us: u64, computed: f64) -> ArmFigures {
     let mut sums = RatioSums::default();
     let mut link_bytes = RatioSums::default();
@@ -32,28 +33,28 @@
         figures("trial", 200, 10_000, 0.3),
     ];
     let compared = compare(&both, Revision(2), &both[0].arm, &both[1].arm).unwrap();
-    let whole = &compared.zones[0];
-    assert_eq!(whole.samples, (200, 200));
-    assert!(!whole.first_token_p50_ms.is_shown(), "{whole:?}");
-    assert!(!whole.first_token_p95_ms.is_shown(), "{whole:?}");
-    assert!(!whole.recomputed_share.is_shown(), "{whole:?}");
+    let overall = &compared.zones[0];
+    assert_eq!(overall.samples, (200, 200));
+    assert!(!overall.first_token_p50_ms.is_shown(), "{overall:?}");
+    assert!(!overall.first_token_p95_ms.is_shown(), "{overall:?}");
+    assert!(!overall.recomputed_share.is_shown(), "{overall:?}");
 }
 
 #[test]
-fn a_later_and_costlier_arm_shows_it() {
+fn a_slower_and_costlier_arm_shows_a_difference() {
     let both = [
         figures("control", 200, 10_000, 0.3),
         figures("trial", 200, 40_000, 0.5),
     ];
     let compared = compare(&both, Revision(2), &both[0].arm, &both[1].arm).unwrap();
-    let whole = &compared.zones[0];
-    assert!(whole.first_token_p95_ms.low > 0.0, "{whole:?}");
-    assert!(whole.recomputed_share.low > 0.15, "{whole:?}");
-    assert!(!whole.link_bytes.is_shown(), "{whole:?}");
+    let overall = &compared.zones[0];
+    assert!(overall.first_token_p95_ms.low > 0.0, "{overall:?}");
+    assert!(overall.recomputed_share.low > 0.15, "{overall:?}");
+    assert!(!overall.link_bytes.is_shown(), "{overall:?}");
 }
 
 #[test]
-fn too_few_answers_are_refused() {
+fn too_few_samples_are_refused() {
     let both = [
         figures("control", 200, 10_000, 0.3),
         figures("trial", 5, 10_000, 0.3),
--- a/crates/sillpin-cli/tests/program.rs
+++ b/crates/sillpin-cli/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program's arguments and exit codes.
+//! The arguments and exit codes of `sillpin`.
 
 use std::process::Command;
 
--- a/crates/sillpin-cli/tests/trace.rs
+++ b/crates/sillpin-cli/tests/trace.rs
@@ -1,4 +1,4 @@
-//! A request's cause, found from logs alone: the three ways in which requests fail.
+//! Traces of a refused, a broken and a late request: the logs alone must show the cause.
 
 use sillpin_cli::ops::trace::trace;
 
@@ -24,17 +24,17 @@
 }
 
 #[test]
-fn a_refusal_shows_the_tries_and_that_the_box_was_cut_off() {
+fn a_refusal_shows_its_attempts_and_that_the_store_was_unreachable() {
     assert_eq!(events("refused"), (vec![340, 341, 111], vec![320]));
 }
 
 #[test]
-fn a_broken_request_shows_the_target_that_went_silent() {
+fn a_broken_request_shows_the_target_that_became_unreachable() {
     assert_eq!(events("broken"), (vec![340, 341], vec![317]));
 }
 
 #[test]
-fn a_late_answer_shows_what_was_read_anew() {
+fn a_late_response_shows_that_the_prompt_was_recomputed() {
     let found = trace("late", LOGS.lines());
     assert_eq!(found.records[0].fields["fetched"], 0);
     assert_eq!(found.records[0].fields["kept"], 5000);
