--- a/tests/testsuite/src/bundles.rs
+++ b/tests/testsuite/src/bundles.rs
@@ -6,7 +6,7 @@
 use sillpin_core::target::TargetKind;
 
 impl Fleet {
-    /// A bundle with default policies for the fleet's pools.
+    /// Returns a bundle with default policies for the fleet's pools.
     pub fn bundle(&self, name: &str) -> Bundle {
         let mut bundle = Bundle {
             name: name.to_owned(),
@@ -31,7 +31,7 @@
         bundle
     }
 
-    /// A bundle that has the fleet's engines load a weight version.
+    /// Returns a bundle that sets the desired weight version of the fleet's engines.
     pub fn bundle_with_version(&self, name: &str, version: u64) -> Bundle {
         let mut bundle = self.bundle(name);
         for pool in bundle
@@ -44,7 +44,7 @@
         bundle
     }
 
-    /// Signs a bundle with the key that the keepers trust.
+    /// Signs a bundle with the key that the fleet's keepers trust.
     pub fn sign(&self, bundle: &Bundle) -> SignedBundle {
         let text = serde_json::to_string(bundle).expect("bundles are JSON");
         SignedBundle::sign(&text, &self.key).expect("the bundle passes its checks")
--- a/tests/testsuite/src/fleet.rs
+++ b/tests/testsuite/src/fleet.rs
@@ -1,4 +1,4 @@
-//! All processes of a fleet.
+//! A fleet of processes: the platform's stand-in, targets, and entry boxes with their keepers.
 
 use crate::process::{Process, program};
 use crate::shape::FleetShape;
@@ -32,54 +32,54 @@
 /// Pool of the plain services.
 pub const SERVICE_POOL: &str = "safari-app";
 
-/// Secret of the fleet.
+/// Value of the entries' `fleet.secret` setting.
 const SECRET: &str = "fleet-secret-of-tests";
 
-/// Longest wait for an administrative call of a stand-in.
+/// Time limit of a call to a stand-in's control interface.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// An entry box: its keeper and its entry.
+/// An entry box: a keeper process and an entry process.
 pub struct EntryBox {
-    /// Its name.
+    /// Name of the box.
     pub id: String,
-    /// Its availability zone.
+    /// Availability zone of the box.
     pub zone: ZoneId,
-    /// The keeper.
+    /// Process of the keeper.
     pub keeper: Process,
-    /// The entry.
+    /// Process of the entry.
     pub entry: Process,
 }
 
 impl EntryBox {
-    /// Where it takes callers.
+    /// Returns the address where the entry accepts callers.
     pub fn callers(&self) -> SocketAddr {
         self.entry.addr("callers")
     }
 
-    /// Where its keeper answers peers and operators.
+    /// Returns the address where the keeper accepts peers and operators.
     pub fn peer(&self) -> SocketAddr {
         self.keeper.addr("peer")
     }
 }
 
-/// A fleet of processes; all end with it.
+/// A fleet of processes. All are killed on drop.
 pub struct Fleet {
-    /// How it is set up.
+    /// Size and settings of the fleet.
     pub shape: FleetShape,
-    /// The platform's stand-in.
+    /// Process of the platform's stand-in.
     pub platform: Process,
-    /// Targets by name.
+    /// Targets by id.
     pub targets: BTreeMap<TargetId, TargetProcess>,
     /// Entry boxes.
     pub boxes: Vec<EntryBox>,
-    /// Connections of the tests themselves.
+    /// HTTP client of the tests.
     pub client: Client,
     pub(crate) key: SignerKey,
     dir: TempDir,
 }
 
 impl Fleet {
-    /// Starts a fleet and waits until each entry answers a request.
+    /// Starts a fleet with a default bundle and waits until each entry serves a request.
     pub async fn start(shape: FleetShape) -> Self {
         let fleet = Self::start_unready(shape).await;
         fleet.accept(&fleet.bundle("first")).await;
@@ -89,7 +89,7 @@
         fleet
     }
 
-    /// Starts a fleet that has no bundle yet.
+    /// Starts a fleet without an accepted bundle; its entries refuse requests.
     pub async fn start_unready(shape: FleetShape) -> Self {
         let dir = tempfile::tempdir().expect("a temporary directory can be made");
         let standin = program("sillpin-standin");
@@ -121,7 +121,7 @@
         fleet
     }
 
-    /// Starts an entry box; the box list is not changed.
+    /// Starts an entry box without adding it to the published box list.
     pub fn start_box(&mut self, id: &str, zone: &str) {
         let keeper = self.start_keeper(id, zone, "127.0.0.1:0");
         let entry = self.start_entry(id, zone, keeper.addr("entry"), "127.0.0.1:0");
@@ -133,7 +133,7 @@
         });
     }
 
-    /// Starts a keeper that listens for peers at `peer`.
+    /// Starts a keeper that listens for peers at `peer`, and for its entry at any free port.
     pub fn start_keeper(&self, id: &str, zone: &str, peer: &str) -> Process {
         self.start_keeper_at(id, zone, peer, "127.0.0.1:0")
     }
@@ -191,24 +191,24 @@
         Process::start(self.dir.path(), name, &program(bin), &args, listeners)
     }
 
-    /// Directory of logs and settings.
+    /// Returns the directory of the processes' logs and settings.
     pub fn dir(&self) -> &Path {
         self.dir.path()
     }
 
-    /// Writes a file into the fleet's directory.
+    /// Writes a file to the fleet's directory and returns its path.
     pub fn write(&self, name: &str, text: &str) -> PathBuf {
         let path = self.dir.path().join(name);
         std::fs::write(&path, text).expect("the test directory is writable");
         path
     }
 
-    /// The platform's client.
+    /// Returns a client of the platform's stand-in.
     pub fn platform_client(&self) -> HttpPlatform {
         HttpPlatform::new(self.client.clone(), self.platform.addr("platform"))
     }
 
-    /// The box list, all live.
+    /// Returns the box list of all boxes and targets of the fleet, all with the presence `Live`.
     pub fn box_list(&self) -> BoxList {
         let boxes = self.boxes.iter().map(|b| BoxEntry {
             id: b.id.parse().expect("box names are valid"),
@@ -222,12 +222,12 @@
         }
     }
 
-    /// Writes the box list as it is.
+    /// Publishes the current box list at the platform.
     pub async fn publish(&self) {
         self.publish_list(&self.box_list()).await;
     }
 
-    /// Writes a box list.
+    /// Publishes `list` as the box list at the platform.
     pub async fn publish_list(&self, list: &BoxList) {
         let platform = self.platform.addr("platform");
         let _: Option<()> = self.admin(platform, "/admin/boxes", Some(list)).await;
@@ -247,7 +247,7 @@
         }
     }
 
-    /// Calls a stand-in's control interface; `None` if it fails.
+    /// Calls a stand-in's control interface; returns `None` if the call fails.
     pub async fn admin<T: Serialize, R: DeserializeOwned>(
         &self,
         peer: SocketAddr,
@@ -264,13 +264,13 @@
         self.client.call_json(call, doc).await.ok()
     }
 
-    /// Sets the platform's faults.
+    /// Sets the faults that the platform's stand-in simulates.
     pub async fn platform_faults(&self, faults: &sillpin_standin::platform::Faults) {
         let platform = self.platform.addr("platform");
         let _: Option<()> = self.admin(platform, "/admin/faults", Some(faults)).await;
     }
 
-    /// Sets a target's own faults.
+    /// Sets the faults that a target's stand-in simulates.
     pub async fn target_faults<T: Serialize>(&self, target: &str, faults: &T) {
         let process = &self.target(target).process;
         let kind = self.target(target).entry.kind.to_string();
@@ -279,7 +279,7 @@
             .await;
     }
 
-    /// Sets the faults of the proxy before a target.
+    /// Sets the faults of the proxy in front of a target.
     pub async fn proxy_faults(&self, target: &str, faults: &sillpin_standin::fault::Faults) {
         let proxy = self
             .target(target)
@@ -289,20 +289,20 @@
         let _: Option<()> = self.admin(proxy.addr("fault"), "/", Some(faults)).await;
     }
 
-    /// A target by its name.
+    /// Returns the target with this id.
     pub fn target(&self, name: &str) -> &TargetProcess {
         let id: TargetId = name.parse().expect("target names are valid");
         &self.targets[&id]
     }
 
-    /// Executions that a plain service counted, by idempotency key.
+    /// Returns the executions that a plain service counted, by idempotency key.
     pub async fn executions(&self, service: &str) -> BTreeMap<String, u32> {
         let addr = self.target(service).process.addr("service");
         let counted = self.admin(addr, "/admin/executions", None::<&()>).await;
         counted.unwrap_or_default()
     }
 
-    /// Executions counted at all plain services, by idempotency key.
+    /// Returns the executions that all plain services counted, by idempotency key.
     pub async fn all_executions(&self) -> BTreeMap<String, u32> {
         let mut all = BTreeMap::new();
         for target in self
@@ -317,15 +317,15 @@
         all
     }
 
-    /// Accepts a bundle as the next revision.
+    /// Signs a bundle and accepts it as the next revision.
     pub async fn accept(&self, bundle: &Bundle) -> Accepted {
         let signed = self.sign(bundle);
         ops::bundle::accept(&self.platform_client(), signed, "tests", None)
             .await
-            .expect("nobody else accepts")
+            .expect("no other operator accepts bundles")
     }
 
-    /// What a box's keeper sees.
+    /// Returns the fleet's status as a box's keeper sees it; `None` if the keeper does not answer.
     pub async fn status(&self, entry_box: &EntryBox) -> Option<FleetStatus> {
         ops::fleet::status(entry_box.peer()).await.ok()
     }
@@ -339,16 +339,16 @@
         .await;
     }
 
-    /// Waits until a box answers a request.
+    /// Waits until a box serves a request.
     pub async fn wait_ready(&self, entry_box: &EntryBox) {
         until("the entry to answer", || async {
-            let got = self.ask(entry_box, "is anybody there").await;
+            let got = self.ask(entry_box, "readiness check").await;
             got.is_answered().then_some(())
         })
         .await;
     }
 
-    /// Sends a short request to a box.
+    /// Sends a short request to a box and returns its result.
     pub async fn ask(&self, entry_box: &EntryBox, prompt: &str) -> Got {
         let key = key_of(self.shape.organisations[0]);
         let ask = Ask::new(&key, MODEL, prompt, 4);
@@ -356,7 +356,7 @@
     }
 }
 
-/// Key of an organisation of the fleet.
+/// Returns the API key of an organisation of the fleet.
 pub fn key_of(organisation: &str) -> String {
     format!("key-{organisation}")
 }
--- a/tests/testsuite/src/lib.rs
+++ b/tests/testsuite/src/lib.rs
@@ -1,10 +1,10 @@
-//! Support for integration tests, the demo and measurements: starts a whole fleet as processes.
+//! Support for integration tests, the demo and measurements: runs a complete fleet as processes.
 //!
-//! - [`process`]: one process, its listeners, and signals,
+//! - [`process`]: one process, its listeners and signals,
 //! - [`fleet`]: all processes of a fleet, with the settings and documents they need,
 //! - [`shape`]: how large a fleet is and how it is set up,
 //! - [`targets`] and [`bundles`]: the fleet's targets and bundles,
-//! - [`wait`]: waiting for an event instead of sleeping.
+//! - [`wait`]: polling for a condition instead of sleeping for a fixed time.
 
 pub mod bundles;
 pub mod fleet;
--- a/tests/testsuite/src/process.rs
+++ b/tests/testsuite/src/process.rs
@@ -1,4 +1,4 @@
-//! One process: started, found where it listens, signalled, and ended with its handle.
+//! A child process with its listeners' addresses and signals. It is killed when its handle is dropped.
 
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -11,28 +11,29 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-/// Longest wait for a process to say where it listens.
-const START_PATIENCE: Duration = Duration::from_secs(20);
+/// Time limit for a process to print the addresses of its listeners.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Names a directory to take programs from, in place of the running program's own.
+/// Environment variable with the directory of the programs to run; the default is the directory of the
+/// running program.
 pub const PROGRAMS_ENV: &str = "SILLPIN_PROGRAMS";
 
-/// A program of the workspace, beside the running one.
+/// Returns the path of a program of the workspace, in [`PROGRAMS_ENV`] or beside the running program.
 ///
 /// # Panics
 ///
-/// When it is not built.
+/// If the program is not built.
 pub fn program(name: &str) -> PathBuf {
     if let Ok(dir) = std::env::var(PROGRAMS_ENV) {
         return Path::new(&dir).join(name);
     }
-    let me = std::env::current_exe().unwrap_or_default();
-    let mut dirs = me.ancestors().skip(1).take(2);
+    let running = std::env::current_exe().unwrap_or_default();
+    let mut dirs = running.ancestors().skip(1).take(2);
     let found = dirs.find_map(|dir| Some(dir.join(name)).filter(|path| path.is_file()));
     found.unwrap_or_else(|| panic!("{name} is not built: run `cargo build --workspace` first"))
 }
 
-/// A running process. It is killed when this is dropped.
+/// A running process. It is killed on drop.
 pub struct Process {
     name: String,
     child: Child,
@@ -40,12 +41,12 @@
 }
 
 impl Process {
-    /// Starts `program` and waits until it has said where its `listeners` are. Its standard error
-    /// goes to a file in `dir`.
+    /// Starts the program at `path` and waits until it has printed the addresses of its `listeners`.
+    /// Its standard error goes to the file `name`.log in `dir`.
     ///
     /// # Panics
     ///
-    /// When it cannot be started or ends at once.
+    /// If it cannot be started or does not print the addresses in time.
     pub fn start<S: AsRef<OsStr>>(
         dir: &Path,
         name: &str,
@@ -70,21 +71,21 @@
         }
     }
 
-    /// Its name.
+    /// Returns the name given at the start.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Its process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Where it listens.
+    /// Returns the address of a listener.
     ///
     /// # Panics
     ///
-    /// When it has no such listener.
+    /// If it has no such listener.
     pub fn addr(&self, listener: &str) -> SocketAddr {
         let addr = self.listening.get(listener);
         *addr.unwrap_or_else(|| panic!("{} has no listener {listener}", self.name))
@@ -95,28 +96,28 @@
         let _ = kill(Pid::from_raw(id), signal);
     }
 
-    /// Asks it to stop.
+    /// Sends SIGTERM, which starts an orderly shutdown.
     pub fn terminate(&self) {
         self.signal(Signal::SIGTERM);
     }
 
-    /// Freezes it.
+    /// Stops its execution with SIGSTOP.
     pub fn pause(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
-    /// Lets it go on.
+    /// Continues its execution after [`Process::pause`].
     pub fn go_on(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// Kills it at once.
+    /// Kills it with SIGKILL and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Whether it has ended, and how.
+    /// Returns its exit status, or `None` while it runs.
     pub fn ended(&mut self) -> io::Result<Option<ExitStatus>> {
         self.child.try_wait()
     }
@@ -128,19 +129,19 @@
     }
 }
 
-/// Reads `listening NAME ADDR` lines until all are there; then reads on, so that the process never
-/// blocks on a full pipe.
+/// Reads `listening NAME ADDR` lines until all `expected` names are present. A thread keeps reading
+/// afterwards, so that the process never blocks on a full pipe.
 fn read_listeners(
     name: &str,
     stdout: std::process::ChildStdout,
-    wanted: &[&str],
+    expected: &[&str],
 ) -> HashMap<String, SocketAddr> {
     let (tx, rx) = mpsc::channel();
     std::thread::spawn(move || {
         for line in BufReader::new(stdout).lines().map_while(Result::ok) {
-            let mut words = line.split(' ');
+            let mut fields = line.split(' ');
             if let (Some("listening"), Some(name), Some(addr)) =
-                (words.next(), words.next(), words.next())
+                (fields.next(), fields.next(), fields.next())
                 && let Ok(addr) = addr.parse::<SocketAddr>()
             {
                 let _ = tx.send((name.to_owned(), addr));
@@ -148,10 +149,10 @@
         }
     });
     let mut listening = HashMap::new();
-    while !wanted.iter().all(|name| listening.contains_key(*name)) {
+    while !expected.iter().all(|name| listening.contains_key(*name)) {
         let (listener, addr) = rx
-            .recv_timeout(START_PATIENCE)
-            .unwrap_or_else(|_| panic!("{name} did not start: see its log"));
+            .recv_timeout(START_TIMEOUT)
+            .unwrap_or_else(|_| panic!("{name} did not print its listeners in time: see its log"));
         listening.insert(listener, addr);
     }
     listening
--- a/tests/testsuite/src/shape.rs
+++ b/tests/testsuite/src/shape.rs
@@ -1,31 +1,31 @@
-//! How large a fleet is, and with which settings its processes start.
+//! Size of a fleet and the settings of its processes.
 
-/// How many of each kind, and how they are set up.
+/// Number of processes of each kind, and their settings.
 #[derive(Debug, Clone)]
 pub struct FleetShape {
     /// Availability zones.
     pub zones: Vec<&'static str>,
-    /// Entry boxes a zone.
+    /// Entry boxes per zone.
     pub boxes: usize,
-    /// Engines a zone.
+    /// Engines per zone.
     pub engines: usize,
-    /// Plain services in all, spread over the zones.
+    /// Total number of plain services, spread over the zones.
     pub services: usize,
-    /// Stores in all, spread over the zones.
+    /// Total number of cache stores, spread over the zones.
     pub stores: usize,
-    /// Organisations; each one's key is `key-NAME`.
+    /// Names of the organisations; the key of each is `key-NAME`.
     pub organisations: Vec<&'static str>,
-    /// Further arguments of each engine.
+    /// Additional arguments of each engine.
     pub engine_args: Vec<String>,
-    /// Further arguments of each store.
+    /// Additional arguments of each cache store.
     pub store_args: Vec<String>,
-    /// Rate of each store's link, in bytes a second, as the box list gives it.
+    /// Rate of each cache store's link in the box list, in bytes per second.
     pub link_rate: u64,
-    /// Values of the entries' settings.
+    /// Settings of the entries, as `SECTION.KEY=VALUE`.
     pub entry_settings: Vec<&'static str>,
-    /// Values of the keepers' settings.
+    /// Settings of the keepers, as `SECTION.KEY=VALUE`.
     pub keeper_settings: Vec<&'static str>,
-    /// Whether each target stands behind a fault proxy.
+    /// Whether each target is reached through a fault proxy.
     pub proxies: bool,
 }
 
--- a/tests/testsuite/src/targets.rs
+++ b/tests/testsuite/src/targets.rs
@@ -1,4 +1,4 @@
-//! The targets of a fleet, each with its stand-in's process.
+//! The targets of a fleet; each is a stand-in process.
 
 use crate::fleet::{ENGINE_POOL, MODEL, SERVICE_POOL};
 use crate::process::Process;
@@ -8,17 +8,17 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// A target's process, and the fault proxy before it, if there is one.
+/// A target's process, with its fault proxy if the fleet uses proxies.
 pub struct TargetProcess {
-    /// As the box list has it.
+    /// The target's entry in the box list.
     pub entry: TargetEntry,
-    /// The stand-in.
+    /// Process of the stand-in.
     pub process: Process,
-    /// The fault proxy.
+    /// Fault proxy in front of the stand-in.
     pub proxy: Option<Process>,
 }
 
-/// Starts all targets of a fleet.
+/// Starts all targets of a fleet, with their logs in `dir`; `standin` is the path of the program.
 pub fn start_targets(
     shape: &FleetShape,
     dir: &Path,
--- a/tests/testsuite/src/wait.rs
+++ b/tests/testsuite/src/wait.rs
@@ -1,27 +1,27 @@
-//! Waiting for an event: asked for again and again until it is there, with a bound.
+//! Polling for a condition, with a time limit.
 
 use std::future::Future;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest wait for an event.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Time limit of [`until`].
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Pause between two looks.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// Delay between two polls.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits until `look` gives something.
+/// Polls until `poll` returns a value, and returns it.
 ///
 /// # Panics
 ///
-/// When nothing came within [`PATIENCE`]; `what` is named.
-pub async fn until<T, F: Future<Output = Option<T>>>(what: &str, mut look: impl FnMut() -> F) -> T {
-    let deadline = Instant::now() + PATIENCE;
+/// If there is no value within [`TIMEOUT`]; the message contains `what`.
+pub async fn until<T, F: Future<Output = Option<T>>>(what: &str, mut poll: impl FnMut() -> F) -> T {
+    let deadline = Instant::now() + TIMEOUT;
     loop {
-        if let Some(found) = look().await {
-            return found;
+        if let Some(value) = poll().await {
+            return value;
         }
-        assert!(Instant::now() < deadline, "waited in vain for: {what}");
-        tokio::time::sleep(LOOK_EVERY).await;
+        assert!(Instant::now() < deadline, "timed out waiting for {what}");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
