--- a/tests/testsuite/answers.rs
+++ b/tests/testsuite/answers.rs
@@ -1,4 +1,4 @@
-//! Each caller receives the whole answer to its own request.
+//! Each caller receives the complete response to its own request, whatever fails at an engine.
 
 use futures::future::join_all;
 use rstest::rstest;
@@ -14,15 +14,15 @@
     Ask::new(&key_of("riders"), MODEL, prompt, tokens)
 }
 
-/// A fault of one of two engines: callers still get whole answers, by resumption or from the other.
+/// One of two engines fails: callers still get complete responses, resumed at or retried on the other.
 #[rstest]
-#[case::cut_in_the_middle(EngineFaults { cut_at: Some(5), ..EngineFaults::default() })]
+#[case::cut_after_five_tokens(EngineFaults { cut_at: Some(5), ..EngineFaults::default() })]
 #[case::cut_before_the_first_token(EngineFaults { cut_at: Some(0), ..EngineFaults::default() })]
 #[case::no_end_mark(EngineFaults { no_end_mark: true, ..EngineFaults::default() })]
-#[case::answers_for_another(EngineFaults { crossed: true, ..EngineFaults::default() })]
+#[case::response_to_another_request(EngineFaults { crossed: true, ..EngineFaults::default() })]
 #[case::leaving(EngineFaults { leaving: true, ..EngineFaults::default() })]
 #[tokio::test]
-async fn a_faulty_engine_costs_no_answer(#[case] faults: EngineFaults) {
+async fn a_faulty_engine_loses_no_response(#[case] faults: EngineFaults) {
     let fleet = Fleet::start(FleetShape::default()).await;
     fleet.target_faults("engine-kariakoo-0", &faults).await;
     let asks: Vec<Ask> = (0..12).map(|i| ask(&format!("prompt {i}"), 12)).collect();
@@ -33,7 +33,8 @@
     }
 }
 
-/// The connection to every engine breaks at a byte: the answer is whole or its lack is told.
+/// The connections to all engines are cut at a given byte: the response is complete, or it is refused
+/// with a true outcome.
 #[rstest]
 #[case::in_the_request(Faults { cut_request_at: Some(40), ..Faults::default() }, &[Outcome::Unknown, Outcome::NotRun])]
 #[case::in_the_head(Faults { cut_answer_at: Some(10), ..Faults::default() }, &[Outcome::Unknown])]
@@ -41,7 +42,7 @@
 #[case::in_a_token(Faults { cut_answer_at: Some(400), ..Faults::default() }, &[Outcome::Unknown])]
 #[case::no_connection(Faults { cut: true, ..Faults::default() }, &[Outcome::Unknown, Outcome::NotRun])]
 #[tokio::test]
-async fn a_break_at_each_byte_class_is_told_truly(
+async fn a_connection_cut_at_any_byte_gives_a_true_outcome(
     #[case] faults: Faults,
     #[case] allowed: &[Outcome],
 ) {
@@ -62,7 +63,7 @@
 }
 
 #[tokio::test]
-async fn an_engine_killed_in_mid_stream_costs_no_answer() {
+async fn an_engine_killed_during_a_stream_loses_no_response() {
     let mut fleet = Fleet::start(FleetShape::default()).await;
     let entry = fleet.boxes[0].callers();
     let client = fleet.client.clone();
@@ -94,7 +95,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_cancels_its_run() {
+async fn a_caller_that_disconnects_cancels_its_run() {
     let fleet = Fleet::start(FleetShape {
         engines: 1,
         ..FleetShape::default()
@@ -118,7 +119,7 @@
 }
 
 #[tokio::test]
-async fn a_frozen_engine_is_left_and_the_answer_comes_from_another() {
+async fn requests_at_a_frozen_engine_are_retried_at_another() {
     let fleet = Fleet::start(FleetShape {
         entry_settings: vec![
             "entry.drain-lag-ms=200",
--- a/tests/testsuite/arms.rs
+++ b/tests/testsuite/arms.rs
@@ -1,4 +1,4 @@
-//! Arms of a rollout: compared on live traffic, and stopped when they do harm.
+//! Arms of a bundle: compared on live traffic, and stopped when they exceed the guard's thresholds.
 
 use futures::future::join_all;
 use sillpin_bundle::{Arm, Bundle};
@@ -12,7 +12,7 @@
 use sillpin_testsuite::{Fleet, FleetShape};
 use std::process::Command;
 
-/// A bundle whose arm `trial` takes half of the prompts.
+/// Returns a bundle whose arm `trial` gets half of the prompts, with its arm changed by `change`.
 fn with_trial(fleet: &Fleet, change: impl FnOnce(&mut Arm)) -> Bundle {
     let mut bundle = fleet.bundle("two arms");
     let mut arm = Arm {
@@ -31,6 +31,7 @@
     bundle
 }
 
+/// Accepts a bundle and waits until it is in force on all boxes.
 async fn accept(fleet: &Fleet, bundle: &Bundle) {
     let accepted = fleet.accept(bundle).await;
     for entry_box in &fleet.boxes {
@@ -38,6 +39,7 @@
     }
 }
 
+/// Sends `count` distinct prompts, numbered from `from`.
 async fn ask_many(fleet: &Fleet, from: usize, count: usize) {
     let asks: Vec<Ask> = (from..from + count)
         .map(|i| {
@@ -53,6 +55,7 @@
     join_all(asks.iter().map(|ask| call(&fleet.client, entry, ask))).await;
 }
 
+/// Runs `sillpin bundle compare`; returns its exit code and output.
 fn compare(fleet: &Fleet, more: &[&str]) -> (Option<i32>, String) {
     let peer = fleet.boxes[0].peer().to_string();
     let args = ["bundle", "compare", "control", "trial", "--keeper", &peer];
@@ -101,7 +104,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_arm_whose_first_tokens_come_late_is_stopped_and_the_rest_goes_on() {
+async fn an_arm_with_late_first_tokens_is_stopped_and_the_fleet_keeps_serving() {
     let fleet = Fleet::start(FleetShape {
         engines: 4,
         engine_args: ["--max-batch", "2", "--step-ms", "20"]
--- a/tests/testsuite/blocks.rs
+++ b/tests/testsuite/blocks.rs
@@ -1,4 +1,4 @@
-//! No freed or partly written block is served; kept blocks save computing.
+//! Stored blocks are fetched instead of recomputed; freed or partly written blocks are never served.
 
 use sillpin_load::caller::{Ask, Got, Usage, call};
 use sillpin_standin::store::{StoreCounters, StoreFaults};
@@ -6,11 +6,12 @@
 use sillpin_testsuite::wait::until;
 use sillpin_testsuite::{Fleet, FleetShape};
 
-/// Prompts long enough for ten blocks.
+/// Returns a prompt of at least ten blocks.
 fn prompt(number: usize) -> String {
     format!("Submission pack {number}. ").repeat(2_200)
 }
 
+/// A fleet whose engines have caches of 12 blocks, so that prompts are evicted soon.
 fn small_caches() -> FleetShape {
     let args = ["--cache-blocks", "12", "--block-ms", "5", "--step-ms", "2"];
     FleetShape {
@@ -27,28 +28,28 @@
     }
 }
 
-async fn kept_blocks(fleet: &Fleet) -> u64 {
+async fn stored_blocks(fleet: &Fleet) -> u64 {
     let addr = fleet.target("store-0").process.addr("store");
     let counters: Option<StoreCounters> = fleet.admin(addr, "/admin/counters", None::<&()>).await;
     counters.unwrap_or_default().objects
 }
 
-/// Asks for `count` prompts, so that the caches of both engines have lost the first ones, and waits
-/// until all are kept.
-async fn fill(fleet: &Fleet, count: usize) {
+/// Sends `count` prompts, so that both engines evict the first ones from their caches, and waits until
+/// all are stored.
+async fn fill_store(fleet: &Fleet, count: usize) {
     for number in 0..count {
         usage(fleet, number).await;
-        until("the prompt to be kept", || async {
-            (kept_blocks(fleet).await >= 10 * (number as u64 + 1)).then_some(())
+        until("the prompt to be stored", || async {
+            (stored_blocks(fleet).await >= 10 * (number as u64 + 1)).then_some(())
         })
         .await;
     }
 }
 
 #[tokio::test]
-async fn a_prompt_that_returns_after_the_caches_lost_it_is_fetched() {
+async fn a_prompt_that_was_evicted_from_the_caches_is_fetched() {
     let fleet = Fleet::start(small_caches()).await;
-    fill(&fleet, 6).await;
+    fill_store(&fleet, 6).await;
     let returned = usage(&fleet, 0).await;
     assert!(
         returned.prompt_tokens_details.imported_tokens >= 9_000,
@@ -60,9 +61,9 @@
 #[case::a_bit_is_flipped(StoreFaults { flip_bit: true, ..StoreFaults::default() })]
 #[case::transfers_are_cut(StoreFaults { truncate: true, ..StoreFaults::default() })]
 #[tokio::test]
-async fn a_spoilt_block_is_computed_instead(#[case] faults: StoreFaults) {
+async fn a_corrupt_block_is_recomputed(#[case] faults: StoreFaults) {
     let fleet = Fleet::start(small_caches()).await;
-    fill(&fleet, 6).await;
+    fill_store(&fleet, 6).await;
     fleet.target_faults("store-0", &faults).await;
     let returned = usage(&fleet, 0).await;
     assert_eq!(
@@ -72,9 +73,9 @@
 }
 
 #[tokio::test]
-async fn a_dead_store_costs_time_and_no_answer() {
+async fn a_dead_store_loses_no_response() {
     let mut fleet = Fleet::start(small_caches()).await;
-    fill(&fleet, 6).await;
+    fill_store(&fleet, 6).await;
     let id = "store-0".parse().unwrap();
     fleet.targets.get_mut(&id).unwrap().process.kill();
     let returned = usage(&fleet, 0).await;
@@ -85,7 +86,7 @@
 }
 
 #[tokio::test]
-async fn a_full_store_is_freed_and_answers_stay_whole() {
+async fn a_full_store_is_freed_and_requests_are_served() {
     let mut shape = small_caches();
     let capacity = (25 * 16_384).to_string();
     shape.store_args = ["--capacity", &capacity].map(str::to_owned).into();
@@ -93,10 +94,10 @@
     for number in 0..8 {
         usage(&fleet, number).await;
     }
-    let first = kept_blocks(&fleet).await;
+    let first = stored_blocks(&fleet).await;
     assert!(first <= 25);
     until("blocks to be freed", || async {
-        (kept_blocks(&fleet).await < first).then_some(())
+        (stored_blocks(&fleet).await < first).then_some(())
     })
     .await;
     for number in 0..8 {
@@ -107,23 +108,23 @@
 #[tokio::test]
 async fn the_directory_is_rebuilt_from_the_store_after_its_keeper_died() {
     let mut fleet = Fleet::start(small_caches()).await;
-    fill(&fleet, 6).await;
+    fill_store(&fleet, 6).await;
     let (peer, entry) = (fleet.boxes[0].peer(), fleet.boxes[0].keeper.addr("entry"));
     fleet.boxes[0].keeper.kill();
-    let again = fleet.start_keeper_at(
+    let restarted = fleet.start_keeper_at(
         "kariakoo-0",
         "kariakoo",
         &peer.to_string(),
         &entry.to_string(),
     );
-    fleet.boxes[0].keeper = again;
-    until("the directory to be back", || async {
+    fleet.boxes[0].keeper = restarted;
+    until("the directory to be rebuilt", || async {
         let status = fleet.status(&fleet.boxes[0]).await?;
         (status.directory_blocks >= 60).then_some(())
     })
     .await;
     fleet.wait_ready(&fleet.boxes[0]).await;
-    until("a kept prompt to be found", || async {
+    until("a stored prompt to be reused", || async {
         let found = usage(&fleet, 0).await.prompt_tokens_details;
         (found.imported_tokens + found.cached_tokens >= 9_000).then_some(())
     })
--- a/tests/testsuite/box_process.rs
+++ b/tests/testsuite/box_process.rs
@@ -1,4 +1,4 @@
-//! `sillpin-box` as a process: settings, signals, log.
+//! `sillpin-box` as a process: settings, signals and log.
 
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -11,21 +11,23 @@
 use std::time::Duration;
 use tempfile::TempDir;
 
-/// Longest wait for a log line or an end.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time limit for a log line or a response.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Settings with listeners at ports of the kernel's choice and a store that nobody runs.
+/// Settings with listeners at free ports and a platform store that does not exist.
 const SETTINGS: &str = "[box]\nid = box-1\nzone = za\nip = 127.0.0.1\n\
     [listen]\ncallers = 127.0.0.1:0\nready = 127.0.0.1:0\npeers = 127.0.0.1:0\ngossip-port = 0\nmetrics-port = 0\n\
     [platform]\naddr = 127.0.0.1:1\n[limits]\nmemory-mb = 64\ndescriptors = 1000\n\
     [promises]\ngrace-s = 4\n";
 
-struct Box1 {
+/// A running box; its log is read continuously.
+struct BoxProcess {
     child: Child,
     lines: Receiver<serde_json::Value>,
     dir: TempDir,
 }
 
+/// Starts a box with [`SETTINGS`].
 fn spawn() -> (Child, TempDir) {
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("box.ini");
@@ -39,7 +41,7 @@
     (child, dir)
 }
 
-/// A box whose log is read up to its first line only.
+/// A running box whose log is read up to its first line only.
 struct UnreadBox {
     child: Child,
     _dir: TempDir,
@@ -59,11 +61,11 @@
     }
 }
 
-impl Box1 {
+impl BoxProcess {
     fn start_unread() -> UnreadBox {
         let (mut child, dir) = spawn();
         let stdout = child.stdout.as_mut().unwrap();
-        // Byte by byte, so that nothing behind the first line is taken.
+        // Reads single bytes, so that nothing after the first line is consumed.
         let mut line = Vec::new();
         let mut byte = [0];
         while !line.ends_with(b"\n") {
@@ -91,15 +93,16 @@
                 }
             }
         });
-        let me = Self { child, lines, dir };
-        me.wait_for(300);
-        me
+        let process = Self { child, lines, dir };
+        process.wait_for(300);
+        process
     }
 
+    /// Returns the next log record of an event.
     fn wait_for(&self, event: u64) -> serde_json::Value {
         loop {
-            let line = self.lines.recv_timeout(PATIENCE);
-            let line = line.unwrap_or_else(|_| panic!("waited in vain for event {event}"));
+            let line = self.lines.recv_timeout(TIMEOUT);
+            let line = line.unwrap_or_else(|_| panic!("timed out waiting for event {event}"));
             if line["event"] == event {
                 return line;
             }
@@ -112,82 +115,82 @@
     }
 }
 
-impl Drop for Box1 {
+impl Drop for BoxProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// The first version ended with code 129: nobody listened for the signal.
+/// SIGHUP must have a handler: without one it ends the process (exit code 129).
 #[test]
 fn a_hangup_reloads_the_settings() {
-    let me = Box1::start();
-    let file = me.dir.path().join("box.ini");
+    let process = BoxProcess::start();
+    let file = process.dir.path().join("box.ini");
     let changed = SETTINGS.replace(
         "addr = 127.0.0.1:1",
         "addr = 127.0.0.1:1\nseeds = 127.0.0.1:2",
     );
     std::fs::write(&file, changed).unwrap();
-    me.signal(Signal::SIGHUP);
-    let line = me.wait_for(304);
+    process.signal(Signal::SIGHUP);
+    let line = process.wait_for(304);
     assert_eq!(line["changed"], "platform.seeds");
     assert_eq!(line["waiting"], "");
 }
 
 #[test]
-fn bad_settings_are_refused_while_the_box_goes_on() {
-    let mut me = Box1::start();
-    let file = me.dir.path().join("box.ini");
+fn a_reload_of_invalid_settings_is_refused_and_the_box_keeps_running() {
+    let mut process = BoxProcess::start();
+    let file = process.dir.path().join("box.ini");
     std::fs::write(&file, SETTINGS.replace("grace-s = 4", "grace-s = soon")).unwrap();
-    me.signal(Signal::SIGHUP);
-    let line = me.wait_for(305);
+    process.signal(Signal::SIGHUP);
+    let line = process.wait_for(305);
     let why = line["why"].as_str().unwrap();
     assert!(
         why.contains("box.ini:17") && why.contains("grace-s"),
         "{why}"
     );
-    assert!(me.child.try_wait().unwrap().is_none());
+    assert!(process.child.try_wait().unwrap().is_none());
 }
 
 #[test]
-fn a_stop_is_logged_and_ends_well() {
-    let mut me = Box1::start();
-    me.signal(Signal::SIGTERM);
-    me.wait_for(301);
-    me.wait_for(303);
-    assert!(me.child.wait().unwrap().success());
+fn a_stop_is_logged_and_exits_successfully() {
+    let mut process = BoxProcess::start();
+    process.signal(Signal::SIGTERM);
+    process.wait_for(301);
+    process.wait_for(303);
+    assert!(process.child.wait().unwrap().success());
 }
 
-/// Requests that a box can be sent without its log being read.
-const UNREAD: usize = 12_000;
+/// Requests sent while the log is not read; enough to fill the pipe and the log's buffer.
+const UNREAD_REQUESTS: usize = 12_000;
 
 #[test]
-fn a_log_that_nobody_reads_holds_up_no_request_and_tells_what_it_left_out() {
-    let mut me = Box1::start_unread();
-    let addr = me.callers();
+fn an_unread_log_delays_no_request_and_reports_dropped_records() {
+    let mut process = BoxProcess::start_unread();
+    let addr = process.callers();
     let mut tcp = std::net::TcpStream::connect(addr).unwrap();
-    tcp.set_read_timeout(Some(PATIENCE)).unwrap();
+    tcp.set_read_timeout(Some(TIMEOUT)).unwrap();
     let req = "GET /a/b HTTP/1.1\r\nHost: h\r\nRequest-Id: r\r\n\r\n";
     let mut reader = BufReader::new(tcp.try_clone().unwrap());
-    for _ in 0..UNREAD {
+    for _ in 0..UNREAD_REQUESTS {
         tcp.write_all(req.as_bytes()).unwrap();
-        let status = read_answer(&mut reader);
+        let status = read_response(&mut reader);
         assert!(
             status.starts_with("HTTP/1.1 503"),
             "no configuration yet: {status}"
         );
     }
-    let stdout = me.child.stdout.take().unwrap();
+    let stdout = process.child.stdout.take().unwrap();
     let lines = BufReader::new(stdout).lines().map_while(Result::ok);
-    let told = lines
+    let reported = lines
         .into_iter()
         .any(|line| line.contains("dropped messages"));
-    assert!(told, "the log says how many records it left out");
+    assert!(reported, "the log must report its dropped records");
 }
 
-/// Reads one answer with a stated length; gives its status line.
-fn read_answer(reader: &mut impl BufRead) -> String {
+/// Reads a response with a `content-length` and returns its status line.
+fn read_response(reader: &mut impl BufRead) -> String {
     let mut status = String::new();
     reader.read_line(&mut status).unwrap();
     let mut len = 0;
@@ -207,9 +210,9 @@
 }
 
 #[test]
-fn the_lost_store_is_logged_once() {
-    let me = Box1::start();
-    let line = me.wait_for(320);
+fn an_unreachable_store_is_logged() {
+    let process = BoxProcess::start();
+    let line = process.wait_for(320);
     assert!(
         line["why"].as_str().unwrap().contains("out of reach"),
         "{line}"
@@ -220,7 +223,7 @@
 #[case::missing("id = box-1\n", "", "[box] id must be given")]
 #[case::unknown("id = box-1\n", "id = box-1\ncolour = red\n", "unknown key colour")]
 #[case::malformed("127.0.0.1:1\n", "nowhere\n", "[platform] addr")]
-fn faulty_settings_end_the_program_with_file_and_key(
+fn invalid_settings_end_the_program_with_file_and_key(
     #[case] from: &str,
     #[case] to: &str,
     #[case] expected: &str,
--- a/tests/testsuite/bundles.rs
+++ b/tests/testsuite/bundles.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest time for a bundle to be in force everywhere.
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(5);
+/// Time limit for an accepted bundle to be in force on all boxes.
+const ROLLOUT_LIMIT: Duration = Duration::from_secs(5);
 
 fn nine_boxes() -> FleetShape {
     FleetShape {
@@ -31,11 +31,11 @@
     for entry_box in &fleet.boxes {
         fleet.wait_revision(entry_box, accepted.revision).await;
     }
-    assert!(since.elapsed() < IN_FORCE_WITHIN, "{:?}", since.elapsed());
+    assert!(since.elapsed() < ROLLOUT_LIMIT, "{:?}", since.elapsed());
 }
 
 #[tokio::test]
-async fn of_two_racing_operators_one_wins_and_the_other_is_told_who() {
+async fn of_two_concurrent_operators_one_wins_and_the_other_gets_a_conflict() {
     let fleet = Fleet::start(FleetShape::default()).await;
     let platform = fleet.platform_client();
     let (left, right) = (
@@ -60,7 +60,7 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_to_an_acceptance_is_settled() {
+async fn an_acceptance_whose_response_was_lost_is_resolved() {
     let fleet = Fleet::start(FleetShape::default()).await;
     let faults = Faults {
         lose_answers: 1,
@@ -97,7 +97,7 @@
 }
 
 #[tokio::test]
-async fn a_box_that_starts_from_nothing_without_the_platform_learns_from_its_peers() {
+async fn a_new_box_without_the_platform_gets_the_bundle_from_its_peers() {
     let mut fleet = Fleet::start(nine_boxes()).await;
     let accepted = fleet.accept(&fleet.bundle("second")).await;
     for entry_box in &fleet.boxes {
@@ -115,7 +115,7 @@
 }
 
 #[tokio::test]
-async fn a_restarted_box_with_stale_peers_does_not_bring_an_old_bundle_back() {
+async fn a_new_box_with_an_outdated_peer_does_not_restore_an_old_bundle() {
     let mut fleet = Fleet::start(FleetShape {
         boxes: 3,
         stores: 0,
@@ -141,7 +141,7 @@
 }
 
 #[tokio::test]
-async fn a_bundle_of_an_untrusted_signer_is_never_in_force() {
+async fn a_bundle_of_an_untrusted_signer_is_not_in_force() {
     let fleet = Fleet::start(FleetShape::default()).await;
     let text = serde_json::to_string(&fleet.bundle("evil")).unwrap();
     let signed = SignedBundle::sign(&text, &SignerKey::generate()).unwrap();
--- a/tests/testsuite/callers.rs
+++ b/tests/testsuite/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' side: limits and errors, HTTP/1.1 and HTTP/2, plain services.
+//! The interface for callers: limits and errors, HTTP/1.1 and HTTP/2, plain services.
 
 use hyper::{Method, Request, StatusCode};
 use rstest::rstest;
@@ -11,6 +11,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
+/// Sends a request and returns the status and problem document of its response.
 async fn problem_of(fleet: &Fleet, req: Request<Body>) -> (u16, Problem) {
     let entry = fleet.boxes[0].callers();
     let resp = fleet.client.send("ask", entry, req).await.unwrap();
@@ -132,7 +133,7 @@
 }
 
 #[tokio::test]
-async fn a_slow_sender_is_refused() {
+async fn a_slow_request_body_is_refused() {
     let fleet = Fleet::start(FleetShape {
         entry_settings: vec!["entry.drain-lag-ms=0", "limits.body-ms=200"],
         ..FleetShape::default()
@@ -144,18 +145,18 @@
         key_of("riders")
     );
     tcp.write_all(head.as_bytes()).await.unwrap();
-    let mut answer = vec![0; 64];
-    let read = tokio::time::timeout(Duration::from_secs(5), tcp.read(&mut answer)).await;
+    let mut response = vec![0; 64];
+    let read = tokio::time::timeout(Duration::from_secs(5), tcp.read(&mut response)).await;
     let len = read.unwrap().unwrap();
     assert!(
-        answer[..len].starts_with(b"HTTP/1.1 408"),
+        response[..len].starts_with(b"HTTP/1.1 408"),
         "{:?}",
-        String::from_utf8_lossy(&answer)
+        String::from_utf8_lossy(&response)
     );
 }
 
 #[tokio::test]
-async fn http_2_without_tls_is_spoken() {
+async fn http_2_without_tls_is_accepted() {
     let fleet = Fleet::start(FleetShape::default()).await;
     let mut tcp = TcpStream::connect(fleet.boxes[0].callers()).await.unwrap();
     let preface = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\x00\x00\x00\x04\x00\x00\x00\x00\x00";
@@ -167,7 +168,7 @@
 }
 
 #[tokio::test]
-async fn a_service_call_is_passed_on_with_body_path_and_headers() {
+async fn a_service_call_is_forwarded_with_body_path_and_headers() {
     let fleet = Fleet::start(FleetShape::default()).await;
     let body = "swap ".repeat(100_000);
     let req = post(
@@ -184,15 +185,15 @@
 }
 
 #[tokio::test]
-async fn a_chat_is_answered_in_chat_documents() {
+async fn a_chat_request_gets_a_chat_document() {
     let fleet = Fleet::start(FleetShape::default()).await;
     let body =
         r#"{"model":"mfano","max_tokens":3,"messages":[{"role":"user","content":"Habari"}]}"#;
     let entry = fleet.boxes[0].callers();
     let req = post(&fleet, "/v1/chat/completions", body);
     let resp = fleet.client.send("chat", entry, req).await.unwrap();
-    let answer: serde_json::Value = read_json(resp.into_body(), 1 << 16).await.unwrap();
-    assert_eq!(answer["object"], "chat.completion");
-    assert_eq!(answer["choices"][0]["message"]["role"], "assistant");
-    assert_eq!(answer["usage"]["completion_tokens"], 3);
+    let document: serde_json::Value = read_json(resp.into_body(), 1 << 16).await.unwrap();
+    assert_eq!(document["object"], "chat.completion");
+    assert_eq!(document["choices"][0]["message"]["role"], "assistant");
+    assert_eq!(document["usage"]["completion_tokens"], 3);
 }
--- a/tests/testsuite/drain.rs
+++ b/tests/testsuite/drain.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts off no request, and a leaving target gets no new work.
+//! An orderly shutdown interrupts no request, and a leaving target gets no new requests.
 
 use futures::future::join_all;
 use sillpin_core::Presence;
@@ -14,7 +14,7 @@
 }
 
 #[tokio::test]
-async fn a_stopped_entry_finishes_every_stream_and_ends() {
+async fn a_stopped_entry_finishes_every_stream_and_exits() {
     let mut fleet = Fleet::start(FleetShape {
         boxes: 2,
         ..FleetShape::default()
@@ -43,9 +43,9 @@
         let got = got.unwrap();
         assert!(got.is_answered(), "{got:?}");
     }
-    let ended = &mut fleet.boxes[0].entry;
+    let entry = &mut fleet.boxes[0].entry;
     loop {
-        if let Some(status) = ended.ended().unwrap() {
+        if let Some(status) = entry.ended().unwrap() {
             assert!(status.success());
             break;
         }
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test]
-async fn an_entry_says_that_it_is_not_ready_before_it_stops_accepting() {
+async fn an_entry_reports_not_ready_before_it_stops_accepting() {
     let fleet = Fleet::start(FleetShape {
         entry_settings: vec!["entry.drain-lag-ms=3000"],
         ..FleetShape::default()
@@ -64,7 +64,7 @@
     entry_box.entry.terminate();
     until("the entry to be not ready", || async {
         let call = sillpin_http::client::Call {
-            step: "ask for readiness",
+            step: "read readiness",
             peer: entry_box.callers(),
             method: hyper::Method::GET,
             path: "/readyz",
@@ -79,7 +79,7 @@
 }
 
 #[tokio::test]
-async fn a_stopped_keeper_cuts_nothing() {
+async fn a_stopped_keeper_interrupts_no_request() {
     let mut fleet = Fleet::start(FleetShape::default()).await;
     let entry = fleet.boxes[0].callers();
     let (client, long) = (fleet.client.clone(), ask("keeper stops".to_owned(), 150));
@@ -94,7 +94,7 @@
     assert!(got.is_answered(), "{got:?}");
 }
 
-/// Which source says that the engine leaves.
+/// Where the presence `Leaving` of the engine is published.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Source {
     List,
@@ -102,10 +102,10 @@
 }
 
 #[rstest::rstest]
-#[case::the_list(Source::List)]
-#[case::its_own_load_report_while_the_list_lags(Source::LoadReport)]
+#[case::the_box_list(Source::List)]
+#[case::its_load_report_while_the_box_list_is_late(Source::LoadReport)]
 #[tokio::test]
-async fn a_leaving_engine_gets_no_new_work(#[case] source: Source) {
+async fn a_leaving_engine_gets_no_new_requests(#[case] source: Source) {
     let fleet = Fleet::start(FleetShape {
         zones: vec!["kariakoo", "msasani"],
         engines: 1,
@@ -136,7 +136,7 @@
         }
     }
     for entry_box in &fleet.boxes {
-        until("the box to know", || async {
+        until("the box to see the engine as leaving", || async {
             let status = fleet.status(entry_box).await?;
             let leaving = status.targets.iter().filter(|t| t.leaving).count();
             (leaving == 1).then_some(())
--- a/tests/testsuite/events.rs
+++ b/tests/testsuite/events.rs
@@ -1,4 +1,4 @@
-//! The catalogue of log events in the docs is the one in the code.
+//! The catalogue of log events in `docs/EVENTS.md` matches the code.
 
 use sillpin_telemetry::events::CATALOGUE;
 use std::path::Path;
--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Integration tests over real processes.
+//! Integration tests that run fleets of real processes.
 
 mod answers;
 mod arms;
--- a/tests/testsuite/membership.rs
+++ b/tests/testsuite/membership.rs
@@ -1,4 +1,4 @@
-//! Dead boxes and targets are out of use within seconds and back soon after their return.
+//! Dead boxes and targets are out of use within seconds, and in use again soon after they return.
 
 use sillpin_core::Presence;
 use sillpin_standin::platform::Faults;
@@ -7,8 +7,10 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-const OUT_WITHIN: Duration = Duration::from_secs(3);
-const BACK_WITHIN: Duration = Duration::from_secs(5);
+/// Time limit for a dead box or target to be out of use.
+const REMOVAL_LIMIT: Duration = Duration::from_secs(3);
+/// Time limit for a returned box to be in use.
+const RETURN_LIMIT: Duration = Duration::from_secs(5);
 
 fn shape() -> FleetShape {
     FleetShape {
@@ -19,6 +21,7 @@
     }
 }
 
+/// Returns `Some` if box number `seen_by` reports the box `id` with this state.
 async fn box_is(fleet: &Fleet, seen_by: usize, id: &str, live: bool) -> Option<()> {
     let status = fleet.status(&fleet.boxes[seen_by]).await?;
     let found = status.boxes.iter().find(|b| b.id.as_str() == id)?;
@@ -38,14 +41,14 @@
         box_is(&fleet, 0, "kariakoo-2", false)
     })
     .await;
-    assert!(frozen.elapsed() < OUT_WITHIN, "{:?}", frozen.elapsed());
+    assert!(frozen.elapsed() < REMOVAL_LIMIT, "{:?}", frozen.elapsed());
     fleet.boxes[2].keeper.go_on();
-    let back = Instant::now();
+    let resumed = Instant::now();
     until("the box to be in use", || {
         box_is(&fleet, 0, "kariakoo-2", true)
     })
     .await;
-    assert!(back.elapsed() < BACK_WITHIN, "{:?}", back.elapsed());
+    assert!(resumed.elapsed() < RETURN_LIMIT, "{:?}", resumed.elapsed());
 }
 
 #[tokio::test]
@@ -62,11 +65,11 @@
         })
         .await;
     }
-    assert!(killed.elapsed() < OUT_WITHIN, "{:?}", killed.elapsed());
+    assert!(killed.elapsed() < REMOVAL_LIMIT, "{:?}", killed.elapsed());
 }
 
 #[tokio::test]
-async fn a_fleet_cut_off_from_the_platform_goes_on_serving() {
+async fn a_fleet_without_the_platform_keeps_serving() {
     let fleet = Fleet::start(shape()).await;
     let outage = Faults {
         outage: true,
@@ -81,7 +84,7 @@
 }
 
 #[tokio::test]
-async fn a_target_that_left_and_returned_at_the_same_address_gets_work_again() {
+async fn a_target_that_left_and_returned_at_the_same_address_gets_requests_again() {
     let fleet = Fleet::start(FleetShape {
         engines: 1,
         stores: 0,
--- a/tests/testsuite/once.rs
+++ b/tests/testsuite/once.rs
@@ -1,4 +1,4 @@
-//! A call that may not be repeated runs at most once, and "not run" is true.
+//! A call that must not be repeated runs at most once, and the outcome "not run" is true.
 
 use futures::future::join_all;
 use hyper::{Method, Request, StatusCode};
@@ -11,25 +11,26 @@
 use sillpin_testsuite::wait::until;
 use sillpin_testsuite::{Fleet, FleetShape};
 
-/// What a caller got for a call of a service.
+/// Result of a service call at the caller.
 #[derive(Debug, PartialEq)]
-enum Reply {
+enum CallResult {
     Ran,
     Refused(u16, Outcome),
-    Nothing,
+    NoResponse,
 }
 
-impl Reply {
+impl CallResult {
     fn outcome(&self) -> Option<Outcome> {
         match self {
-            Reply::Ran => Some(Outcome::Ran),
-            Reply::Refused(_, outcome) => Some(*outcome),
-            Reply::Nothing => None,
+            CallResult::Ran => Some(Outcome::Ran),
+            CallResult::Refused(_, outcome) => Some(*outcome),
+            CallResult::NoResponse => None,
         }
     }
 }
 
-async fn unlock(fleet: &Fleet, entry_box: &EntryBox, key: &str, body: &str) -> Reply {
+/// Sends a service call with an idempotency key through a box.
+async fn unlock(fleet: &Fleet, entry_box: &EntryBox, key: &str, body: &str) -> CallResult {
     let entry = entry_box.callers();
     let req = Request::builder()
         .method(Method::POST)
@@ -39,18 +40,19 @@
         .body(Body::full(body.to_owned()))
         .unwrap();
     let Ok(resp) = fleet.client.send("unlock", entry, req).await else {
-        return Reply::Nothing;
+        return CallResult::NoResponse;
     };
     if resp.status() == StatusCode::OK {
-        return Reply::Ran;
+        return CallResult::Ran;
     }
     let status = resp.status().as_u16();
     match read_json::<Problem, _>(resp.into_body(), 1 << 16).await {
-        Ok(problem) => Reply::Refused(status, problem.outcome),
-        Err(_) => Reply::Nothing,
+        Ok(problem) => CallResult::Refused(status, problem.outcome),
+        Err(_) => CallResult::NoResponse,
     }
 }
 
+/// Returns how often the services executed the call with this key.
 async fn executions(fleet: &Fleet, key: &str) -> u32 {
     fleet.all_executions().await.get(key).copied().unwrap_or(0)
 }
@@ -66,7 +68,7 @@
 }
 
 #[tokio::test]
-async fn the_same_key_through_three_zones_at_once_runs_once() {
+async fn concurrent_calls_with_one_key_in_three_zones_run_once() {
     let fleet = Fleet::start(three_zones()).await;
     for round in 0..10 {
         let key = format!("verdict-{round}");
@@ -75,16 +77,16 @@
             .iter()
             .map(|b| unlock(&fleet, b, &key, "unlock 7"));
         let replies = join_all(calls).await;
-        let ran = replies.iter().filter(|r| **r == Reply::Ran).count();
+        let ran = replies.iter().filter(|r| **r == CallResult::Ran).count();
         assert_eq!(ran, 1, "{replies:?}");
-        let told_not_run = replies.iter().any(|r| r.outcome() == Some(Outcome::NotRun));
-        assert!(!told_not_run, "the call was run: {replies:?}");
+        let reported_not_run = replies.iter().any(|r| r.outcome() == Some(Outcome::NotRun));
+        assert!(!reported_not_run, "the call was run: {replies:?}");
         assert_eq!(executions(&fleet, &key).await, 1);
     }
 }
 
 #[tokio::test]
-async fn a_lost_answer_of_the_platform_is_settled_by_reading_back() {
+async fn a_lost_response_of_the_platform_is_resolved_by_reading_back() {
     let fleet = Fleet::start(FleetShape::default()).await;
     let faults = Faults {
         lose_answers: 1,
@@ -92,12 +94,12 @@
     };
     fleet.platform_faults(&faults).await;
     let reply = unlock(&fleet, &fleet.boxes[0], "k", "unlock").await;
-    assert_eq!(reply, Reply::Ran);
+    assert_eq!(reply, CallResult::Ran);
     assert_eq!(executions(&fleet, "k").await, 1);
 }
 
 #[tokio::test]
-async fn without_the_platform_a_call_is_not_run_and_later_it_is() {
+async fn a_call_during_a_platform_outage_is_not_run_and_runs_afterwards() {
     let fleet = Fleet::start(FleetShape::default()).await;
     let outage = Faults {
         outage: true,
@@ -105,19 +107,19 @@
     };
     fleet.platform_faults(&outage).await;
     let reply = unlock(&fleet, &fleet.boxes[0], "k", "unlock").await;
-    assert_eq!(reply, Reply::Refused(503, Outcome::NotRun));
+    assert_eq!(reply, CallResult::Refused(503, Outcome::NotRun));
     assert_eq!(executions(&fleet, "k").await, 0);
     fleet.platform_faults(&Faults::default()).await;
     until("the call to run", || async {
         let reply = unlock(&fleet, &fleet.boxes[0], "k", "unlock").await;
-        (reply == Reply::Ran).then_some(())
+        (reply == CallResult::Ran).then_some(())
     })
     .await;
     assert_eq!(executions(&fleet, "k").await, 1);
 }
 
 #[tokio::test]
-async fn a_broken_answer_is_unknown_and_the_call_is_not_repeated() {
+async fn an_interrupted_call_is_unknown_and_is_not_repeated() {
     let fleet = Fleet::start(FleetShape::default()).await;
     let faults = ServiceFaults {
         delay_ms: 60_000,
@@ -136,16 +138,16 @@
     };
     let (again, first) = tokio::select! {
         reply = cut => (reply, None),
-        reply = first => (Reply::Nothing, Some(reply)),
+        reply = first => (CallResult::NoResponse, Some(reply)),
     };
     assert_eq!(first, None, "a frozen service cannot have answered");
-    assert_eq!(again, Reply::Refused(409, Outcome::Unknown));
+    assert_eq!(again, CallResult::Refused(409, Outcome::Unknown));
     fleet.target("service-0").process.go_on();
     assert_eq!(executions(&fleet, "k").await, 1);
 }
 
 #[tokio::test]
-async fn an_entry_killed_during_the_call_leaves_it_unknown() {
+async fn a_call_is_unknown_after_its_entry_was_killed() {
     let mut fleet = Fleet::start(FleetShape {
         boxes: 2,
         ..FleetShape::default()
@@ -174,12 +176,12 @@
     fleet.boxes[0].entry.kill();
     assert!(!first.await.unwrap());
     let again = unlock(&fleet, &fleet.boxes[1], "k", "unlock").await;
-    assert_eq!(again, Reply::Refused(409, Outcome::Unknown));
+    assert_eq!(again, CallResult::Refused(409, Outcome::Unknown));
     assert_eq!(executions(&fleet, "k").await, 1);
 }
 
 #[tokio::test]
-async fn a_keeper_paused_in_a_claim_gives_it_up_and_the_key_is_free_again() {
+async fn a_keeper_paused_during_a_claim_releases_the_key() {
     let fleet = Fleet::start(FleetShape {
         boxes: 2,
         ..FleetShape::default()
@@ -187,19 +189,19 @@
     .await;
     fleet.boxes[0].keeper.pause();
     let reply = unlock(&fleet, &fleet.boxes[0], "k", "unlock").await;
-    assert_eq!(reply, Reply::Refused(503, Outcome::NotRun));
+    assert_eq!(reply, CallResult::Refused(503, Outcome::NotRun));
     assert_eq!(executions(&fleet, "k").await, 0);
     fleet.boxes[0].keeper.go_on();
     until("the key to be free", || async {
         let reply = unlock(&fleet, &fleet.boxes[1], "k", "unlock").await;
-        (reply == Reply::Ran).then_some(())
+        (reply == CallResult::Ran).then_some(())
     })
     .await;
     assert_eq!(executions(&fleet, "k").await, 1);
 }
 
 #[tokio::test]
-async fn a_service_out_of_reach_means_not_run_and_the_key_is_free_again() {
+async fn an_unreachable_service_means_not_run_and_releases_the_key() {
     let mut fleet = Fleet::start(FleetShape {
         services: 2,
         ..FleetShape::default()
@@ -212,24 +214,27 @@
         fleet.targets.get_mut(id).unwrap().process.kill();
     }
     let reply = unlock(&fleet, &fleet.boxes[0], "k", "unlock").await;
-    assert_eq!(reply, Reply::Refused(503, Outcome::NotRun));
+    assert_eq!(reply, CallResult::Refused(503, Outcome::NotRun));
     let replies = until("the claim to be released", || async {
         let reply = unlock(&fleet, &fleet.boxes[0], "k", "unlock").await;
-        (reply == Reply::Refused(503, Outcome::NotRun)).then_some(reply)
+        (reply == CallResult::Refused(503, Outcome::NotRun)).then_some(reply)
     });
     replies.await;
 }
 
 #[tokio::test]
-async fn a_key_used_for_another_call_is_refused() {
+async fn a_key_reused_for_another_call_is_refused() {
     let fleet = Fleet::start(FleetShape::default()).await;
     let entry_box = &fleet.boxes[0];
-    assert_eq!(unlock(&fleet, entry_box, "k", "unlock 7").await, Reply::Ran);
+    assert_eq!(
+        unlock(&fleet, entry_box, "k", "unlock 7").await,
+        CallResult::Ran
+    );
     let other = unlock(&fleet, entry_box, "k", "unlock 8").await;
-    assert_eq!(other, Reply::Refused(422, Outcome::NotRun));
-    until("the first call to be known as run", || async {
+    assert_eq!(other, CallResult::Refused(422, Outcome::NotRun));
+    until("the first call to be recorded as run", || async {
         let again = unlock(&fleet, entry_box, "k", "unlock 7").await;
-        (again == Reply::Refused(409, Outcome::Ran)).then_some(())
+        (again == CallResult::Refused(409, Outcome::Ran)).then_some(())
     })
     .await;
     assert_eq!(executions(&fleet, "k").await, 1);
--- a/tests/testsuite/operators.rs
+++ b/tests/testsuite/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' command line against a running fleet.
+//! Integration tests of the `sillpin` command line and of metrics, against a running fleet.
 
 use sillpin_load::caller::{Ask, Got, call};
 use sillpin_testsuite::fleet::{MODEL, key_of};
@@ -7,6 +7,7 @@
 use sillpin_testsuite::{Fleet, FleetShape};
 use std::process::Command;
 
+/// Runs `sillpin`; returns its exit code, standard output and standard error.
 fn sillpin(args: &[&str]) -> (Option<i32>, String, String) {
     let out = Command::new(program("sillpin"))
         .args(args)
@@ -62,7 +63,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn status_and_explain_say_what_happened() {
+async fn status_and_explain_describe_a_served_request() {
     let fleet = Fleet::start(FleetShape {
         boxes: 2,
         ..FleetShape::default()
--- a/tests/testsuite/organisations.rs
+++ b/tests/testsuite/organisations.rs
@@ -1,4 +1,4 @@
-//! One organisation's prompts never reach another.
+//! Isolation of organisations: cached blocks are not shared, and revoked keys are refused.
 
 use sillpin_cli::ops::organisation;
 use sillpin_load::caller::{Ask, Got, Usage, call};
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test]
-async fn a_revoked_key_is_refused_and_its_open_stream_ends_whole() {
+async fn a_revoked_key_is_refused_and_its_open_stream_completes() {
     let fleet = Fleet::start(FleetShape::default()).await;
     let entry = fleet.boxes[0].callers();
     let (client, long) = (
--- a/tests/testsuite/outcomes.rs
+++ b/tests/testsuite/outcomes.rs
@@ -1,4 +1,4 @@
-//! When a caller is told "not run", it was not run: counted at the service.
+//! The outcome "not run" in a response is true: the service, which counts executions, has none.
 
 use hyper::{Method, Request, StatusCode};
 use rstest::rstest;
@@ -10,7 +10,8 @@
 use sillpin_testsuite::fleet::{SERVICE_POOL, key_of};
 use sillpin_testsuite::{Fleet, FleetShape};
 
-/// Sends a call with an idempotency key; what was said of it, and how often it ran.
+/// Sends a call with an idempotency key; returns the outcome reported to the caller and the number of
+/// executions.
 async fn outcome_and_executions(fleet: &Fleet, key: &str) -> (Option<Outcome>, u32) {
     let entry = fleet.boxes[0].callers();
     let req = Request::builder()
@@ -36,11 +37,11 @@
 #[case::before_connect(Faults { cut: true, ..Faults::default() })]
 #[case::in_the_headers(Faults { cut_request_at: Some(30), ..Faults::default() })]
 #[case::in_the_body(Faults { cut_request_at: Some(330), ..Faults::default() })]
-#[case::in_the_answers_head(Faults { cut_answer_at: Some(9), ..Faults::default() })]
+#[case::in_the_response_head(Faults { cut_answer_at: Some(9), ..Faults::default() })]
 #[case::requests_lost(Faults { lose_requests: true, ..Faults::default() })]
-#[case::answers_lost(Faults { lose_answers: true, ..Faults::default() })]
+#[case::responses_lost(Faults { lose_answers: true, ..Faults::default() })]
 #[tokio::test]
-async fn what_is_said_of_a_broken_call_is_true(#[case] faults: Faults) {
+async fn the_outcome_reported_for_a_broken_call_is_true(#[case] faults: Faults) {
     let fleet = Fleet::start(FleetShape {
         proxies: true,
         services: 2,
@@ -57,13 +58,13 @@
             Some(Outcome::NotRun) => assert_eq!(executions, 0),
             Some(Outcome::Ran) => assert_eq!(executions, 1),
             Some(Outcome::Unknown) => assert!(executions <= 1),
-            None => panic!("nothing was said"),
+            None => panic!("no outcome was reported"),
         }
     }
 }
 
 #[tokio::test]
-async fn a_break_after_the_execution_is_never_not_run() {
+async fn a_response_cut_after_the_execution_is_never_not_run() {
     let fleet = Fleet::start(FleetShape::default()).await;
     let faults = ServiceFaults {
         break_answer: true,
--- a/tests/testsuite/path.rs
+++ b/tests/testsuite/path.rs
@@ -1,4 +1,4 @@
-//! The whole path: caller, entry, decision, engine, streamed answer.
+//! The path of a request from the caller through the entry to an engine, and of its response back.
 
 use sillpin_core::Outcome;
 use sillpin_load::caller::{Ask, Got, call};
@@ -6,7 +6,7 @@
 use sillpin_testsuite::{Fleet, FleetShape};
 
 #[tokio::test]
-async fn an_answer_streams_from_engine_to_caller() {
+async fn a_response_streams_from_engine_to_caller() {
     let fleet = Fleet::start(FleetShape::default()).await;
     let prompt = "The rider says the battery swap failed. ".repeat(400);
     let ask = Ask::new(&key_of("riders"), MODEL, prompt, 20);
@@ -20,7 +20,7 @@
 }
 
 #[tokio::test]
-async fn a_whole_answer_comes_as_one_document() {
+async fn an_unstreamed_response_is_one_document() {
     let fleet = Fleet::start(FleetShape::default()).await;
     let ask = Ask {
         stream: false,
--- a/tests/testsuite/traces.rs
+++ b/tests/testsuite/traces.rs
@@ -1,4 +1,4 @@
-//! A span for each hop reaches the collector, in one trace with the caller's.
+//! Each hop of a request exports a span to the collector, in the caller's trace.
 
 use hyper::body::Incoming;
 use hyper::{Request, Response};
@@ -9,21 +9,22 @@
 use std::sync::{Arc, Mutex};
 use tokio_util::sync::CancellationToken;
 
-/// A collector that keeps what it is sent.
+/// A collector that stores the bodies that it receives.
 #[derive(Clone, Default)]
 struct Collector {
     bodies: Arc<Mutex<Vec<u8>>>,
 }
 
 impl Collector {
-    async fn take(self, req: Request<Incoming>) -> Response<Body> {
+    async fn receive(self, req: Request<Incoming>) -> Response<Body> {
         if let Ok(body) = read_limited(req.into_body(), 1 << 20).await {
             self.bodies.lock().unwrap().extend_from_slice(&body);
         }
         Response::new(Body::empty())
     }
 
-    fn has(&self, bytes: &[u8]) -> bool {
+    /// Returns whether any received body contains `bytes`.
+    fn contains(&self, bytes: &[u8]) -> bool {
         self.bodies
             .lock()
             .unwrap()
@@ -32,20 +33,21 @@
     }
 }
 
-async fn start(collector: &Collector) -> SocketAddr {
+/// Starts a server for `collector` and returns its address.
+async fn start_collector(collector: &Collector) -> SocketAddr {
     let server = Server::bind(([127, 0, 0, 1], 0).into()).await.unwrap();
     let addr = server.local_addr().unwrap();
     let collector = collector.clone();
     tokio::spawn(server.run(CancellationToken::new(), move |req| {
-        collector.clone().take(req)
+        collector.clone().receive(req)
     }));
     addr
 }
 
 #[tokio::test]
-async fn every_hop_has_its_span() {
+async fn every_hop_exports_a_span() {
     let collector = Collector::default();
-    let addr = start(&collector).await;
+    let addr = start_collector(&collector).await;
     let setting: &'static str = Box::leak(format!("telemetry.collector={addr}").into_boxed_str());
     let mut shape = FleetShape::default();
     shape.entry_settings.push(setting);
@@ -55,7 +57,7 @@
     assert!(fleet.ask(&fleet.boxes[0], &long).await.is_answered());
     for span in ["entry", "look up", "target", "transfer"] {
         until(&format!("span {span}"), || async {
-            collector.has(span.as_bytes()).then_some(())
+            collector.contains(span.as_bytes()).then_some(())
         })
         .await;
     }
@@ -64,7 +66,7 @@
 #[tokio::test]
 async fn the_callers_trace_is_continued() {
     let collector = Collector::default();
-    let addr = start(&collector).await;
+    let addr = start_collector(&collector).await;
     let setting: &'static str = Box::leak(format!("telemetry.collector={addr}").into_boxed_str());
     let mut shape = FleetShape::default();
     shape.entry_settings.push(setting);
@@ -89,7 +91,7 @@
     let resp = fleet.client.send("ask", entry, req).await.unwrap();
     assert_eq!(resp.status(), hyper::StatusCode::OK);
     until("the caller's trace", || async {
-        collector.has(&trace).then_some(())
+        collector.contains(&trace).then_some(())
     })
     .await;
 }
--- a/tests/testsuite/versions.rs
+++ b/tests/testsuite/versions.rs
@@ -1,5 +1,5 @@
-//! A new request never uses blocks of another weight version; a swap loses no answer and never
-//! loads more than three engines at once.
+//! A change of weights loses no response, has at most three engines load at the same time, and new
+//! requests never use blocks of another weight version.
 
 use futures::future::join_all;
 use sillpin_load::caller::{Ask, Got, call};
@@ -12,6 +12,7 @@
     Ask::new(&key_of("riders"), MODEL, prompt, tokens)
 }
 
+/// Returns the weight version of each engine; `None` while one is unknown.
 async fn versions(fleet: &Fleet) -> Option<Vec<u64>> {
     let status = fleet.status(&fleet.boxes[0]).await?;
     let engines = status.targets.iter().filter(|t| t.entry.model.is_some());
@@ -21,7 +22,7 @@
 }
 
 #[tokio::test]
-async fn a_swap_under_load_loses_no_answer_and_reuses_no_old_block() {
+async fn a_change_of_weights_under_load_loses_no_response_and_reuses_no_old_block() {
     let fleet = Fleet::start(FleetShape {
         zones: vec!["kariakoo", "msasani"],
         engines: 4,
