--- a/tests/testsuite/answers.rs
+++ b/tests/testsuite/answers.rs
@@ -6,12 +6,12 @@
 use sillpin_load::caller::{Ask, Got, call};
 use sillpin_standin::engine::EngineFaults;
 use sillpin_standin::fault::Faults;
-use sillpin_testsuite::fleet::{MODEL, key_of};
+use sillpin_testsuite::fleet::{MODEL, api_key};
 use sillpin_testsuite::wait::until;
 use sillpin_testsuite::{Fleet, FleetShape};
 
 fn ask(prompt: &str, tokens: u32) -> Ask {
-    Ask::new(&key_of("riders"), MODEL, prompt, tokens)
+    Ask::new(&api_key("riders"), MODEL, prompt, tokens)
 }
 
 /// One of two engines fails: callers still get complete responses, resumed at or retried on the other.
--- a/tests/testsuite/arms.rs
+++ b/tests/testsuite/arms.rs
@@ -6,7 +6,7 @@
 use sillpin_core::block::BLOCK_BYTES;
 use sillpin_load::caller::{Ask, call};
 use sillpin_policy::set::PlacementKind;
-use sillpin_testsuite::fleet::{MODEL, key_of};
+use sillpin_testsuite::fleet::{MODEL, api_key};
 use sillpin_testsuite::process::program;
 use sillpin_testsuite::wait::until;
 use sillpin_testsuite::{Fleet, FleetShape};
@@ -44,7 +44,7 @@
     let asks: Vec<Ask> = (from..from + count)
         .map(|i| {
             Ask::new(
-                &key_of("riders"),
+                &api_key("riders"),
                 MODEL,
                 format!("{}{i}", "x".repeat(BLOCK_BYTES)),
                 2,
--- a/tests/testsuite/blocks.rs
+++ b/tests/testsuite/blocks.rs
@@ -2,7 +2,7 @@
 
 use sillpin_load::caller::{Ask, Got, Usage, call};
 use sillpin_standin::store::{StoreCounters, StoreFaults};
-use sillpin_testsuite::fleet::{MODEL, key_of};
+use sillpin_testsuite::fleet::{MODEL, api_key};
 use sillpin_testsuite::wait::until;
 use sillpin_testsuite::{Fleet, FleetShape};
 
@@ -21,7 +21,7 @@
 }
 
 async fn usage(fleet: &Fleet, number: usize) -> Usage {
-    let ask = Ask::new(&key_of("riders"), MODEL, prompt(number), 3);
+    let ask = Ask::new(&api_key("riders"), MODEL, prompt(number), 3);
     match call(&fleet.client, fleet.boxes[0].callers(), &ask).await {
         Got::Answered { usage, .. } => usage,
         got => panic!("{got:?}"),
--- a/tests/testsuite/bundles.rs
+++ b/tests/testsuite/bundles.rs
@@ -127,7 +127,7 @@
     for entry_box in &fleet.boxes[1..] {
         fleet.wait_revision(entry_box, accepted.revision).await;
     }
-    fleet.boxes[0].keeper.go_on();
+    fleet.boxes[0].keeper.resume();
     fleet.start_box("kariakoo-new", "kariakoo");
     for entry_box in &fleet.boxes {
         fleet.wait_revision(entry_box, accepted.revision).await;
@@ -157,7 +157,7 @@
 
 #[tokio::test]
 async fn an_entry_without_a_bundle_refuses_as_not_run() {
-    let fleet = Fleet::start_unready(FleetShape::default()).await;
+    let fleet = Fleet::start_without_bundle(FleetShape::default()).await;
     let got = fleet.ask(&fleet.boxes[0], "too early").await;
     assert_eq!(
         got.outcome(),
--- a/tests/testsuite/callers.rs
+++ b/tests/testsuite/callers.rs
@@ -5,7 +5,7 @@
 use sillpin_core::{Outcome, Problem};
 use sillpin_http::body::read_json;
 use sillpin_http::{Body, read_limited};
-use sillpin_testsuite::fleet::{SERVICE_POOL, key_of};
+use sillpin_testsuite::fleet::{SERVICE_POOL, api_key};
 use sillpin_testsuite::{Fleet, FleetShape};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -24,7 +24,7 @@
     Request::builder()
         .method(Method::POST)
         .uri(format!("http://{entry}{path}"))
-        .header("authorization", format!("Bearer {}", key_of("riders")))
+        .header("authorization", format!("Bearer {}", api_key("riders")))
         .body(Body::full(body))
         .unwrap()
 }
@@ -142,7 +142,7 @@
     let mut tcp = TcpStream::connect(fleet.boxes[0].callers()).await.unwrap();
     let head = format!(
         "POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {}\r\ncontent-length: 100\r\n\r\n{{",
-        key_of("riders")
+        api_key("riders")
     );
     tcp.write_all(head.as_bytes()).await.unwrap();
     let mut response = vec![0; 64];
--- a/tests/testsuite/drain.rs
+++ b/tests/testsuite/drain.rs
@@ -5,12 +5,12 @@
 use sillpin_load::caller::{Ask, call};
 use sillpin_standin::engine::EngineFaults;
 use sillpin_standin::platform::Faults;
-use sillpin_testsuite::fleet::{MODEL, key_of};
+use sillpin_testsuite::fleet::{MODEL, api_key};
 use sillpin_testsuite::wait::until;
 use sillpin_testsuite::{Fleet, FleetShape};
 
 fn ask(prompt: String, tokens: u32) -> Ask {
-    Ask::new(&key_of("riders"), MODEL, prompt, tokens)
+    Ask::new(&api_key("riders"), MODEL, prompt, tokens)
 }
 
 #[tokio::test]
--- a/tests/testsuite/membership.rs
+++ b/tests/testsuite/membership.rs
@@ -42,7 +42,7 @@
     })
     .await;
     assert!(frozen.elapsed() < REMOVAL_LIMIT, "{:?}", frozen.elapsed());
-    fleet.boxes[2].keeper.go_on();
+    fleet.boxes[2].keeper.resume();
     let resumed = Instant::now();
     until("the box to be in use", || {
         box_is(&fleet, 0, "kariakoo-2", true)
--- a/tests/testsuite/once.rs
+++ b/tests/testsuite/once.rs
@@ -7,7 +7,7 @@
 use sillpin_http::body::read_json;
 use sillpin_standin::platform::Faults;
 use sillpin_standin::service::ServiceFaults;
-use sillpin_testsuite::fleet::{EntryBox, SERVICE_POOL, key_of};
+use sillpin_testsuite::fleet::{EntryBox, SERVICE_POOL, api_key};
 use sillpin_testsuite::wait::until;
 use sillpin_testsuite::{Fleet, FleetShape};
 
@@ -35,7 +35,7 @@
     let req = Request::builder()
         .method(Method::POST)
         .uri(format!("http://{entry}/services/{SERVICE_POOL}/unlock"))
-        .header("authorization", format!("Bearer {}", key_of("riders")))
+        .header("authorization", format!("Bearer {}", api_key("riders")))
         .header("idempotency-key", key)
         .body(Body::full(body.to_owned()))
         .unwrap();
@@ -142,7 +142,7 @@
     };
     assert_eq!(first, None, "a frozen service cannot have answered");
     assert_eq!(again, CallResult::Refused(409, Outcome::Unknown));
-    fleet.target("service-0").process.go_on();
+    fleet.target("service-0").process.resume();
     assert_eq!(executions(&fleet, "k").await, 1);
 }
 
@@ -163,7 +163,7 @@
         let req = Request::builder()
             .method(Method::POST)
             .uri(format!("http://{entry}/services/{SERVICE_POOL}/unlock"))
-            .header("authorization", format!("Bearer {}", key_of("riders")))
+            .header("authorization", format!("Bearer {}", api_key("riders")))
             .header("idempotency-key", "k")
             .body(Body::full("unlock"))
             .unwrap();
@@ -191,7 +191,7 @@
     let reply = unlock(&fleet, &fleet.boxes[0], "k", "unlock").await;
     assert_eq!(reply, CallResult::Refused(503, Outcome::NotRun));
     assert_eq!(executions(&fleet, "k").await, 0);
-    fleet.boxes[0].keeper.go_on();
+    fleet.boxes[0].keeper.resume();
     until("the key to be free", || async {
         let reply = unlock(&fleet, &fleet.boxes[1], "k", "unlock").await;
         (reply == CallResult::Ran).then_some(())
--- a/tests/testsuite/operators.rs
+++ b/tests/testsuite/operators.rs
@@ -1,7 +1,7 @@
 //! Integration tests of the `sillpin` command line and of metrics, against a running fleet.
 
 use sillpin_load::caller::{Ask, Got, call};
-use sillpin_testsuite::fleet::{MODEL, key_of};
+use sillpin_testsuite::fleet::{MODEL, api_key};
 use sillpin_testsuite::process::program;
 use sillpin_testsuite::wait::until;
 use sillpin_testsuite::{Fleet, FleetShape};
@@ -19,7 +19,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_bundle_goes_from_new_to_in_force() {
-    let fleet = Fleet::start_unready(FleetShape::default()).await;
+    let fleet = Fleet::start_without_bundle(FleetShape::default()).await;
     let platform = fleet.platform.addr("platform").to_string();
     let peer = fleet.boxes[0].peer().to_string();
     let text = serde_json::to_string_pretty(&fleet.bundle("by-hand")).unwrap();
@@ -69,7 +69,7 @@
         ..FleetShape::default()
     })
     .await;
-    let ask = Ask::new(&key_of("riders"), MODEL, "Explain me. ".repeat(1_000), 3);
+    let ask = Ask::new(&api_key("riders"), MODEL, "Explain me. ".repeat(1_000), 3);
     let got = call(&fleet.client, fleet.boxes[0].callers(), &ask).await;
     let Got::Answered {
         request: Some(request),
--- a/tests/testsuite/outcomes.rs
+++ b/tests/testsuite/outcomes.rs
@@ -7,7 +7,7 @@
 use sillpin_http::body::read_json;
 use sillpin_standin::fault::Faults;
 use sillpin_standin::service::ServiceFaults;
-use sillpin_testsuite::fleet::{SERVICE_POOL, key_of};
+use sillpin_testsuite::fleet::{SERVICE_POOL, api_key};
 use sillpin_testsuite::{Fleet, FleetShape};
 
 /// Sends a call with an idempotency key; returns the outcome reported to the caller and the number of
@@ -17,7 +17,7 @@
     let req = Request::builder()
         .method(Method::POST)
         .uri(format!("http://{entry}/services/{SERVICE_POOL}/swap"))
-        .header("authorization", format!("Bearer {}", key_of("mechanics")))
+        .header("authorization", format!("Bearer {}", api_key("mechanics")))
         .header("idempotency-key", key)
         .body(Body::full("swap battery 12 at depot 3"))
         .unwrap();
--- a/tests/testsuite/path.rs
+++ b/tests/testsuite/path.rs
@@ -2,14 +2,14 @@
 
 use sillpin_core::Outcome;
 use sillpin_load::caller::{Ask, Got, call};
-use sillpin_testsuite::fleet::{MODEL, key_of};
+use sillpin_testsuite::fleet::{MODEL, api_key};
 use sillpin_testsuite::{Fleet, FleetShape};
 
 #[tokio::test]
 async fn a_response_streams_from_engine_to_caller() {
     let fleet = Fleet::start(FleetShape::default()).await;
     let prompt = "The rider says the battery swap failed. ".repeat(400);
-    let ask = Ask::new(&key_of("riders"), MODEL, prompt, 20);
+    let ask = Ask::new(&api_key("riders"), MODEL, prompt, 20);
     let got = call(&fleet.client, fleet.boxes[0].callers(), &ask).await;
     let Got::Answered { usage, request, .. } = got else {
         panic!("{got:?}");
@@ -24,7 +24,7 @@
     let fleet = Fleet::start(FleetShape::default()).await;
     let ask = Ask {
         stream: false,
-        ..Ask::new(&key_of("riders"), MODEL, "Is the fee paid?", 7)
+        ..Ask::new(&api_key("riders"), MODEL, "Is the fee paid?", 7)
     };
     let got = call(&fleet.client, fleet.boxes[0].callers(), &ask).await;
     assert!(got.is_answered(), "{got:?}");
--- a/tests/testsuite/src/fleet.rs
+++ b/tests/testsuite/src/fleet.rs
@@ -81,7 +81,7 @@
 impl Fleet {
     /// Starts a fleet with a default bundle and waits until each entry serves a request.
     pub async fn start(shape: FleetShape) -> Self {
-        let fleet = Self::start_unready(shape).await;
+        let fleet = Self::start_without_bundle(shape).await;
         fleet.accept(&fleet.bundle("first")).await;
         for entry_box in &fleet.boxes {
             fleet.wait_ready(entry_box).await;
@@ -90,7 +90,7 @@
     }
 
     /// Starts a fleet without an accepted bundle; its entries refuse requests.
-    pub async fn start_unready(shape: FleetShape) -> Self {
+    pub async fn start_without_bundle(shape: FleetShape) -> Self {
         let dir = tempfile::tempdir().expect("a temporary directory can be made");
         let standin = program("sillpin-standin");
         let platform = Process::start(
@@ -236,7 +236,7 @@
     async fn write_organisations(&self) {
         let orgs = self.shape.organisations.iter().map(|name| Organisation {
             id: name.parse().expect("organisation names are valid"),
-            key_hashes: vec![ops::organisation::hash_key(&key_of(name))],
+            key_hashes: vec![ops::organisation::hash_key(&api_key(name))],
         });
         let orgs: Vec<Organisation> = orgs.collect();
         for org in orgs {
@@ -350,13 +350,13 @@
 
     /// Sends a short request to a box and returns its result.
     pub async fn ask(&self, entry_box: &EntryBox, prompt: &str) -> Got {
-        let key = key_of(self.shape.organisations[0]);
+        let key = api_key(self.shape.organisations[0]);
         let ask = Ask::new(&key, MODEL, prompt, 4);
         caller::call(&self.client, entry_box.callers(), &ask).await
     }
 }
 
 /// Returns the API key of an organisation of the fleet.
-pub fn key_of(organisation: &str) -> String {
+pub fn api_key(organisation: &str) -> String {
     format!("key-{organisation}")
 }
--- a/tests/testsuite/src/process.rs
+++ b/tests/testsuite/src/process.rs
@@ -107,7 +107,7 @@
     }
 
     /// Continues its execution after [`Process::pause`].
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
--- a/tests/testsuite/versions.rs
+++ b/tests/testsuite/versions.rs
@@ -4,12 +4,12 @@
 use futures::future::join_all;
 use sillpin_load::caller::{Ask, Got, call};
 use sillpin_standin::weights::WeightCounters;
-use sillpin_testsuite::fleet::{MODEL, key_of};
+use sillpin_testsuite::fleet::{MODEL, api_key};
 use sillpin_testsuite::wait::until;
 use sillpin_testsuite::{Fleet, FleetShape};
 
 fn ask(prompt: &str, tokens: u32) -> Ask {
-    Ask::new(&key_of("riders"), MODEL, prompt, tokens)
+    Ask::new(&api_key("riders"), MODEL, prompt, tokens)
 }
 
 /// Returns the weight version of each engine; `None` while one is unknown.
--- a/xtask/src/ops/control.rs
+++ b/xtask/src/ops/control.rs
@@ -60,7 +60,7 @@
 
 /// Starts `count` keepers and measures them.
 pub async fn measure(count: usize) -> ControlCost {
-    let mut fleet = Fleet::start_unready(FleetShape {
+    let mut fleet = Fleet::start_without_bundle(FleetShape {
         zones: vec!["zone-a"],
         boxes: 0,
         engines: 6,
--- a/xtask/src/ops/demo.rs
+++ b/xtask/src/ops/demo.rs
@@ -7,7 +7,7 @@
 use sillpin_load::floor;
 use sillpin_load::report::{Report, sum_up};
 use sillpin_load::workload::{Corpus, Event, Kind, Plan, Trace};
-use sillpin_testsuite::fleet::{MODEL, SERVICE_POOL, key_of};
+use sillpin_testsuite::fleet::{MODEL, SERVICE_POOL, api_key};
 use sillpin_testsuite::wait::until;
 use sillpin_testsuite::{Fleet, FleetShape};
 use std::net::SocketAddr;
@@ -140,7 +140,7 @@
 
 /// How a workload reaches the fleet.
 pub fn drive_for(entries: watch::Receiver<Vec<SocketAddr>>) -> Drive {
-    let keys = ORGANISATIONS.map(|org| (org.to_owned(), key_of(org)));
+    let keys = ORGANISATIONS.map(|org| (org.to_owned(), api_key(org)));
     Drive {
         entries,
         keys: keys.into(),
@@ -158,7 +158,7 @@
         .filter(|t| t.entry.kind == TargetKind::Engine);
     let measurement = Measurement {
         entry: fleet.boxes[0].callers(),
-        key: key_of(ORGANISATIONS[0]),
+        key: api_key(ORGANISATIONS[0]),
         engines: engines.map(|t| t.entry.addr).collect(),
         rate: 200,
         calls: 1_000,
--- a/xtask/src/ops/faults/mod.rs
+++ b/xtask/src/ops/faults/mod.rs
@@ -279,7 +279,7 @@
     async fn heal(&mut self) {
         self.fleet.platform_faults(&PlatformFaults::default()).await;
         for entry_box in &self.fleet.boxes {
-            entry_box.keeper.go_on();
+            entry_box.keeper.resume();
         }
         let names: Vec<(String, TargetKind)> = self
             .fleet
@@ -288,7 +288,7 @@
             .map(|t| (t.entry.id.to_string(), t.entry.kind))
             .collect();
         for (name, kind) in names {
-            self.fleet.target(&name).process.go_on();
+            self.fleet.target(&name).process.resume();
             self.fleet.proxy_faults(&name, &LinkFaults::default()).await;
             match kind {
                 TargetKind::Engine => {
--- a/xtask/src/ops/streams.rs
+++ b/xtask/src/ops/streams.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 use sillpin_http::Client;
 use sillpin_load::caller::{Ask, call};
-use sillpin_testsuite::fleet::{MODEL, key_of};
+use sillpin_testsuite::fleet::{MODEL, api_key};
 use sillpin_testsuite::{Fleet, FleetShape};
 use std::time::Duration;
 use tokio::task::JoinSet;
@@ -73,7 +73,7 @@
             let ask = Ask {
                 timeout: Duration::from_secs(120),
                 ..Ask::new(
-                    &key_of("riders"),
+                    &api_key("riders"),
                     MODEL,
                     format!("{connection} {stream}"),
                     TOKENS,
@@ -149,7 +149,7 @@
         tasks.spawn(async move {
             for number in 0..REQUESTS / AT_ONCE {
                 let prompt = format!("{worker} {number}");
-                let ask = Ask::new(&key_of("riders"), MODEL, prompt, tokens);
+                let ask = Ask::new(&api_key("riders"), MODEL, prompt, tokens);
                 call(&client, callers, &ask).await;
             }
         });
