--- a/crates/sillpin-bundle/src/bundle.rs
+++ b/crates/sillpin-bundle/src/bundle.rs
@@ -74,7 +74,7 @@
 /// A validation error of a bundle.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error, Serialize, Deserialize)]
 #[display("{field}: {what}")]
-pub struct BundleFault {
+pub struct BundleError {
     /// Path of the invalid field.
     pub field: String,
     /// Description of the error and of the accepted values.
@@ -83,32 +83,32 @@
 
 impl Bundle {
     /// Parses a bundle from JSON. Fails if the text is longer than [`MAX_BUNDLE_LEN`] or not a bundle.
-    pub fn from_json(text: &str) -> Result<Self, BundleFault> {
-        let fault = |what: String| BundleFault {
+    pub fn from_json(text: &str) -> Result<Self, BundleError> {
+        let error = |what: String| BundleError {
             field: "bundle".to_owned(),
             what,
         };
         if text.len() > MAX_BUNDLE_LEN {
-            return Err(fault(format!("longer than {MAX_BUNDLE_LEN} bytes")));
+            return Err(error(format!("longer than {MAX_BUNDLE_LEN} bytes")));
         }
-        serde_json::from_str(text).map_err(|e| fault(e.to_string()))
+        serde_json::from_str(text).map_err(|e| error(e.to_string()))
     }
 
     /// Validates the bundle and returns all errors; an empty list means that it may be signed.
-    pub fn check(&self) -> Vec<BundleFault> {
-        let mut faults = Faults::default();
-        faults.require(!self.name.is_empty(), "name", "must not be empty");
-        check_policy(&self.control, "control", &mut faults);
-        self.check_arms(&mut faults);
-        self.check_pools(&mut faults);
-        faults.0
+    pub fn check(&self) -> Vec<BundleError> {
+        let mut errors = ValidationErrors::default();
+        errors.require(!self.name.is_empty(), "name", "must not be empty");
+        check_policy(&self.control, "control", &mut errors);
+        self.check_arms(&mut errors);
+        self.check_pools(&mut errors);
+        errors.0
     }
 
-    fn check_arms(&self, faults: &mut Faults) {
+    fn check_arms(&self, errors: &mut ValidationErrors) {
         let shares = self.arms.iter().map(|arm| u32::from(arm.share.units()));
         let all_units = u32::from(Share::WHOLE_UNITS);
         let total: u32 = shares.sum();
-        faults.require(
+        errors.require(
             total < all_units,
             "arms",
             "shares must leave some for the control arm",
@@ -117,22 +117,22 @@
         for arm in &self.arms {
             let field = format!("arms.{}", arm.name);
             let is_valid = names.insert(&arm.name) && arm.name.as_str() != CONTROL_ARM;
-            faults.require(is_valid, &field, "name is used twice or is `control`");
-            faults.require(!arm.zones.is_empty(), &field, "zones must not be empty");
-            check_policy(&arm.policy, &field, faults);
+            errors.require(is_valid, &field, "name is used twice or is `control`");
+            errors.require(!arm.zones.is_empty(), &field, "zones must not be empty");
+            check_policy(&arm.policy, &field, errors);
         }
     }
 
-    fn check_pools(&self, faults: &mut Faults) {
+    fn check_pools(&self, errors: &mut ValidationErrors) {
         for (id, pool) in &self.pools {
             let field = format!("pools.{id}");
             let is_engine = pool.kind == TargetKind::Engine;
-            faults.require(
+            errors.require(
                 pool.model.is_some() == is_engine,
                 &field,
                 "model must be given for engines, and only for them",
             );
-            faults.require(
+            errors.require(
                 pool.version.is_none() || is_engine,
                 &field,
                 "version is for engines only",
@@ -170,13 +170,13 @@
 
 /// Collects the validation errors of a bundle.
 #[derive(Default)]
-struct Faults(Vec<BundleFault>);
+struct ValidationErrors(Vec<BundleError>);
 
-impl Faults {
+impl ValidationErrors {
     /// Adds an error for `field` unless `holds`.
     fn require(&mut self, holds: bool, field: &str, what: &str) {
         if !holds {
-            self.0.push(BundleFault {
+            self.0.push(BundleError {
                 field: field.to_owned(),
                 what: what.to_owned(),
             });
@@ -184,47 +184,47 @@
     }
 }
 
-fn check_policy(policy: &PolicySet, at: &str, faults: &mut Faults) {
+fn check_policy(policy: &PolicySet, at: &str, errors: &mut ValidationErrors) {
     let placement = &policy.placement;
     let candidates = placement.homes.saturating_add(placement.samples);
     let field = |name: &str| format!("{at}.{name}");
-    faults.require(
+    errors.require(
         (1..=MAX_CANDIDATES).contains(&candidates),
         &field("placement"),
         "homes and samples together must be from 1 to 32",
     );
-    faults.require(
+    errors.require(
         placement.home_blocks > 0,
         &field("placement.home_blocks"),
         "must be at least 1",
     );
-    faults.require(
+    errors.require(
         placement.first_token_weight > 0,
         &field("placement.first_token_weight"),
         "must be at least 1, or a busy engine looks as good as an idle one",
     );
-    check_limits(policy, at, faults);
+    check_limits(policy, at, errors);
 }
 
-fn check_limits(policy: &PolicySet, at: &str, faults: &mut Faults) {
+fn check_limits(policy: &PolicySet, at: &str, errors: &mut ValidationErrors) {
     let field = |name: &str| format!("{at}.{name}");
-    faults.require(
+    errors.require(
         (1..=MAX_ATTEMPTS).contains(&policy.limits.max_attempts),
         &field("limits.max_attempts"),
         "must be from 1 to 8",
     );
-    faults.require(
+    errors.require(
         policy.limits.retry_percent <= 100,
         &field("limits.retry_percent"),
         "must be at most 100",
     );
-    faults.require(
+    errors.require(
         (10..=60_000).contains(&policy.limits.engine_queue_ms),
         &field("limits.engine_queue_ms"),
         "must be from 10 to 60000",
     );
     let deadlines = policy.priorities.first_token_deadline_ms.values();
-    faults.require(
+    errors.require(
         deadlines.into_iter().all(|ms| (100..=600_000).contains(ms)),
         &field("priorities.first_token_deadline_ms"),
         "must be from 100 to 600000",
--- a/crates/sillpin-bundle/src/lib.rs
+++ b/crates/sillpin-bundle/src/lib.rs
@@ -10,5 +10,5 @@
 pub mod bundle;
 pub mod signed;
 
-pub use bundle::{Arm, Bundle, BundleFault, PoolPolicy};
+pub use bundle::{Arm, Bundle, BundleError, PoolPolicy};
 pub use signed::{Accepted, Digest, SignError, SignedBundle, SignerKey, TrustedKey, revision_key};
--- a/crates/sillpin-bundle/src/signed.rs
+++ b/crates/sillpin-bundle/src/signed.rs
@@ -1,6 +1,6 @@
 //! Digest and signature of a bundle, and the record of an accepted revision.
 
-use crate::bundle::{Bundle, BundleFault};
+use crate::bundle::{Bundle, BundleError};
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD as BASE64;
 use derive_more::{Display, Error, From};
@@ -58,7 +58,7 @@
     Digest,
     /// The text is not a valid bundle.
     #[display("{_0}")]
-    Bundle(BundleFault),
+    Bundle(BundleError),
 }
 
 /// An operator's private key.
@@ -127,8 +127,8 @@
     /// Signs a bundle. Fails with the first error if the bundle is not valid.
     pub fn sign(text: &str, key: &SignerKey) -> Result<Self, SignError> {
         let bundle = Bundle::from_json(text)?;
-        if let Some(fault) = bundle.check().into_iter().next() {
-            return Err(fault.into());
+        if let Some(error) = bundle.check().into_iter().next() {
+            return Err(error.into());
         }
         Ok(Self {
             text: text.to_owned(),
--- a/crates/sillpin-bundle/tests/bundle.rs
+++ b/crates/sillpin-bundle/tests/bundle.rs
@@ -44,9 +44,9 @@
     let mut bundle: Bundle = serde_json::from_str(&bundle_text()).unwrap();
     bundle.control.limits.max_attempts = 0;
     bundle.control.placement.first_token_weight = 0;
-    let faults: Vec<String> = bundle.check().iter().map(ToString::to_string).collect();
+    let errors: Vec<String> = bundle.check().iter().map(ToString::to_string).collect();
     assert_eq!(
-        faults,
+        errors,
         [
             "control.placement.first_token_weight: must be at least 1, or a busy engine looks as \
              good as an idle one",
@@ -58,9 +58,9 @@
 #[test]
 fn unknown_fields_are_refused() {
     let text = bundle_text().replace("\"name\"", "\"nmae\"");
-    let fault = Bundle::from_json(&text).unwrap_err();
+    let error = Bundle::from_json(&text).unwrap_err();
     assert!(
-        fault.to_string().contains("unknown field `nmae`"),
-        "{fault}"
+        error.to_string().contains("unknown field `nmae`"),
+        "{error}"
     );
 }
--- a/crates/sillpin-cli/src/ops/bundle.rs
+++ b/crates/sillpin-cli/src/ops/bundle.rs
@@ -32,11 +32,11 @@
         CliError::new(ExitStatus::Refused, format!("the bundle is refused: {e}"))
     };
     let bundle = Bundle::from_json(text).map_err(|e| refused(&e))?;
-    let faults = bundle.check();
-    if faults.is_empty() {
+    let errors = bundle.check();
+    if errors.is_empty() {
         return Ok(bundle);
     }
-    let lines: Vec<String> = faults.iter().map(|f| format!("\n  {f}")).collect();
+    let lines: Vec<String> = errors.iter().map(|f| format!("\n  {f}")).collect();
     Err(refused(&lines.concat()))
 }
 
