--- a/crates/sillpin-cli/src/commands/compare.rs
+++ b/crates/sillpin-cli/src/commands/compare.rs
@@ -64,7 +64,7 @@
 
 fn line(name: &str, compared: &Compared) -> String {
     let Compared { a, b, low, high } = compared;
-    let verdict = if compared.is_shown() {
+    let verdict = if compared.is_significant() {
         format!("difference {low:.3} to {high:.3}")
     } else {
         format!("no difference shown ({low:.3} to {high:.3})")
--- a/crates/sillpin-cli/src/commands/status.rs
+++ b/crates/sillpin-cli/src/commands/status.rs
@@ -68,14 +68,14 @@
         |load| format!("running {} waiting {}", load.running, load.waiting),
     );
     let reachable = target.state.as_ref().is_none_or(|state| state.reachable);
-    let reach = if reachable {
+    let reachability = if reachable {
         "in reach"
     } else {
         "out of reach"
     };
     let leaving = if target.leaving { " leaving" } else { "" };
     format!(
-        "  {} {} {} {} {} {load} {reach}{leaving}\n",
+        "  {} {} {} {} {} {load} {reachability}{leaving}\n",
         entry.id, entry.kind, entry.pool, entry.zone, entry.addr
     )
 }
--- a/crates/sillpin-cli/src/ops/compare.rs
+++ b/crates/sillpin-cli/src/ops/compare.rs
@@ -42,7 +42,7 @@
 
 impl Compared {
     /// Returns whether the difference is significant: the interval does not contain zero.
-    pub fn is_shown(&self) -> bool {
+    pub fn is_significant(&self) -> bool {
         self.low > 0.0 || self.high < 0.0
     }
 }
@@ -129,7 +129,7 @@
         quantile(&self.first_tokens, share)
     }
 
-    /// The same of as many samples drawn anew from these.
+    /// Returns the same quantile of a bootstrap resample: as many samples, drawn with replacement.
     fn resampled(&self, rng: &mut SmallRng, share: f64) -> f64 {
         let mut ends = Vec::with_capacity(self.first_tokens.len());
         let mut total = 0;
@@ -151,10 +151,10 @@
 fn quantile(counts: &BTreeMap<u64, u64>, share: f64) -> f64 {
     let total: u64 = counts.values().sum();
     let rank = ((total as f64 * share).ceil() as u64).max(1);
-    let mut seen = 0;
+    let mut cumulative = 0;
     for (micros, count) in counts {
-        seen += count;
-        if seen >= rank {
+        cumulative += count;
+        if cumulative >= rank {
             return *micros as f64 / 1_000.0;
         }
     }
@@ -200,13 +200,13 @@
     a: &ArmName,
     b: &ArmName,
 ) -> ZoneComparison {
-    let of = |arm: &ArmName| {
+    let sums_of = |arm: &ArmName| {
         let here = figures
             .iter()
             .filter(|f| zone.as_ref().is_none_or(|zone| f.zone == *zone));
         Sums::of(here.filter(|f| f.arm == *arm))
     };
-    let (a, b) = (of(a), of(b));
+    let (a, b) = (sums_of(a), sums_of(b));
     ZoneComparison {
         samples: (a.samples(), b.samples()),
         failed: (a.failed, b.failed),
@@ -263,8 +263,8 @@
     b: &ArmName,
     svg: &mut String,
 ) -> Result<(), Box<dyn std::error::Error>> {
-    let of = |arm: &ArmName| Sums::of(figures.iter().filter(|f| f.arm == *arm));
-    let sides = [(a, of(a)), (b, of(b))];
+    let sums_of = |arm: &ArmName| Sums::of(figures.iter().filter(|f| f.arm == *arm));
+    let sides = [(a, sums_of(a)), (b, sums_of(b))];
     let longest = sides
         .iter()
         .map(|(_, sums)| sums.quantile(0.99))
--- a/crates/sillpin-cli/tests/compare.rs
+++ b/crates/sillpin-cli/tests/compare.rs
@@ -35,9 +35,9 @@
     let compared = compare(&both, Revision(2), &both[0].arm, &both[1].arm).unwrap();
     let overall = &compared.zones[0];
     assert_eq!(overall.samples, (200, 200));
-    assert!(!overall.first_token_p50_ms.is_shown(), "{overall:?}");
-    assert!(!overall.first_token_p95_ms.is_shown(), "{overall:?}");
-    assert!(!overall.recomputed_share.is_shown(), "{overall:?}");
+    assert!(!overall.first_token_p50_ms.is_significant(), "{overall:?}");
+    assert!(!overall.first_token_p95_ms.is_significant(), "{overall:?}");
+    assert!(!overall.recomputed_share.is_significant(), "{overall:?}");
 }
 
 #[test]
@@ -50,7 +50,7 @@
     let overall = &compared.zones[0];
     assert!(overall.first_token_p95_ms.low > 0.0, "{overall:?}");
     assert!(overall.recomputed_share.low > 0.15, "{overall:?}");
-    assert!(!overall.link_bytes.is_shown(), "{overall:?}");
+    assert!(!overall.link_bytes.is_significant(), "{overall:?}");
 }
 
 #[test]
