--- a/crates/sillpin-load/src/caller.rs
+++ b/crates/sillpin-load/src/caller.rs
@@ -16,7 +16,7 @@
 
 /// What is asked.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct CompletionRequest {
     /// Key of the organisation.
     pub key: String,
     /// Model.
@@ -35,7 +35,7 @@
     pub timeout: Duration,
 }
 
-impl Ask {
+impl CompletionRequest {
     /// A streamed request with usual values.
     pub fn new(key: &str, model: &str, prompt: impl Into<String>, max_tokens: u32) -> Self {
         Self {
@@ -75,7 +75,7 @@
 
 /// What came back.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Got {
+pub enum CallResult {
     /// The whole answer, and it is the right one.
     Answered {
         /// Time to first token.
@@ -100,19 +100,19 @@
     Mixed(String),
 }
 
-impl Got {
+impl CallResult {
     /// What was said about the request; `None` if nothing was.
     pub fn outcome(&self) -> Option<Outcome> {
         match self {
-            Got::Answered { .. } => Some(Outcome::Ran),
-            Got::Refused { problem, .. } => Some(problem.outcome),
-            Got::Lost(_) | Got::Mixed(_) => None,
+            CallResult::Answered { .. } => Some(Outcome::Ran),
+            CallResult::Refused { problem, .. } => Some(problem.outcome),
+            CallResult::Lost(_) | CallResult::Mixed(_) => None,
         }
     }
 
     /// Whether the whole answer came.
     pub fn is_answered(&self) -> bool {
-        matches!(self, Got::Answered { .. })
+        matches!(self, CallResult::Answered { .. })
     }
 }
 
@@ -129,16 +129,16 @@
 }
 
 /// Sends a request to an entry and checks the answer.
-pub async fn call(client: &Client, entry: SocketAddr, ask: &Ask) -> Got {
+pub async fn call(client: &Client, entry: SocketAddr, ask: &CompletionRequest) -> CallResult {
     let begun = Instant::now();
     let work = send(client, entry, ask, begun);
     match tokio::time::timeout(ask.timeout, work).await {
         Ok(got) => got,
-        Err(_) => Got::Lost(format!("no whole answer within {:?}", ask.timeout)),
+        Err(_) => CallResult::Lost(format!("no whole answer within {:?}", ask.timeout)),
     }
 }
 
-fn request(entry: SocketAddr, ask: &Ask) -> Option<Request<Body>> {
+fn request(entry: SocketAddr, ask: &CompletionRequest) -> Option<Request<Body>> {
     let document = serde_json::json!({
         "model": ask.model,
         "prompt": ask.prompt,
@@ -156,13 +156,18 @@
     builder.body(Body::full(document.to_string())).ok()
 }
 
-async fn send(client: &Client, entry: SocketAddr, ask: &Ask, begun: Instant) -> Got {
+async fn send(
+    client: &Client,
+    entry: SocketAddr,
+    ask: &CompletionRequest,
+    begun: Instant,
+) -> CallResult {
     let Some(req) = request(entry, ask) else {
-        return Got::Lost("the request could not be built".to_owned());
+        return CallResult::Lost("the request could not be built".to_owned());
     };
     let resp = match client.send("call an entry", entry, req).await {
         Ok(resp) => resp,
-        Err(e) => return Got::Lost(e.to_string()),
+        Err(e) => return CallResult::Lost(e.to_string()),
     };
     if resp.status() != StatusCode::OK {
         return refused(resp, begun).await;
@@ -178,33 +183,33 @@
     whole(resp, ask, expected, begun, id).await
 }
 
-async fn refused(resp: Response<Incoming>, begun: Instant) -> Got {
+async fn refused(resp: Response<Incoming>, begun: Instant) -> CallResult {
     let status = resp.status();
     match read_json::<Problem, _>(resp.into_body(), MAX_ANSWER_LEN).await {
-        Ok(problem) => Got::Refused {
+        Ok(problem) => CallResult::Refused {
             problem,
             after: begun.elapsed(),
         },
-        Err(e) => Got::Lost(format!("status {status} without a problem document: {e}")),
+        Err(e) => CallResult::Lost(format!("status {status} without a problem document: {e}")),
     }
 }
 
 async fn whole(
     resp: Response<Incoming>,
-    ask: &Ask,
+    ask: &CompletionRequest,
     expected: ExpectedAnswer,
     begun: Instant,
     request: Option<RequestId>,
-) -> Got {
+) -> CallResult {
     let document: Document = match read_json(resp.into_body(), MAX_ANSWER_LEN).await {
         Ok(document) => document,
-        Err(e) => return Got::Lost(e.to_string()),
+        Err(e) => return CallResult::Lost(e.to_string()),
     };
     let [choice] = document.choices;
     if choice.text != expected.text(ask.max_tokens) {
-        return Got::Mixed(choice.text);
+        return CallResult::Mixed(choice.text);
     }
-    Got::Answered {
+    CallResult::Answered {
         first_token: begun.elapsed(),
         whole: begun.elapsed(),
         usage: document.usage.unwrap_or_default(),
@@ -214,11 +219,11 @@
 
 async fn streamed(
     resp: Response<Incoming>,
-    ask: &Ask,
+    ask: &CompletionRequest,
     expected: ExpectedAnswer,
     begun: Instant,
     request: Option<RequestId>,
-) -> Got {
+) -> CallResult {
     let mut lines = Lines::new(resp.into_body());
     let mut first_token = None;
     let mut usage = None;
@@ -227,8 +232,8 @@
     loop {
         let line = match lines.next().await {
             Ok(Some(line)) => line,
-            Ok(None) => return Got::Lost(format!("no end mark after {tokens} tokens")),
-            Err(e) => return Got::Lost(format!("{e} after {tokens} tokens")),
+            Ok(None) => return CallResult::Lost(format!("no end mark after {tokens} tokens")),
+            Err(e) => return CallResult::Lost(format!("{e} after {tokens} tokens")),
         };
         let line = String::from_utf8_lossy(&line).into_owned();
         if line == "event: error" {
@@ -240,11 +245,11 @@
         };
         if failing {
             return match serde_json::from_str(data) {
-                Ok(problem) => Got::Refused {
+                Ok(problem) => CallResult::Refused {
                     problem,
                     after: begun.elapsed(),
                 },
-                Err(e) => Got::Lost(format!("unreadable problem: {e}")),
+                Err(e) => CallResult::Lost(format!("unreadable problem: {e}")),
             };
         }
         if data == "[DONE]" {
@@ -252,7 +257,7 @@
         }
         let document: Document = match serde_json::from_str(data) {
             Ok(document) => document,
-            Err(e) => return Got::Lost(format!("unreadable event: {e}")),
+            Err(e) => return CallResult::Lost(format!("unreadable event: {e}")),
         };
         let [choice] = document.choices;
         usage = usage.or(document.usage);
@@ -260,19 +265,19 @@
             continue;
         }
         if choice.text != expected.token(tokens) {
-            return Got::Mixed(format!("token {tokens} is {:?}", choice.text));
+            return CallResult::Mixed(format!("token {tokens} is {:?}", choice.text));
         }
         first_token.get_or_insert_with(|| begun.elapsed());
         tokens += 1;
     }
     let counted = usage.unwrap_or_default().completion_tokens;
     if tokens != ask.max_tokens || counted != tokens {
-        return Got::Lost(format!(
+        return CallResult::Lost(format!(
             "{tokens} of {} tokens, {counted} counted",
             ask.max_tokens
         ));
     }
-    Got::Answered {
+    CallResult::Answered {
         first_token: first_token.unwrap_or_else(|| begun.elapsed()),
         whole: begun.elapsed(),
         usage: usage.unwrap_or_default(),
--- a/crates/sillpin-load/src/drive.rs
+++ b/crates/sillpin-load/src/drive.rs
@@ -1,6 +1,6 @@
 //! Sends a workload, open loop: each request at its time, whatever became of those before it.
 
-use crate::caller::{Ask, Got, call};
+use crate::caller::{CallResult, CompletionRequest, call};
 use crate::workload::{Action, Corpus, Event, Trace};
 use hyper::{Method, Request, StatusCode, header};
 use sillpin_core::{Outcome, PriorityClass, Problem};
@@ -49,7 +49,7 @@
     /// Times that it was sent again after a broken connection.
     pub resends: u32,
     /// What came back in the end.
-    pub got: Got,
+    pub got: CallResult,
 }
 
 /// Sends a trace and gathers what became of each request, in no particular order. `progress` is
@@ -120,20 +120,20 @@
         }
     }
 
-    fn sends_again(&self, got: &Got) -> bool {
+    fn sends_again(&self, got: &CallResult) -> bool {
         let once = matches!(self.event.action, Action::Once { .. });
         let unknown = got.outcome() == Some(Outcome::Unknown);
-        matches!(got, Got::Lost(_)) || (once && unknown && self.drive.resend_unknown)
+        matches!(got, CallResult::Lost(_)) || (once && unknown && self.drive.resend_unknown)
     }
 
-    async fn send(&self, resends: u32) -> Got {
+    async fn send(&self, resends: u32) -> CallResult {
         let entry = self.entry(resends);
         match &self.event.action {
             Action::Complete { prompt, tokens } => {
-                let ask = Ask {
+                let ask = CompletionRequest {
                     class: self.event.class,
                     timeout: self.drive.timeout,
-                    ..Ask::new(
+                    ..CompletionRequest::new(
                         self.key(),
                         &self.drive.model,
                         self.corpus.text(prompt),
@@ -157,7 +157,7 @@
     }
 
     /// Calls a plain service that echoes the body.
-    async fn once(&self, entry: SocketAddr, key: &str, body: &str) -> Got {
+    async fn once(&self, entry: SocketAddr, key: &str, body: &str) -> CallResult {
         let begun = Instant::now();
         let req = Request::builder()
             .method(Method::POST)
@@ -169,30 +169,30 @@
             .header("idempotency-key", key)
             .body(Body::full(body.to_owned()));
         let Ok(req) = req else {
-            return Got::Lost("the request could not be built".to_owned());
+            return CallResult::Lost("the request could not be built".to_owned());
         };
         let sent = self.client.send("call a service", entry, req);
         let resp = match tokio::time::timeout(self.drive.timeout, sent).await {
             Ok(Ok(resp)) => resp,
-            Ok(Err(e)) => return Got::Lost(e.to_string()),
-            Err(_) => return Got::Lost("no answer in time".to_owned()),
+            Ok(Err(e)) => return CallResult::Lost(e.to_string()),
+            Err(_) => return CallResult::Lost("no answer in time".to_owned()),
         };
         let after = begun.elapsed();
         if resp.status() != StatusCode::OK {
             return match read_json::<Problem, _>(resp.into_body(), 1 << 16).await {
-                Ok(problem) => Got::Refused { problem, after },
-                Err(e) => Got::Lost(e.to_string()),
+                Ok(problem) => CallResult::Refused { problem, after },
+                Err(e) => CallResult::Lost(e.to_string()),
             };
         }
         match sillpin_http::read_limited(resp.into_body(), 1 << 20).await {
-            Ok(echo) if echo == body => Got::Answered {
+            Ok(echo) if echo == body => CallResult::Answered {
                 first_token: after,
                 whole: begun.elapsed(),
                 usage: Default::default(),
                 request: None,
             },
-            Ok(_) => Got::Mixed("another call's answer".to_owned()),
-            Err(e) => Got::Lost(e.to_string()),
+            Ok(_) => CallResult::Mixed("another call's answer".to_owned()),
+            Err(e) => CallResult::Lost(e.to_string()),
         }
     }
 }
--- a/crates/sillpin-load/src/report.rs
+++ b/crates/sillpin-load/src/report.rs
@@ -1,6 +1,6 @@
 //! What came of a workload: counted at the load side and, for executions, at the stand-ins.
 
-use crate::caller::Got;
+use crate::caller::CallResult;
 use crate::drive::Row;
 use crate::floor::Floor;
 use hdrhistogram::Histogram;
@@ -49,7 +49,7 @@
 pub fn first_tokens<'a>(rows: impl IntoIterator<Item = &'a Row>) -> Histogram<u64> {
     let mut histogram = micros();
     for row in rows {
-        if let Got::Answered { first_token, .. } = &row.got {
+        if let CallResult::Answered { first_token, .. } = &row.got {
             histogram.saturating_record(first_token.as_micros() as u64);
         }
     }
@@ -60,7 +60,7 @@
 pub fn refusals<'a>(rows: impl IntoIterator<Item = &'a Row>) -> Histogram<u64> {
     let mut histogram = micros();
     for row in rows {
-        if let Got::Refused { after, .. } = &row.got {
+        if let CallResult::Refused { after, .. } = &row.got {
             histogram.saturating_record(after.as_micros() as u64);
         }
     }
@@ -97,19 +97,19 @@
     let (mut tokens, mut reused) = (0, 0);
     for row in rows {
         match &row.got {
-            Got::Answered { usage, .. } => {
+            CallResult::Answered { usage, .. } => {
                 let details = usage.prompt_tokens_details;
                 report.answered += 1;
                 report.link_bytes += details.imported_bytes;
                 tokens += usage.prompt_tokens;
                 reused += details.cached_tokens + details.imported_tokens;
             }
-            Got::Refused { problem, .. } if problem.outcome == Outcome::NotRun => {
+            CallResult::Refused { problem, .. } if problem.outcome == Outcome::NotRun => {
                 report.refused_not_run += 1;
             }
-            Got::Refused { .. } => report.unknown += 1,
-            Got::Lost(_) => report.lost += 1,
-            Got::Mixed(_) => report.mixed += 1,
+            CallResult::Refused { .. } => report.unknown += 1,
+            CallResult::Lost(_) => report.lost += 1,
+            CallResult::Mixed(_) => report.mixed += 1,
         }
     }
     report.recomputed_share = tokens.saturating_sub(reused) as f64 / tokens.max(1) as f64;
--- a/crates/sillpin-load/tests/load.rs
+++ b/crates/sillpin-load/tests/load.rs
@@ -1,6 +1,6 @@
 //! Workloads are replayable, and the floor is the floor.
 
-use sillpin_load::caller::Got;
+use sillpin_load::caller::CallResult;
 use sillpin_load::drive::Row;
 use sillpin_load::floor;
 use sillpin_load::report::{Line, first_tokens, plot, sum_up};
@@ -46,7 +46,7 @@
     assert_eq!(shares[0], 1.0);
 }
 
-fn row(got: Got, once_key: Option<&str>) -> Row {
+fn row(got: CallResult, once_key: Option<&str>) -> Row {
     Row {
         at: Duration::ZERO,
         class: Default::default(),
@@ -59,7 +59,7 @@
 
 #[test]
 fn doubles_are_counted_from_the_services_side() {
-    let rows = [row(Got::Lost("gone".to_owned()), Some("k"))];
+    let rows = [row(CallResult::Lost("gone".to_owned()), Some("k"))];
     let twice = BTreeMap::from([("k".to_owned(), 2)]);
     let report = sum_up(&rows, None, &twice);
     assert_eq!((report.lost, report.doubled), (1, 1));
@@ -67,7 +67,7 @@
 
 #[test]
 fn a_plot_is_an_svg_document() {
-    let answered = Got::Answered {
+    let answered = CallResult::Answered {
         first_token: Duration::from_millis(20),
         whole: Duration::from_millis(30),
         usage: Default::default(),
--- a/crates/sillpin-standin/src/fault.rs
+++ b/crates/sillpin-standin/src/fault.rs
@@ -98,7 +98,7 @@
     }
 
     /// A proxy before `target` whose answers go over `link`.
-    pub fn over(target: SocketAddr, link: Link) -> Self {
+    pub fn with_link(target: SocketAddr, link: Link) -> Self {
         Self {
             link: Some(link),
             ..Self::new(target)
--- a/tests/testsuite/answers.rs
+++ b/tests/testsuite/answers.rs
@@ -3,15 +3,15 @@
 use futures::future::join_all;
 use rstest::rstest;
 use sillpin_core::Outcome;
-use sillpin_load::caller::{Ask, Got, call};
+use sillpin_load::caller::{CallResult, CompletionRequest, call};
 use sillpin_standin::engine::EngineFaults;
 use sillpin_standin::fault::Faults;
 use sillpin_testsuite::fleet::{MODEL, key_of};
 use sillpin_testsuite::wait::until;
 use sillpin_testsuite::{Fleet, FleetShape};
 
-fn ask(prompt: &str, tokens: u32) -> Ask {
-    Ask::new(&key_of("riders"), MODEL, prompt, tokens)
+fn ask(prompt: &str, tokens: u32) -> CompletionRequest {
+    CompletionRequest::new(&key_of("riders"), MODEL, prompt, tokens)
 }
 
 /// A fault of one of two engines: callers still get whole answers, by resumption or from the other.
@@ -25,7 +25,7 @@
 async fn a_faulty_engine_costs_no_answer(#[case] faults: EngineFaults) {
     let fleet = Fleet::start(FleetShape::default()).await;
     fleet.target_faults("engine-kariakoo-0", &faults).await;
-    let asks: Vec<Ask> = (0..12).map(|i| ask(&format!("prompt {i}"), 12)).collect();
+    let asks: Vec<CompletionRequest> = (0..12).map(|i| ask(&format!("prompt {i}"), 12)).collect();
     let entry = fleet.boxes[0].callers();
     let calls = asks.iter().map(|ask| call(&fleet.client, entry, ask));
     for got in join_all(calls).await {
@@ -55,9 +55,11 @@
     }
     let got = call(&fleet.client, fleet.boxes[0].callers(), &ask("break", 40)).await;
     match &got {
-        Got::Answered { .. } => {}
-        Got::Refused { problem, .. } => assert!(allowed.contains(&problem.outcome), "{got:?}"),
-        Got::Lost(_) | Got::Mixed(_) => panic!("{got:?}"),
+        CallResult::Answered { .. } => {}
+        CallResult::Refused { problem, .. } => {
+            assert!(allowed.contains(&problem.outcome), "{got:?}")
+        }
+        CallResult::Lost(_) | CallResult::Mixed(_) => panic!("{got:?}"),
     }
 }
 
@@ -129,7 +131,7 @@
     })
     .await;
     fleet.target("engine-kariakoo-0").process.pause();
-    let asks: Vec<Ask> = (0..6).map(|i| ask(&format!("frozen {i}"), 12)).collect();
+    let asks: Vec<CompletionRequest> = (0..6).map(|i| ask(&format!("frozen {i}"), 12)).collect();
     let entry = fleet.boxes[0].callers();
     let calls = asks.iter().map(|ask| call(&fleet.client, entry, ask));
     for got in join_all(calls).await {
--- a/tests/testsuite/arms.rs
+++ b/tests/testsuite/arms.rs
@@ -4,7 +4,7 @@
 use sillpin_bundle::{Arm, Bundle};
 use sillpin_core::Share;
 use sillpin_core::block::BLOCK_BYTES;
-use sillpin_load::caller::{Ask, call};
+use sillpin_load::caller::{CompletionRequest, call};
 use sillpin_policy::set::PlacementKind;
 use sillpin_testsuite::fleet::{MODEL, key_of};
 use sillpin_testsuite::process::program;
@@ -39,9 +39,9 @@
 }
 
 async fn ask_many(fleet: &Fleet, from: usize, count: usize) {
-    let asks: Vec<Ask> = (from..from + count)
+    let asks: Vec<CompletionRequest> = (from..from + count)
         .map(|i| {
-            Ask::new(
+            CompletionRequest::new(
                 &key_of("riders"),
                 MODEL,
                 format!("{}{i}", "x".repeat(BLOCK_BYTES)),
--- a/tests/testsuite/blocks.rs
+++ b/tests/testsuite/blocks.rs
@@ -1,6 +1,6 @@
 //! No freed or partly written block is served; kept blocks save computing.
 
-use sillpin_load::caller::{Ask, Got, Usage, call};
+use sillpin_load::caller::{CallResult, CompletionRequest, Usage, call};
 use sillpin_standin::store::{StoreCounters, StoreFaults};
 use sillpin_testsuite::fleet::{MODEL, key_of};
 use sillpin_testsuite::wait::until;
@@ -20,9 +20,9 @@
 }
 
 async fn usage(fleet: &Fleet, number: usize) -> Usage {
-    let ask = Ask::new(&key_of("riders"), MODEL, prompt(number), 3);
+    let ask = CompletionRequest::new(&key_of("riders"), MODEL, prompt(number), 3);
     match call(&fleet.client, fleet.boxes[0].callers(), &ask).await {
-        Got::Answered { usage, .. } => usage,
+        CallResult::Answered { usage, .. } => usage,
         got => panic!("{got:?}"),
     }
 }
--- a/tests/testsuite/drain.rs
+++ b/tests/testsuite/drain.rs
@@ -2,15 +2,15 @@
 
 use futures::future::join_all;
 use sillpin_core::Presence;
-use sillpin_load::caller::{Ask, call};
+use sillpin_load::caller::{CompletionRequest, call};
 use sillpin_standin::engine::EngineFaults;
 use sillpin_standin::platform::Faults;
 use sillpin_testsuite::fleet::{MODEL, key_of};
 use sillpin_testsuite::wait::until;
 use sillpin_testsuite::{Fleet, FleetShape};
 
-fn ask(prompt: String, tokens: u32) -> Ask {
-    Ask::new(&key_of("riders"), MODEL, prompt, tokens)
+fn ask(prompt: String, tokens: u32) -> CompletionRequest {
+    CompletionRequest::new(&key_of("riders"), MODEL, prompt, tokens)
 }
 
 #[tokio::test]
@@ -143,7 +143,7 @@
         })
         .await;
     }
-    let asks: Vec<Ask> = (0..20).map(|i| ask(format!("leaving {i}"), 2)).collect();
+    let asks: Vec<CompletionRequest> = (0..20).map(|i| ask(format!("leaving {i}"), 2)).collect();
     let calls = asks.iter().enumerate().map(|(i, ask)| {
         let entry = fleet.boxes[i % 2].callers();
         call(&fleet.client, entry, ask)
--- a/tests/testsuite/operators.rs
+++ b/tests/testsuite/operators.rs
@@ -1,6 +1,6 @@
 //! The operators' command line against a running fleet.
 
-use sillpin_load::caller::{Ask, Got, call};
+use sillpin_load::caller::{CallResult, CompletionRequest, call};
 use sillpin_testsuite::fleet::{MODEL, key_of};
 use sillpin_testsuite::process::program;
 use sillpin_testsuite::wait::until;
@@ -68,9 +68,9 @@
         ..FleetShape::default()
     })
     .await;
-    let ask = Ask::new(&key_of("riders"), MODEL, "Explain me. ".repeat(1_000), 3);
+    let ask = CompletionRequest::new(&key_of("riders"), MODEL, "Explain me. ".repeat(1_000), 3);
     let got = call(&fleet.client, fleet.boxes[0].callers(), &ask).await;
-    let Got::Answered {
+    let CallResult::Answered {
         request: Some(request),
         ..
     } = got
--- a/tests/testsuite/organisations.rs
+++ b/tests/testsuite/organisations.rs
@@ -1,15 +1,15 @@
 //! One organisation's prompts never reach another.
 
 use sillpin_cli::ops::organisation;
-use sillpin_load::caller::{Ask, Got, Usage, call};
+use sillpin_load::caller::{CallResult, CompletionRequest, Usage, call};
 use sillpin_testsuite::fleet::{MODEL, key_of};
 use sillpin_testsuite::wait::until;
 use sillpin_testsuite::{Fleet, FleetShape};
 
 async fn usage(fleet: &Fleet, org: &str, prompt: &str) -> Usage {
-    let ask = Ask::new(&key_of(org), MODEL, prompt, 3);
+    let ask = CompletionRequest::new(&key_of(org), MODEL, prompt, 3);
     match call(&fleet.client, fleet.boxes[0].callers(), &ask).await {
-        Got::Answered { usage, .. } => usage,
+        CallResult::Answered { usage, .. } => usage,
         got => panic!("{got:?}"),
     }
 }
@@ -36,7 +36,7 @@
     let entry = fleet.boxes[0].callers();
     let (client, long) = (
         fleet.client.clone(),
-        Ask::new(&key_of("mechanics"), MODEL, "long", 150),
+        CompletionRequest::new(&key_of("mechanics"), MODEL, "long", 150),
     );
     let open = tokio::spawn(async move { call(&client, entry, &long).await });
     let org = "mechanics".parse().unwrap();
@@ -44,9 +44,9 @@
         .await
         .unwrap();
     until("the key to be refused", || async {
-        let ask = Ask::new(&key_of("mechanics"), MODEL, "refuse me", 2);
+        let ask = CompletionRequest::new(&key_of("mechanics"), MODEL, "refuse me", 2);
         match call(&fleet.client, entry, &ask).await {
-            Got::Refused { problem, .. } if problem.status == 401 => Some(()),
+            CallResult::Refused { problem, .. } if problem.status == 401 => Some(()),
             _ => None,
         }
     })
--- a/tests/testsuite/path.rs
+++ b/tests/testsuite/path.rs
@@ -1,7 +1,7 @@
 //! The whole path: caller, entry, decision, engine, streamed answer.
 
 use sillpin_core::Outcome;
-use sillpin_load::caller::{Ask, Got, call};
+use sillpin_load::caller::{CallResult, CompletionRequest, call};
 use sillpin_testsuite::fleet::{MODEL, key_of};
 use sillpin_testsuite::{Fleet, FleetShape};
 
@@ -9,9 +9,9 @@
 async fn an_answer_streams_from_engine_to_caller() {
     let fleet = Fleet::start(FleetShape::default()).await;
     let prompt = "The rider says the battery swap failed. ".repeat(400);
-    let ask = Ask::new(&key_of("riders"), MODEL, prompt, 20);
+    let ask = CompletionRequest::new(&key_of("riders"), MODEL, prompt, 20);
     let got = call(&fleet.client, fleet.boxes[0].callers(), &ask).await;
-    let Got::Answered { usage, request, .. } = got else {
+    let CallResult::Answered { usage, request, .. } = got else {
         panic!("{got:?}");
     };
     assert_eq!(usage.completion_tokens, 20);
@@ -22,9 +22,9 @@
 #[tokio::test]
 async fn a_whole_answer_comes_as_one_document() {
     let fleet = Fleet::start(FleetShape::default()).await;
-    let ask = Ask {
+    let ask = CompletionRequest {
         stream: false,
-        ..Ask::new(&key_of("riders"), MODEL, "Is the fee paid?", 7)
+        ..CompletionRequest::new(&key_of("riders"), MODEL, "Is the fee paid?", 7)
     };
     let got = call(&fleet.client, fleet.boxes[0].callers(), &ask).await;
     assert!(got.is_answered(), "{got:?}");
@@ -33,9 +33,9 @@
 #[tokio::test]
 async fn an_unknown_key_is_refused_as_not_run() {
     let fleet = Fleet::start(FleetShape::default()).await;
-    let ask = Ask::new("key-nobody", MODEL, "hello", 7);
+    let ask = CompletionRequest::new("key-nobody", MODEL, "hello", 7);
     let got = call(&fleet.client, fleet.boxes[0].callers(), &ask).await;
-    let Got::Refused { problem, .. } = got else {
+    let CallResult::Refused { problem, .. } = got else {
         panic!("{got:?}");
     };
     assert_eq!((problem.status, problem.outcome), (401, Outcome::NotRun));
--- a/tests/testsuite/src/fleet.rs
+++ b/tests/testsuite/src/fleet.rs
@@ -13,7 +13,7 @@
 use sillpin_core::{Revision, TargetId, ZoneId};
 use sillpin_http::Client;
 use sillpin_http::client::Call;
-use sillpin_load::caller::{self, Ask, Got};
+use sillpin_load::caller::{self, CallResult, CompletionRequest};
 use sillpin_platform::HttpPlatform;
 use sillpin_rpc::gossip::Organisation;
 use sillpin_rpc::peer_link::FleetStatus;
@@ -349,9 +349,9 @@
     }
 
     /// Sends a short request to a box.
-    pub async fn ask(&self, entry_box: &EntryBox, prompt: &str) -> Got {
+    pub async fn ask(&self, entry_box: &EntryBox, prompt: &str) -> CallResult {
         let key = key_of(self.shape.organisations[0]);
-        let ask = Ask::new(&key, MODEL, prompt, 4);
+        let ask = CompletionRequest::new(&key, MODEL, prompt, 4);
         caller::call(&self.client, entry_box.callers(), &ask).await
     }
 }
--- a/tests/testsuite/versions.rs
+++ b/tests/testsuite/versions.rs
@@ -2,14 +2,14 @@
 //! loads more than three engines at once.
 
 use futures::future::join_all;
-use sillpin_load::caller::{Ask, Got, call};
+use sillpin_load::caller::{CallResult, CompletionRequest, call};
 use sillpin_standin::weights::WeightCounters;
 use sillpin_testsuite::fleet::{MODEL, key_of};
 use sillpin_testsuite::wait::until;
 use sillpin_testsuite::{Fleet, FleetShape};
 
-fn ask(prompt: &str, tokens: u32) -> Ask {
-    Ask::new(&key_of("riders"), MODEL, prompt, tokens)
+fn ask(prompt: &str, tokens: u32) -> CompletionRequest {
+    CompletionRequest::new(&key_of("riders"), MODEL, prompt, tokens)
 }
 
 async fn versions(fleet: &Fleet) -> Option<Vec<u64>> {
@@ -40,7 +40,8 @@
     let load = tokio::spawn(async move {
         let mut all = Vec::new();
         for round in 0..20 {
-            let asks: Vec<Ask> = (0..6).map(|i| ask(&format!("{round} {i}"), 20)).collect();
+            let asks: Vec<CompletionRequest> =
+                (0..6).map(|i| ask(&format!("{round} {i}"), 20)).collect();
             let calls = asks.iter().map(|ask| call(&client, entry, ask));
             all.extend(join_all(calls).await);
         }
@@ -60,7 +61,7 @@
     assert!(counted.most_at_once <= 3, "{counted:?}");
     assert_eq!(counted.loads, 8);
     let got = call(&fleet.client, entry, &ask(&prompt, 2)).await;
-    let Got::Answered { usage, .. } = got else {
+    let CallResult::Answered { usage, .. } = got else {
         panic!("{got:?}");
     };
     assert_eq!(usage.prompt_tokens_details.cached_tokens, 0);
--- a/xtask/src/ops/faults/mod.rs
+++ b/xtask/src/ops/faults/mod.rs
@@ -16,7 +16,7 @@
 pub use report::FaultReport;
 use sillpin_core::switches::Mechanism;
 use sillpin_core::{Outcome, Revision, TargetKind};
-use sillpin_load::caller::Got;
+use sillpin_load::caller::CallResult;
 use sillpin_load::drive::{self, Row};
 use sillpin_load::workload::{Corpus, Event, Kind, Plan, Trace};
 use sillpin_standin::engine::EngineFaults;
@@ -312,7 +312,7 @@
     }
 
     fn check_answers(&self, rows: &[Row], report: &mut FaultReport) {
-        let is_wrong = |row: &&Row| matches!(row.got, Got::Lost(_) | Got::Mixed(_));
+        let is_wrong = |row: &&Row| matches!(row.got, CallResult::Lost(_) | CallResult::Mixed(_));
         let wrong: Vec<&Row> = rows.iter().filter(is_wrong).collect();
         for row in &wrong {
             eprintln!("wrong: {row:?}");
--- a/xtask/src/ops/overhead.rs
+++ b/xtask/src/ops/overhead.rs
@@ -3,7 +3,7 @@
 use hdrhistogram::Histogram;
 use sillpin_core::{AttemptId, WeightVersion};
 use sillpin_http::Client;
-use sillpin_load::caller::{Ask, Got, call};
+use sillpin_load::caller::{CallResult, CompletionRequest, call};
 use sillpin_targets::{Engine, HttpEngine, RunOrder, RunStream};
 use sillpin_testsuite::fleet::MODEL;
 use std::net::SocketAddr;
@@ -42,13 +42,13 @@
     for number in 0..measurement.calls {
         every.tick().await;
         let engine = measurement.engines[number as usize % measurement.engines.len()];
-        let ask = Ask::new(&measurement.key, MODEL, format!("overhead {number}"), 1);
+        let ask = CompletionRequest::new(&measurement.key, MODEL, format!("overhead {number}"), 1);
         let (via, entry) = (client.clone(), measurement.entry);
         let by_engine = HttpEngine::new(client.clone());
         let prompt = ask.prompt.clone();
         through.spawn(async move {
             match call(&via, entry, &ask).await {
-                Got::Answered { whole, .. } => Some(whole),
+                CallResult::Answered { whole, .. } => Some(whole),
                 _ => None,
             }
         });
--- a/xtask/src/ops/streams.rs
+++ b/xtask/src/ops/streams.rs
@@ -3,7 +3,7 @@
 use super::procfs::{cpu_time, memory};
 use serde::Serialize;
 use sillpin_http::Client;
-use sillpin_load::caller::{Ask, call};
+use sillpin_load::caller::{CompletionRequest, call};
 use sillpin_testsuite::fleet::{MODEL, key_of};
 use sillpin_testsuite::{Fleet, FleetShape};
 use std::time::Duration;
@@ -70,9 +70,9 @@
         let client = Client::http2();
         for stream in 0..STREAMS_PER_CONNECTION {
             let client = client.clone();
-            let ask = Ask {
+            let ask = CompletionRequest {
                 timeout: Duration::from_secs(120),
-                ..Ask::new(
+                ..CompletionRequest::new(
                     &key_of("riders"),
                     MODEL,
                     format!("{connection} {stream}"),
@@ -149,7 +149,7 @@
         tasks.spawn(async move {
             for number in 0..REQUESTS / AT_ONCE {
                 let prompt = format!("{worker} {number}");
-                let ask = Ask::new(&key_of("riders"), MODEL, prompt, tokens);
+                let ask = CompletionRequest::new(&key_of("riders"), MODEL, prompt, tokens);
                 call(&client, callers, &ask).await;
             }
         });
