--- a/crates/sillpin-standin/src/commands/engine.rs
+++ b/crates/sillpin-standin/src/commands/engine.rs
@@ -16,33 +16,52 @@
             "1",
             "Weight version to start with",
         ))
-        .arg(option::<u64>("step-ms", "10", "Time of a step"))
-        .arg(option::<u64>("block-ms", "20", "Time to compute a block"))
+        .arg(option::<u64>("step-ms", "10", "Duration of a step"))
+        .arg(option::<u64>(
+            "block-ms",
+            "20",
+            "Duration of computing a block",
+        ))
         .arg(option::<u32>(
             "blocks-per-step",
             "1",
-            "Blocks computed in a step",
+            "Maximum number of blocks computed in a step",
+        ))
+        .arg(option::<usize>(
+            "max-batch",
+            "16",
+            "Maximum number of runs in the batch",
+        ))
+        .arg(option::<usize>(
+            "max-waiting",
+            "256",
+            "Maximum number of waiting runs",
+        ))
+        .arg(option::<usize>(
+            "cache-blocks",
+            "64",
+            "Capacity of the prefix cache, in blocks",
         ))
-        .arg(option::<usize>("max-batch", "16", "Runs in the batch"))
-        .arg(option::<usize>("max-waiting", "256", "Runs that may wait"))
-        .arg(option::<usize>("cache-blocks", "64", "Blocks cached"))
         .arg(option::<usize>(
             "block-len",
             "16384",
-            "Bytes of an exported block",
+            "Length of an exported block, in bytes",
         ))
         .arg(option::<u64>("load-lag-ms", "200", "Age of load reports"))
         .arg(option::<u64>(
             "event-lag-ms",
             "100",
-            "Lateness of cache events",
+            "Delay of cache events",
         ))
         .arg(option::<u64>(
             "gap-every",
             "0",
-            "Lose each such cache event",
+            "Lose every Nth cache event (0: none)",
+        ))
+        .arg(flag(
+            "unfenced",
+            "Accept weight loads with an outdated fence",
         ))
-        .arg(flag("unfenced", "Do not check fences"))
 }
 
 pub async fn run(args: &ArgMatches) -> io::Result<()> {
--- a/crates/sillpin-standin/src/commands/fault.rs
+++ b/crates/sillpin-standin/src/commands/fault.rs
@@ -14,12 +14,12 @@
         .arg(option::<SocketAddr>(
             "proxy",
             "127.0.0.1:0",
-            "Address to forward from",
+            "Address on which the proxy listens",
         ))
         .arg(option::<SocketAddr>(
             "target",
             "127.0.0.1:1",
-            "Address to forward to",
+            "Address to which connections are forwarded",
         ))
 }
 
--- a/crates/sillpin-standin/src/commands/mod.rs
+++ b/crates/sillpin-standin/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands: each declares its arguments beside the function that runs it.
+//! The subcommands. Each module declares the arguments of one command and runs it.
 
 mod engine;
 mod fault;
@@ -19,7 +19,7 @@
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
 
-/// All commands.
+/// Returns all subcommands.
 pub fn cli() -> Vec<Command> {
     vec![
         engine::cli(),
@@ -31,7 +31,7 @@
     ]
 }
 
-/// Runs the command that was given, until it is ended from outside.
+/// Runs the given subcommand until the process is killed.
 pub async fn run(matches: &ArgMatches) -> io::Result<()> {
     match matches.subcommand() {
         Some(("engine", args)) => engine::run(args).await,
@@ -48,7 +48,7 @@
     command.arg(option::<SocketAddr>(
         "listen",
         "127.0.0.1:0",
-        "Address to listen at",
+        "Address to listen on",
     ))
 }
 
--- a/crates/sillpin-standin/src/commands/platform.rs
+++ b/crates/sillpin-standin/src/commands/platform.rs
@@ -6,10 +6,10 @@
 use std::io;
 
 pub fn cli() -> Command {
-    let command = Command::new("platform").about("Key-value service and box list");
+    let command = Command::new("platform").about("The platform's key-value service and box list");
     with_listen(command)
-        .arg(option::<f64>("writes", "300", "Writes a second"))
-        .arg(option::<f64>("reads", "2000", "Reads a second"))
+        .arg(option::<f64>("writes", "300", "Writes per second"))
+        .arg(option::<f64>("reads", "2000", "Reads per second"))
 }
 
 pub async fn run(args: &ArgMatches) -> io::Result<()> {
--- a/crates/sillpin-standin/src/commands/store.rs
+++ b/crates/sillpin-standin/src/commands/store.rs
@@ -6,15 +6,27 @@
 use std::io;
 
 pub fn cli() -> Command {
-    let command = Command::new("store").about("A store box of kept blocks");
+    let command = Command::new("store").about("A store for KV cache blocks");
     with_listen(command)
-        .arg(option::<usize>("memory", "4194304", "Bytes in memory"))
-        .arg(option::<usize>("capacity", "67108864", "Bytes in all"))
-        .arg(option::<u64>("link-rate", "50000000", "Bytes a second"))
+        .arg(option::<usize>(
+            "memory",
+            "4194304",
+            "Size of the memory tier, in bytes",
+        ))
+        .arg(option::<usize>(
+            "capacity",
+            "67108864",
+            "Size of memory and disk together, in bytes",
+        ))
+        .arg(option::<u64>(
+            "link-rate",
+            "50000000",
+            "Rate of the link, in bytes per second",
+        ))
         .arg(option::<u64>(
             "disk-delay-ms",
             "4",
-            "Delay of a read from disk",
+            "Additional duration of a read from disk",
         ))
 }
 
--- a/crates/sillpin-standin/src/commands/weights.rs
+++ b/crates/sillpin-standin/src/commands/weights.rs
@@ -7,7 +7,11 @@
 
 pub fn cli() -> Command {
     let command = Command::new("weights").about("A rate-limited weight store");
-    with_listen(command).arg(option::<u64>("load-ms", "800", "Time of a load"))
+    with_listen(command).arg(option::<u64>(
+        "load-ms",
+        "800",
+        "Duration of a load at full speed",
+    ))
 }
 
 pub async fn run(args: &ArgMatches) -> io::Result<()> {
--- a/crates/sillpin-standin/src/engine/batch.rs
+++ b/crates/sillpin-standin/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! Continuous batching: each step computes one block of one prompt and one token of every run.
+//! Continuous batching: each step computes up to `blocks_per_step` blocks of prompts and one token of every decoding run.
 
 use super::EngineShape;
 use super::cache::Cache;
@@ -8,7 +8,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How far a run has come.
+/// Progress of a run: number of tokens produced and, at its end, the summary.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Progress {
     pub(super) produced: u32,
@@ -24,14 +24,14 @@
     }
 }
 
-/// One run at the engine.
+/// One run of the engine.
 pub(super) struct Run {
     pub(super) order: RunOrder,
     pub(super) progress: watch::Sender<Progress>,
     pub(super) prompt_blocks: u32,
     phase: Phase,
     arrived: u64,
-    finished: Option<Instant>,
+    finished_since: Option<Instant>,
     pub(super) summary: RunSummary,
 }
 
@@ -43,7 +43,7 @@
     Done,
 }
 
-/// All runs of the engine and its cache.
+/// All runs of the engine, and its cache.
 pub(super) struct Batch {
     pub(super) shape: EngineShape,
     pub(super) cache: Cache,
@@ -77,7 +77,7 @@
             progress,
             phase: Phase::Waiting,
             arrived: self.arrivals,
-            finished: None,
+            finished_since: None,
             summary,
             order,
         };
@@ -94,7 +94,7 @@
         self.runs.values().filter(active).count()
     }
 
-    /// Blocks of waiting and begun prompts that are still to be computed.
+    /// Returns the number of prompt blocks still to be computed, of waiting runs and runs in prefill.
     pub(super) fn blocks_to_compute(&self) -> u64 {
         let left = |r: &Run| match r.phase {
             Phase::Waiting => self.uncached_blocks(r),
@@ -110,18 +110,18 @@
         run.prompt_blocks - (cached as u32).min(run.prompt_blocks)
     }
 
-    /// Takes waiting runs into the batch, the most urgent and then the earliest first.
+    /// Moves waiting runs into the batch, by priority and then by arrival.
     pub(super) fn admit(&mut self) {
         while self.running() < self.shape.max_batch {
             let next = self.waiting().min_by_key(|r| (r.order.priority, r.arrived));
             let Some(attempt) = next.map(|r| r.order.attempt) else {
                 return;
             };
-            self.begin(attempt);
+            self.start_prefill(attempt);
         }
     }
 
-    fn begin(&mut self, attempt: AttemptId) {
+    fn start_prefill(&mut self, attempt: AttemptId) {
         let Some(run) = self.runs.get_mut(&attempt) else {
             return;
         };
@@ -133,7 +133,7 @@
         run.phase = Phase::Prefill { left };
     }
 
-    /// The run whose prompt is computed next: the most urgent, then the earliest.
+    /// Returns the run to prefill next, by priority and then by arrival.
     fn next_prefill(&self) -> Option<AttemptId> {
         let in_prefill = |r: &&Run| matches!(r.phase, Phase::Prefill { .. });
         let runs = self.runs.values().filter(in_prefill);
@@ -141,7 +141,7 @@
         next.map(|r| r.order.attempt)
     }
 
-    /// Does the work of one step and says how many blocks it computed.
+    /// Runs one step and returns the number of blocks that it computed.
     pub(super) fn step(&mut self) -> u32 {
         let mut computed = 0;
         for _ in 0..self.shape.blocks_per_step {
@@ -176,15 +176,15 @@
         left
     }
 
-    /// Forgets runs that ended, or lost their last reader, long enough ago.
-    pub(super) fn forget(&mut self, now: Instant) {
+    /// Removes runs that ended or lost their last reader at least `keep_finished` ago.
+    pub(super) fn remove_finished(&mut self, now: Instant) {
         let keep = self.shape.keep_finished;
         self.runs.retain(|_, run| {
             if run.phase != Phase::Done && run.progress.receiver_count() > 0 {
-                run.finished = None;
+                run.finished_since = None;
                 return true;
             }
-            let since = *run.finished.get_or_insert(now);
+            let since = *run.finished_since.get_or_insert(now);
             now - since < keep
         });
     }
--- a/crates/sillpin-standin/src/engine/cache.rs
+++ b/crates/sillpin-standin/src/engine/cache.rs
@@ -1,16 +1,16 @@
-//! An engine's prefix cache, least recently used out first, and the events of its changes.
+//! An engine's prefix cache with LRU eviction, and the events that report its changes.
 
 use sillpin_core::BlockName;
 use sillpin_targets::{CacheChange, CacheEvents};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Events kept for readers; a reader that is further behind sees a gap.
-const EVENTS_KEPT: usize = 4_096;
+/// Maximum number of events kept for readers; a reader that is further behind gets a gap.
+const MAX_EVENTS: usize = 4_096;
 
-/// Events in one answer.
-const EVENTS_PER_ANSWER: usize = 512;
+/// Maximum number of events in one response.
+const MAX_EVENTS_PER_RESPONSE: usize = 512;
 
-/// When a block was used last, and the prompt that brought it in.
+/// When a block was last used, and the first block of the prompt for which it was inserted.
 #[derive(Clone, Copy)]
 struct Use {
     at: u64,
@@ -19,8 +19,8 @@
 
 pub(super) struct Cache {
     capacity: usize,
-    used: HashMap<BlockName, Use>,
-    oldest: BTreeMap<u64, BlockName>,
+    uses: HashMap<BlockName, Use>,
+    by_last_use: BTreeMap<u64, BlockName>,
     clock: u64,
     events: VecDeque<(u64, CacheChange)>,
     sequence: u64,
@@ -28,12 +28,12 @@
 }
 
 impl Cache {
-    /// A cache of `capacity` blocks; each `gap_every`th event is lost (0: none).
+    /// Creates a cache of `capacity` blocks. Every `gap_every`th event is lost (0: none).
     pub(super) fn new(capacity: usize, gap_every: u64) -> Self {
         Self {
             capacity,
-            used: HashMap::new(),
-            oldest: BTreeMap::new(),
+            uses: HashMap::new(),
+            by_last_use: BTreeMap::new(),
             clock: 0,
             events: VecDeque::new(),
             sequence: 0,
@@ -41,9 +41,9 @@
         }
     }
 
-    /// Leading blocks of `blocks` that are cached, which count as used now.
+    /// Marks the leading blocks of `blocks` that are cached as used, and returns their number.
     pub(super) fn touch_prefix(&mut self, blocks: &[BlockName]) -> usize {
-        let hits = blocks.iter().take_while(|b| self.used.contains_key(b));
+        let hits = blocks.iter().take_while(|b| self.uses.contains_key(b));
         let hits = hits.count();
         for block in &blocks[..hits] {
             self.touch(*block, blocks[0]);
@@ -52,27 +52,27 @@
     }
 
     pub(super) fn contains(&self, block: &BlockName) -> bool {
-        self.used.contains_key(block)
+        self.uses.contains_key(block)
     }
 
-    /// Adds a block of the prompt that begins with `root`, evicting the least recently used ones
-    /// beyond the capacity.
+    /// Inserts a block of the prompt that begins with `root`, and evicts the least recently used
+    /// blocks beyond the capacity.
     pub(super) fn insert(&mut self, block: BlockName, root: BlockName) {
         if self.capacity == 0 {
             return;
         }
-        if !self.used.contains_key(&block) {
+        if !self.uses.contains_key(&block) {
             self.publish(root, block, true);
         }
         self.touch(block, root);
-        while self.used.len() > self.capacity {
+        while self.uses.len() > self.capacity {
             self.evict();
         }
     }
 
-    /// Forgets everything, as a swap of weights does.
+    /// Evicts all blocks, as an engine does when it swaps weights.
     pub(super) fn clear(&mut self) {
-        while !self.used.is_empty() {
+        while !self.uses.is_empty() {
             self.evict();
         }
     }
@@ -80,18 +80,18 @@
     fn touch(&mut self, block: BlockName, root: BlockName) {
         self.clock += 1;
         let at = self.clock;
-        let root = self.used.get(&block).map_or(root, |before| before.root);
-        if let Some(before) = self.used.insert(block, Use { at, root }) {
-            self.oldest.remove(&before.at);
+        let root = self.uses.get(&block).map_or(root, |before| before.root);
+        if let Some(before) = self.uses.insert(block, Use { at, root }) {
+            self.by_last_use.remove(&before.at);
         }
-        self.oldest.insert(at, block);
+        self.by_last_use.insert(at, block);
     }
 
     fn evict(&mut self) {
-        let Some((_, block)) = self.oldest.pop_first() else {
+        let Some((_, block)) = self.by_last_use.pop_first() else {
             return;
         };
-        if let Some(last) = self.used.remove(&block) {
+        if let Some(last) = self.uses.remove(&block) {
             self.publish(last.root, block, false);
         }
     }
@@ -107,17 +107,17 @@
         if !lost {
             self.events.push_back((self.sequence, change));
         }
-        if self.events.len() > EVENTS_KEPT {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
 
-    /// Events after `after`, of the engine's life `epoch`.
+    /// Returns the events after sequence number `after`; `epoch` identifies the engine's incarnation.
     pub(super) fn events_after(&self, epoch: u64, after: u64) -> CacheEvents {
         let newer = self.events.iter().filter(|(sequence, _)| *sequence > after);
-        let events: Vec<_> = newer.take(EVENTS_PER_ANSWER).copied().collect();
+        let events: Vec<_> = newer.take(MAX_EVENTS_PER_RESPONSE).copied().collect();
         let sequence = match events.last() {
-            Some((sequence, _)) if events.len() == EVENTS_PER_ANSWER => *sequence,
+            Some((sequence, _)) if events.len() == MAX_EVENTS_PER_RESPONSE => *sequence,
             _ => self.sequence,
         };
         CacheEvents {
--- a/crates/sillpin-standin/src/engine/mod.rs
+++ b/crates/sillpin-standin/src/engine/mod.rs
@@ -1,5 +1,6 @@
-//! A model engine: continuous batching, a limited prefix cache, priorities, resume, cancel,
-//! export and import of blocks, late and gapped cache events, lagged loads, fenced orders.
+//! A model engine: continuous batching, a limited prefix cache, priorities, resumption and
+//! cancellation of runs, export and import of blocks, cache events that are delayed or lost, delayed
+//! load reports, and fences that reject outdated weight loads.
 
 mod batch;
 mod cache;
@@ -29,20 +30,20 @@
 
 pub use shape::EngineShape;
 
-/// Longest order accepted: a prompt with its block names.
+/// Maximum length of a request body, in bytes. The longest is a run order: a prompt with its block names.
 const MAX_ORDER_LEN: usize = 16 << 20;
 
 /// Faults set at run time.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EngineFaults {
-    /// Take no new work, and say so in the load report.
+    /// Refuse new runs, and report in the load report that the engine is leaving.
     pub leaving: bool,
-    /// Answer for another attempt than the one sent.
+    /// Send the response of another attempt than the one requested.
     pub crossed: bool,
-    /// Break every answer at this token.
+    /// Break every response at this token.
     pub cut_at: Option<u32>,
-    /// Leave the end mark off.
+    /// Omit the end mark of responses.
     pub no_end_mark: bool,
 }
 
@@ -55,7 +56,7 @@
     sequence: u64,
 }
 
-/// The stand-in; clones share it.
+/// The stand-in. Clones share their state.
 #[derive(Clone)]
 pub struct EngineStandin {
     shape: EngineShape,
@@ -67,7 +68,8 @@
 }
 
 impl EngineStandin {
-    /// An engine that serves `version` of `model`; its steps run in a task of their own.
+    /// Starts an engine that serves `version` of `model`; a separate task runs its steps. `epoch` identifies
+    /// this incarnation of the engine in cache events.
     pub fn start(shape: EngineShape, model: ModelId, version: WeightVersion, epoch: u64) -> Self {
         let state = State {
             batch: Batch::new(shape),
@@ -97,7 +99,7 @@
         loop {
             let idle = {
                 let mut state = self.lock();
-                state.batch.forget(Instant::now());
+                state.batch.remove_finished(Instant::now());
                 state.batch.admit();
                 state.batch.running() == 0
             };
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Answers one request.
+    /// Handles one HTTP request.
     pub async fn handle(self, req: Request<Incoming>) -> Response {
         let path = req.uri().path().to_owned();
         let query = req.uri().query().map(str::to_owned);
@@ -147,7 +149,7 @@
         }
     }
 
-    fn refuses(&self, order: &RunOrder) -> Option<Response> {
+    fn refusal(&self, order: &RunOrder) -> Option<Response> {
         let state = self.lock();
         if state.faults.leaving || state.batch.waiting().count() >= self.shape.max_waiting {
             return Some(status(StatusCode::SERVICE_UNAVAILABLE));
@@ -162,7 +164,7 @@
     }
 
     async fn start_run(&self, order: RunOrder) -> Response {
-        if let Some(refusal) = self.refuses(&order) {
+        if let Some(refusal) = self.refusal(&order) {
             return refusal;
         }
         let (tx, body) = Body::channel();
@@ -209,7 +211,7 @@
         hyper::Response::new(body)
     }
 
-    /// The newest report that is at least as old as the lag.
+    /// Returns the newest load report that is at least `load_lag` old, or the oldest one if none is.
     fn load(&self) -> LoadReport {
         let mut state = self.lock();
         let now = Instant::now();
--- a/crates/sillpin-standin/src/engine/shape.rs
+++ b/crates/sillpin-standin/src/engine/shape.rs
@@ -5,29 +5,29 @@
 /// Size and speed of an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineShape {
-    /// Time of one step without prompt work.
+    /// Duration of one step without prefill.
     pub step: Duration,
-    /// Time to compute one block of a prompt.
+    /// Additional duration of a step for each block of a prompt that it computes.
     pub block: Duration,
-    /// Blocks computed in a step, at the most.
+    /// Maximum number of blocks computed in a step.
     pub blocks_per_step: u32,
-    /// Runs in the batch.
+    /// Maximum number of runs in the batch.
     pub max_batch: usize,
-    /// Runs that may wait.
+    /// Maximum number of waiting runs; further ones are refused.
     pub max_waiting: usize,
-    /// Blocks that the cache holds.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
-    /// Bytes of one block when exported.
+    /// Length of an exported block, in bytes.
     pub block_len: usize,
-    /// How old a load report is.
+    /// Age of load reports.
     pub load_lag: Duration,
-    /// How late cache events are.
+    /// Delay of cache events.
     pub event_lag: Duration,
-    /// Each such cache event is lost (0: none).
+    /// Every `gap_every`th cache event is lost (0: none).
     pub gap_every: u64,
-    /// How long a run without a reader is kept for a resume.
+    /// How long a run that ended or has no reader is kept, so that it can be resumed.
     pub keep_finished: Duration,
-    /// Whether orders below the highest fence seen are refused.
+    /// Whether weight loads with a fence below the highest one received are refused.
     pub check_fence: bool,
 }
 
--- a/crates/sillpin-standin/src/engine/stream.rs
+++ b/crates/sillpin-standin/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! A run's answer as lines, with the faults that were set.
+//! Streams a run's response as lines, with the injected faults.
 
 use super::EngineStandin;
 use super::batch::Progress;
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 
 impl EngineStandin {
-    /// Writes the tokens from `cursor` on as the run makes them, until it ends or its reader has gone.
+    /// Streams the tokens from index `cursor` on as the run produces them, until it ends or its reader disconnects.
     pub(super) async fn stream(
         &self,
         attempt: AttemptId,
@@ -57,7 +57,7 @@
                 return;
             }
             if cut {
-                return tx.abort("told to cut").await;
+                return tx.abort("response cut by the fault `cut_at`").await;
             }
             let changed = tokio::select! {
                 () = tx.closed() => return,
--- a/crates/sillpin-standin/src/engine/transfer.rs
+++ b/crates/sillpin-standin/src/engine/transfer.rs
@@ -1,4 +1,4 @@
-//! Blocks to and from store boxes, and weights from a weight store.
+//! Exports blocks to stores, imports blocks from them, and fetches weights from a weight store.
 
 use super::EngineStandin;
 use hyper::{Method, Request};
@@ -15,14 +15,14 @@
 const LOAD_TIMEOUT: Duration = Duration::from_secs(20);
 const NO_BODY: Option<&()> = None;
 
-/// What a run fetched before computing.
+/// Number and bytes of the blocks that a run fetched before its prefill.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Fetched {
     pub(super) blocks: u64,
     pub(super) bytes: u64,
 }
 
-/// Content of a block: the name keys it, so that a foreign block's content shows.
+/// Returns the content of a block, derived from its name so that content of another block is detected.
 fn content(block: &BlockName, len: usize) -> Vec<u8> {
     let mut data = vec![0; len];
     let mut hasher = blake3::Hasher::new();
@@ -32,8 +32,8 @@
 }
 
 impl EngineStandin {
-    /// Fetches the ordered blocks in turn; the first that does not check ends it, and the rest is
-    /// computed.
+    /// Fetches the blocks of the order one after another, up to the first one that cannot be fetched or whose
+    /// checksum differs. The engine computes the remaining ones.
     pub(super) async fn import(&self, order: &RunOrder) -> Fetched {
         let mut fetched = Fetched::default();
         for object in &order.imports {
@@ -62,9 +62,9 @@
         let resp = self.client.call(call, NO_BODY).await.ok()?;
         let limit = object.len.0 as usize;
         let data = read_limited(resp.into_body(), limit).await.ok()?;
-        let checks =
+        let is_intact =
             data.len() == limit && blake3::hash(&data).to_hex().as_str() == object.checksum;
-        checks.then_some(())
+        is_intact.then_some(())
     }
 
     fn transfer<'a>(
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Writes and seals the ordered blocks that are cached here; stops at the first failure.
+    /// Writes and seals the blocks of the order that are cached here; stops at the first failure.
     pub(super) async fn export(&self, order: ExportOrder) -> Exported {
         let mut exported = Exported::default();
         for (block, generation) in order.blocks {
@@ -136,7 +136,7 @@
         self.client.call(call, Some(seal)).await.ok().map(|_| ())
     }
 
-    /// Fetches weights; false if the weight store did not give them.
+    /// Fetches weights; returns false if the request to the weight store failed.
     pub(super) async fn fetch_weights(&self, order: &LoadOrder) -> bool {
         let path = format!("/v1/weights?version={}", order.version);
         let call = Call {
--- a/crates/sillpin-standin/src/fault.rs
+++ b/crates/sillpin-standin/src/fault.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy that injects faults set at run time.
+//! A TCP proxy that injects faults, which can be set at run time.
 
 use crate::{Response, ok, status};
 use hyper::body::Incoming;
@@ -15,40 +15,40 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Bytes forwarded at once.
+/// Maximum number of bytes forwarded at a time.
 const CHUNK_LEN: usize = 16 << 10;
 
-/// How the proxy treats its connections.
+/// Faults that the proxy injects into its connections.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Refuse new connections and close open ones.
+    /// Close open connections, and new ones as soon as they are accepted.
     pub cut: bool,
     /// Delay of each chunk, in milliseconds.
     pub delay_ms: u64,
-    /// Drop what callers send (one-way loss).
+    /// Drop all bytes that callers send (one-way loss).
     pub lose_requests: bool,
-    /// Drop what the target sends (one-way loss).
+    /// Drop all bytes that the target sends (one-way loss).
     pub lose_answers: bool,
-    /// Bytes a second in each direction (0: no limit).
+    /// Bytes per second in each direction of a connection (0: no limit).
     pub rate: u64,
-    /// Close a connection after this many bytes of the answer.
+    /// Close a connection after this many bytes of the response.
     pub cut_answer_at: Option<u64>,
     /// Close a connection after this many bytes of the request.
     pub cut_request_at: Option<u64>,
 }
 
-/// A link of bounded rate that answers share, also those of several proxies: a box's own link, over which everything that
-/// it receives comes. Clones are the same link.
+/// A link of limited rate, shared by the responses of one or more proxies. It simulates the link over which a box receives
+/// all of its data. Clones are the same link.
 #[derive(Debug, Clone)]
 pub struct Link {
-    /// Bytes a second.
+    /// Bytes per second.
     rate: f64,
     free_at: Arc<Mutex<Instant>>,
 }
 
 impl Link {
-    /// A link that carries `rate` bytes a second.
+    /// Creates a link that transfers `rate` bytes per second.
     pub fn new(rate: u32) -> Self {
         Self {
             rate: f64::from(rate),
@@ -56,22 +56,22 @@
         }
     }
 
-    /// Waits until the link has carried `len` bytes, behind all that it was given before.
-    async fn carry(&self, len: usize) {
+    /// Waits until the link has transferred `len` bytes after all earlier transfers.
+    async fn transfer(&self, len: usize) {
         let time = Duration::from_secs_f64(len as f64 / self.rate);
-        let carried = {
+        let transferred = {
             let mut free_at = self.free_at.lock().unwrap_or_else(|e| e.into_inner());
             *free_at = (*free_at).max(Instant::now()) + time;
             *free_at
         };
-        tokio::time::sleep_until(carried).await;
+        tokio::time::sleep_until(transferred).await;
     }
 }
 
-/// Time between two tries to listen again.
-const BIND_PAUSE: Duration = Duration::from_millis(20);
+/// Time between two attempts to listen again.
+const REBIND_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The proxy; clones share it.
+/// The proxy. Clones share their state.
 #[derive(Clone)]
 pub struct FaultProxy {
     target: SocketAddr,
@@ -83,11 +83,11 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Direction {
     Request,
-    Answer,
+    Response,
 }
 
 impl FaultProxy {
-    /// A proxy before `target`, without faults.
+    /// Creates a proxy to `target` without faults.
     pub fn new(target: SocketAddr) -> Self {
         Self {
             target,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// A proxy before `target` whose answers go over `link`.
+    /// Creates a proxy to `target` whose responses are transferred over `link`.
     pub fn with_link(target: SocketAddr, link: Link) -> Self {
         Self {
             link: Some(link),
@@ -105,7 +105,10 @@
         }
     }
 
-    /// Listens on a port of the kernel's and forwards from there.
+    /// Listens on a free loopback port, starts forwarding its connections and returns its address.
+    ///
+    /// # Errors
+    /// If the port cannot be bound.
     pub async fn start(&self) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let addr = listener.local_addr()?;
@@ -113,17 +116,17 @@
         Ok(addr)
     }
 
-    /// Sets the faults, also for open connections.
+    /// Sets the faults, which also apply to open connections.
     pub fn set(&self, faults: Faults) {
         self.faults.send_replace(faults);
     }
 
-    /// Down: all connections are cut and nobody listens, as where a process has ended; or up again.
+    /// While the proxy is down, all connections are closed and it does not listen, as if the target's process had ended.
     pub fn set_down(&self, down: bool) {
         self.down.send_replace(down);
     }
 
-    /// Answers one request of the control interface.
+    /// Handles one request of the admin interface.
     pub async fn handle(self, req: Request<Incoming>) -> Response {
         match read_json(req.into_body(), 4096).await {
             Ok(faults) => {
@@ -134,7 +137,7 @@
         }
     }
 
-    /// Forwards the connections of `listener` without end. After it was down it listens at the same address.
+    /// Forwards the connections of `listener` forever. Listens on the same address again after it was down.
     pub async fn run(self, listener: TcpListener) {
         let mut down = self.down.subscribe();
         let addr = listener.local_addr();
@@ -147,8 +150,8 @@
                 };
                 match TcpListener::bind(addr).await {
                     Ok(listener) => listening = Some(listener),
-                    // The last connections are still closing.
-                    Err(_) => tokio::time::sleep(BIND_PAUSE).await,
+                    // Bind fails while the last connections are still closing.
+                    Err(_) => tokio::time::sleep(REBIND_INTERVAL).await,
                 }
                 continue;
             };
@@ -179,33 +182,36 @@
         tokio::select! {
             _ = down.wait_for(|down| *down) => {}
             () = self.copy(Direction::Request, caller_rx, target_tx) => {}
-            () = self.copy(Direction::Answer, target_rx, caller_tx) => {}
+            () = self.copy(Direction::Response, target_rx, caller_tx) => {}
             _ = cut.wait_for(|faults| faults.cut) => {}
         }
     }
 
     async fn copy(&self, direction: Direction, mut rx: OwnedReadHalf, mut tx: OwnedWriteHalf) {
         let mut buf = vec![0; CHUNK_LEN];
-        let mut copied = 0;
+        let mut forwarded = 0;
         while let Ok(len @ 1..) = rx.read(&mut buf).await {
             let faults = self.faults.borrow().clone();
-            tokio::time::sleep(faults.time_for(len)).await;
+            tokio::time::sleep(faults.delay_of(len)).await;
             if let Some(link) = self
                 .link
                 .as_ref()
-                .filter(|_| direction == Direction::Answer)
+                .filter(|_| direction == Direction::Response)
             {
-                link.carry(len).await;
+                link.transfer(len).await;
             }
-            if faults.loses(direction) {
+            if faults.drops(direction) {
                 continue;
             }
-            let len = faults.allowed(direction, copied, len);
+            let len = faults.allowed(direction, forwarded, len);
             if tx.write_all(&buf[..len]).await.is_err() {
                 return;
             }
-            copied += len as u64;
-            if faults.limit(direction).is_some_and(|limit| copied >= limit) {
+            forwarded += len as u64;
+            if faults
+                .limit(direction)
+                .is_some_and(|limit| forwarded >= limit)
+            {
                 return;
             }
         }
@@ -217,7 +223,7 @@
 }
 
 impl Faults {
-    fn time_for(&self, len: usize) -> Duration {
+    fn delay_of(&self, len: usize) -> Duration {
         let delay = Duration::from_millis(self.delay_ms);
         if self.rate == 0 {
             return delay;
@@ -225,22 +231,22 @@
         delay + Duration::from_secs_f64(len as f64 / self.rate as f64)
     }
 
-    fn loses(&self, direction: Direction) -> bool {
+    fn drops(&self, direction: Direction) -> bool {
         match direction {
             Direction::Request => self.lose_requests,
-            Direction::Answer => self.lose_answers,
+            Direction::Response => self.lose_answers,
         }
     }
 
     fn limit(&self, direction: Direction) -> Option<u64> {
         match direction {
             Direction::Request => self.cut_request_at,
-            Direction::Answer => self.cut_answer_at,
+            Direction::Response => self.cut_answer_at,
         }
     }
 
-    fn allowed(&self, direction: Direction, copied: u64, len: usize) -> usize {
+    fn allowed(&self, direction: Direction, forwarded: u64, len: usize) -> usize {
         let limit = self.limit(direction).unwrap_or(u64::MAX);
-        len.min(limit.saturating_sub(copied) as usize)
+        len.min(limit.saturating_sub(forwarded) as usize)
     }
 }
--- a/crates/sillpin-standin/src/lib.rs
+++ b/crates/sillpin-standin/src/lib.rs
@@ -1,9 +1,9 @@
 //! Stand-ins for the systems around sillpin. They serve tests, the demo and measurements, and are
 //! not shipped.
 //!
-//! - [`platform`]: key-value service and box list, with outages, slowness and lost answers,
+//! - [`platform`]: key-value service and box list, with outages, delays and lost responses,
 //! - [`engine`]: model engines with continuous batching and a limited prefix cache,
-//! - [`store`]: store boxes,
+//! - [`store`]: stores for KV cache blocks,
 //! - [`service`]: plain services that count executions,
 //! - [`weights`]: rate-limited weight store,
 //! - [`fault`]: a TCP proxy that injects faults.
@@ -20,20 +20,20 @@
 use serde::Serialize;
 use sillpin_http::{Body, json_response};
 
-/// An answer of a stand-in.
+/// HTTP response of a stand-in.
 pub type Response = hyper::Response<Body>;
 
-/// A 200 answer with a JSON document.
+/// Returns a response with status 200 and `doc` as JSON.
 pub fn ok<T: Serialize>(doc: &T) -> Response {
     json_response(StatusCode::OK, doc)
 }
 
-/// An answer with a status and nothing else.
+/// Returns a response with the given status and JSON `null` as its body.
 pub fn status(status: StatusCode) -> Response {
     json_response(status, &())
 }
 
-/// Prints where a stand-in listens, as one line that its starter waits for.
+/// Prints the address on which a stand-in listens, as one line; the process that started it waits for this line.
 pub fn announce(name: &str, addr: std::net::SocketAddr) {
     println!("listening {name} {addr}");
 }
--- a/crates/sillpin-standin/src/main.rs
+++ b/crates/sillpin-standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `sillpin-standin`: one stand-in a process, for tests, the demo and measurements.
+//! `sillpin-standin`: runs one stand-in per process, for tests, the demo and measurements.
 
 use clap::Command;
 use std::process::ExitCode;
--- a/crates/sillpin-standin/src/platform/kv.rs
+++ b/crates/sillpin-standin/src/platform/kv.rs
@@ -1,4 +1,4 @@
-//! The keys, their revisions and leases.
+//! The keys with their revisions, and the leases.
 
 use sillpin_platform::{KvEntry, KvRevision, LeaseId};
 use std::collections::{BTreeMap, HashMap};
@@ -16,12 +16,12 @@
     expires: Instant,
 }
 
-pub(super) enum KvFault {
+pub(super) enum KvError {
     Conflict,
-    LeaseLapsed,
+    LeaseExpired,
 }
 
-/// Deleted keys stay as entries without text, so that a watch sees the deletion.
+/// The key-value data. Deleted keys stay as entries without text, so that a watch reports the deletion.
 #[derive(Default)]
 pub(super) struct Kv {
     values: BTreeMap<String, Value>,
@@ -91,14 +91,14 @@
         text: String,
         expect: KvRevision,
         lease: Option<LeaseId>,
-    ) -> Result<KvRevision, KvFault> {
+    ) -> Result<KvRevision, KvError> {
         if lease.is_some_and(|lease| !self.renewable(lease)) {
-            return Err(KvFault::LeaseLapsed);
+            return Err(KvError::LeaseExpired);
         }
         self.write(key, Some(text), expect, lease)
     }
 
-    pub(super) fn delete(&mut self, key: &str, expect: KvRevision) -> Result<KvRevision, KvFault> {
+    pub(super) fn delete(&mut self, key: &str, expect: KvRevision) -> Result<KvRevision, KvError> {
         self.write(key, None, expect, None)
     }
 
@@ -108,9 +108,9 @@
         text: Option<String>,
         expect: KvRevision,
         lease: Option<LeaseId>,
-    ) -> Result<KvRevision, KvFault> {
+    ) -> Result<KvRevision, KvError> {
         if self.current(key) != expect {
-            return Err(KvFault::Conflict);
+            return Err(KvError::Conflict);
         }
         self.revision.0 += 1;
         let value = Value {
--- a/crates/sillpin-standin/src/platform/mod.rs
+++ b/crates/sillpin-standin/src/platform/mod.rs
@@ -1,8 +1,8 @@
 //! The platform's key-value service and box list.
 //!
-//! Every call is counted; reads and writes beyond the stated rates are refused. `POST /admin/faults`
-//! sets [`Faults`], `POST /admin/boxes` replaces the box list and `GET /admin/counters` reads the
-//! counts.
+//! Every call is counted; reads and writes above the configured rates are refused. `POST /admin/faults`
+//! sets [`Faults`], `POST /admin/boxes` replaces the box list and `GET /admin/counters` returns the
+//! [`Counters`].
 
 mod kv;
 
@@ -10,7 +10,7 @@
 use crate::{Response, ok, status};
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
-use kv::{Kv, KvFault};
+use kv::{Kv, KvError};
 use serde::{Deserialize, Serialize};
 use sillpin_core::target::BoxList;
 use sillpin_http::body::read_json;
@@ -21,7 +21,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Longest request body: a value and its frame.
+/// Maximum length of a request body, in bytes: a value and the JSON around it.
 const MAX_BODY_LEN: usize = 2 * MAX_VALUE_LEN;
 
 /// Faults set at run time.
@@ -30,35 +30,35 @@
 pub struct Faults {
     /// Refuse every call.
     pub outage: bool,
-    /// Added to every call, in milliseconds.
+    /// Additional duration of every call, in milliseconds.
     pub delay_ms: u64,
-    /// Lose the answers of this many writes after they took effect.
+    /// Number of writes whose responses are lost after the write took effect; callers get status 500.
     pub lose_answers: u32,
-    /// Delay of the box list, in milliseconds.
+    /// Delay until a new box list is served, in milliseconds.
     pub list_lag_ms: u64,
 }
 
-/// Calls counted since the start.
+/// Number of calls since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counters {
     /// Writes: put, delete, lease calls.
     pub writes: u64,
     /// Reads: get, list, box list.
     pub reads: u64,
-    /// Watches begun.
+    /// Watches started.
     pub watches: u64,
-    /// Calls refused for their rate.
+    /// Reads and writes refused because they exceeded the rate.
     pub refused: u64,
-    /// Most calls counted within one second.
+    /// Maximum number of calls within one second.
     pub busiest_second: u64,
 }
 
 /// Rates above which calls are refused.
 #[derive(Debug, Clone, Copy)]
 pub struct Rates {
-    /// Writes a second.
+    /// Writes per second.
     pub writes: f64,
-    /// Reads a second.
+    /// Reads per second.
     pub reads: f64,
 }
 
@@ -71,6 +71,7 @@
     }
 }
 
+/// A token bucket that holds the tokens of one second.
 struct Bucket {
     rate: f64,
     tokens: f64,
@@ -103,7 +104,7 @@
     writes: Bucket,
     reads: Bucket,
     boxes: BoxList,
-    shown: BoxList,
+    listed_boxes: BoxList,
     second: (u64, u64),
     start: Instant,
 }
@@ -136,7 +137,7 @@
     }
 }
 
-/// The stand-in; clones share it.
+/// The stand-in. Clones share their state.
 #[derive(Clone)]
 pub struct PlatformStandin {
     state: Arc<Mutex<State>>,
@@ -144,7 +145,7 @@
 }
 
 impl PlatformStandin {
-    /// An empty service with the given rates.
+    /// Creates an empty service with the given rates.
     pub fn new(rates: Rates) -> Self {
         let state = State {
             kv: Kv::default(),
@@ -153,7 +154,7 @@
             writes: Bucket::new(rates.writes),
             reads: Bucket::new(rates.reads),
             boxes: BoxList::default(),
-            shown: BoxList::default(),
+            listed_boxes: BoxList::default(),
             second: (0, 0),
             start: Instant::now(),
         };
@@ -167,7 +168,7 @@
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Answers one request.
+    /// Handles one HTTP request.
     pub async fn handle(self, req: Request<Incoming>) -> Response {
         if req.uri().path().starts_with("/admin/") {
             return self.admin(req).await;
@@ -182,14 +183,14 @@
         if !self.lock().allow(write) {
             return status(StatusCode::TOO_MANY_REQUESTS);
         }
-        let answer = self.serve(req).await;
-        if write && self.lose_answer() {
+        let response = self.serve(req).await;
+        if write && self.loses_response() {
             return status(StatusCode::INTERNAL_SERVER_ERROR);
         }
-        answer
+        response
     }
 
-    fn lose_answer(&self) -> bool {
+    fn loses_response(&self) -> bool {
         let mut state = self.lock();
         let lose = state.faults.lose_answers > 0;
         state.faults.lose_answers -= u32::from(lose);
@@ -212,7 +213,7 @@
         match path.as_str() {
             "/v1/list" => self.list(query),
             "/v1/watch" => self.watch(query).await,
-            "/v1/boxes" => ok(&self.lock().shown),
+            "/v1/boxes" => ok(&self.lock().listed_boxes),
             "/v1/leases" => self.grant(req).await,
             _ => status(StatusCode::BAD_REQUEST),
         }
@@ -238,8 +239,8 @@
                 self.changed.send_replace(revision);
                 ok(&revision)
             }
-            Err(KvFault::Conflict) => status(StatusCode::CONFLICT),
-            Err(KvFault::LeaseLapsed) => status(StatusCode::GONE),
+            Err(KvError::Conflict) => status(StatusCode::CONFLICT),
+            Err(KvError::LeaseExpired) => status(StatusCode::GONE),
         }
     }
 
@@ -315,14 +316,14 @@
             Duration::from_millis(state.faults.list_lag_ms)
         };
         if lag.is_zero() {
-            self.lock().shown = boxes;
+            self.lock().listed_boxes = boxes;
             return status(StatusCode::OK);
         }
         let this = self.clone();
         tokio::spawn(async move {
             tokio::time::sleep(lag).await;
             let mut state = this.lock();
-            state.shown = state.boxes.clone();
+            state.listed_boxes = state.boxes.clone();
         });
         status(StatusCode::OK)
     }
--- a/crates/sillpin-standin/src/query.rs
+++ b/crates/sillpin-standin/src/query.rs
@@ -1,8 +1,8 @@
-//! Query strings of the stand-ins' interfaces.
+//! Parses query strings of the stand-ins' HTTP interfaces.
 
 use std::str::FromStr;
 
-/// Value of `key` in a query string such as `a=1&b=2`.
+/// Returns the value of `key` in a query string such as `a=1&b=2`; `None` if it is missing or does not parse.
 pub fn param<T: FromStr>(query: Option<&str>, key: &str) -> Option<T> {
     query?
         .split('&')
--- a/crates/sillpin-standin/src/service.rs
+++ b/crates/sillpin-standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service. It counts every execution by idempotency key, so that a double shows.
+//! A plain service. It counts executions by idempotency key, so that double executions are detected.
 
 use crate::{Response, ok, status};
 use hyper::body::Incoming;
@@ -11,18 +11,18 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// Longest request body echoed.
+/// Maximum length of a request body, in bytes.
 const MAX_BODY_LEN: usize = 64 << 20;
 
 /// Faults and settings set at run time.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ServiceFaults {
-    /// Time that an execution takes, in milliseconds.
+    /// Duration of an execution, in milliseconds.
     pub delay_ms: u64,
-    /// Break the connection after the execution instead of answering.
+    /// Break the connection after the execution instead of sending a response.
     pub break_answer: bool,
-    /// Say in the load report that it leaves.
+    /// Report in the load report that the service is leaving.
     pub leaving: bool,
 }
 
@@ -34,7 +34,7 @@
     running: u32,
 }
 
-/// The stand-in; clones share it.
+/// The stand-in. Clones share their state.
 #[derive(Clone, Default)]
 pub struct ServiceStandin {
     state: Arc<Mutex<State>>,
@@ -45,7 +45,7 @@
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Answers one request.
+    /// Handles one HTTP request.
     pub async fn handle(self, req: Request<Incoming>) -> Response {
         match req.uri().path() {
             "/v1/load" => ok(&self.load()),
@@ -104,7 +104,7 @@
         }
         if faults.break_answer {
             let (tx, body) = sillpin_http::Body::channel();
-            tokio::spawn(tx.abort("told to break"));
+            tokio::spawn(tx.abort("connection broken by the fault `break_answer`"));
             *resp.body_mut() = body;
         }
         resp
--- a/crates/sillpin-standin/src/store.rs
+++ b/crates/sillpin-standin/src/store.rs
@@ -1,4 +1,4 @@
-//! A store box: objects that are written, sealed, read and freed, within a capacity and a rate.
+//! A store for KV cache blocks: objects are written, sealed, read and freed, with a limited capacity and link rate.
 
 use crate::query::param;
 use crate::{Response, ok, status};
@@ -15,19 +15,19 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest object.
+/// Maximum length of an object, in bytes.
 const MAX_OBJECT_LEN: usize = 16 << 20;
 
-/// Size and speed of a store box.
+/// Size and speed of a store.
 #[derive(Debug, Clone, Copy)]
 pub struct StoreShape {
-    /// Bytes that the memory tier holds; older objects go to disk.
+    /// Size of the memory tier, in bytes; the least recently used objects beyond it are on disk.
     pub memory: usize,
-    /// Bytes that both tiers hold; a write beyond is refused.
+    /// Size of both tiers together, in bytes; a write that would exceed it is refused.
     pub capacity: usize,
-    /// Bytes a second over the link, both ways together.
+    /// Rate of the link in bytes per second, for both directions together.
     pub link_rate: u64,
-    /// Added to a read from disk.
+    /// Additional duration of a read from disk.
     pub disk_delay: Duration,
 }
 
@@ -35,29 +35,29 @@
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct StoreFaults {
-    /// Flip a bit in every object read.
+    /// Flip one bit of every object read.
     pub flip_bit: bool,
-    /// Cut every object read to half its length.
+    /// Truncate every object read to half its length.
     pub truncate: bool,
-    /// Serve objects that are not sealed or freed, as a careless store would.
+    /// Serve objects that are not sealed, or that were freed.
     pub careless: bool,
 }
 
-/// What the store counted.
+/// Counters of the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreCounters {
-    /// Objects held.
+    /// Number of objects in the store.
     pub objects: u64,
-    /// Bytes held.
+    /// Bytes of all objects in the store.
     pub held: u64,
-    /// Bytes in and out over the link.
+    /// Bytes received and sent over the link.
     pub link_bytes: u64,
 }
 
 struct Object {
     data: Bytes,
     seal: Option<Seal>,
-    used: u64,
+    last_use: u64,
 }
 
 #[derive(Default)]
@@ -67,11 +67,11 @@
     faults: StoreFaults,
     counters: StoreCounters,
     clock: u64,
-    link_free: Option<Instant>,
+    link_free_at: Option<Instant>,
     reports: u64,
 }
 
-/// The stand-in; clones share it.
+/// The stand-in. Clones share their state.
 #[derive(Clone)]
 pub struct StoreStandin {
     shape: StoreShape,
@@ -79,7 +79,7 @@
 }
 
 impl StoreStandin {
-    /// An empty store box.
+    /// Creates an empty store.
     pub fn new(shape: StoreShape) -> Self {
         Self {
             shape,
@@ -91,7 +91,7 @@
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Answers one request.
+    /// Handles one HTTP request.
     pub async fn handle(self, req: Request<Incoming>) -> Response {
         let path = req.uri().path().to_owned();
         match path.as_str() {
@@ -145,8 +145,8 @@
         let after: String = param(query, "after").unwrap_or_default();
         let limit = param(query, "limit").unwrap_or(usize::MAX);
         let state = self.lock();
-        let behind = state.objects.iter().filter(|(name, _)| **name > after);
-        behind.filter_map(sealed_object).take(limit).collect()
+        let following = state.objects.iter().filter(|(name, _)| **name > after);
+        following.filter_map(sealed_object).take(limit).collect()
     }
 
     async fn write(&self, name: &str, req: Request<Incoming>) -> Response {
@@ -164,11 +164,11 @@
         state.counters.held += data.len() as u64;
         state.counters.objects += 1;
         state.clock += 1;
-        let used = state.clock;
+        let last_use = state.clock;
         let object = Object {
             data,
             seal: None,
-            used,
+            last_use,
         };
         state.objects.insert(name.to_owned(), object);
         status(StatusCode::OK)
@@ -191,17 +191,17 @@
     }
 
     async fn read(&self, name: &str) -> Response {
-        let Some((data, faults, on_disk)) = self.look_up(name) else {
+        let Some((data, faults, on_disk)) = self.find(name) else {
             return status(StatusCode::NOT_FOUND);
         };
         if on_disk {
             tokio::time::sleep(self.shape.disk_delay).await;
         }
         self.use_link(data.len()).await;
-        hyper::Response::new(Body::full(spoil(data, &faults)))
+        hyper::Response::new(Body::full(corrupt(data, &faults)))
     }
 
-    fn look_up(&self, name: &str) -> Option<(Bytes, StoreFaults, bool)> {
+    fn find(&self, name: &str) -> Option<(Bytes, StoreFaults, bool)> {
         let mut state = self.lock();
         let faults = state.faults.clone();
         let Some(object) = state.objects.get(name) else {
@@ -214,18 +214,18 @@
             return None;
         }
         let data = object.data.clone();
-        let on_disk = self.is_on_disk(&state, object.used);
+        let on_disk = self.is_on_disk(&state, object.last_use);
         state.clock += 1;
         let now = state.clock;
         if let Some(object) = state.objects.get_mut(name) {
-            object.used = now;
+            object.last_use = now;
         }
         Some((data, faults, on_disk))
     }
 
-    /// The memory tier holds what was used last; what lies beyond its size is on disk.
-    fn is_on_disk(&self, state: &State, used: u64) -> bool {
-        let newer = state.objects.values().filter(|o| o.used > used);
+    /// The most recently used objects that fit are in the memory tier, all others on disk.
+    fn is_on_disk(&self, state: &State, last_use: u64) -> bool {
+        let newer = state.objects.values().filter(|o| o.last_use > last_use);
         let newer_len: usize = newer.map(|o| o.data.len()).sum();
         newer_len > self.shape.memory
     }
@@ -241,15 +241,15 @@
         status(StatusCode::OK)
     }
 
-    /// Waits for the link's turn: transfers go one behind the other at the link's rate.
+    /// Waits until the link has transferred `len` bytes after all earlier transfers.
     async fn use_link(&self, len: usize) {
         let done = {
             let mut state = self.lock();
             state.counters.link_bytes += len as u64;
             let now = Instant::now();
-            let start = state.link_free.filter(|free| *free > now).unwrap_or(now);
+            let start = state.link_free_at.filter(|free| *free > now).unwrap_or(now);
             let time = Duration::from_secs_f64(len as f64 / self.shape.link_rate as f64);
-            *state.link_free.insert(start + time)
+            *state.link_free_at.insert(start + time)
         };
         tokio::time::sleep_until(done).await;
     }
@@ -264,7 +264,7 @@
     })
 }
 
-fn spoil(data: Bytes, faults: &StoreFaults) -> Bytes {
+fn corrupt(data: Bytes, faults: &StoreFaults) -> Bytes {
     let mut data = data.to_vec();
     if faults.truncate {
         data.truncate(data.len() / 2);
--- a/crates/sillpin-standin/src/weights.rs
+++ b/crates/sillpin-standin/src/weights.rs
@@ -1,4 +1,4 @@
-//! A rate-limited weight store: a load is slower when more than three run at once.
+//! A rate-limited weight store: loads slow down when more than three run at the same time.
 
 use crate::query::param;
 use crate::{Response, ok, status};
@@ -9,29 +9,29 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
-/// Loads at once that the store serves at full speed.
+/// Number of concurrent loads that the store serves at full speed.
 pub const FULL_SPEED_LOADS: u32 = 3;
 
-/// What the store counted.
+/// Counters of the weight store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightCounters {
-    /// Most loads at once.
+    /// Maximum number of concurrent loads.
     pub most_at_once: u32,
     /// Loads served.
     pub loads: u32,
 }
 
-/// The stand-in; clones share it.
+/// The stand-in. Clones share their state.
 #[derive(Clone, Default)]
 pub struct WeightStandin {
-    now: Arc<AtomicU32>,
-    most: Arc<AtomicU32>,
+    running: Arc<AtomicU32>,
+    max_running: Arc<AtomicU32>,
     loads: Arc<AtomicU32>,
     load_time: Duration,
 }
 
 impl WeightStandin {
-    /// A store that takes `load_time` for a load at full speed.
+    /// Creates a store whose loads take `load_time` at full speed.
     pub fn new(load_time: Duration) -> Self {
         Self {
             load_time,
@@ -39,12 +39,12 @@
         }
     }
 
-    /// Answers one request.
+    /// Handles one HTTP request.
     pub async fn handle(self, req: Request<Incoming>) -> Response {
         match req.uri().path() {
             "/v1/weights" => self.load(param(req.uri().query(), "version")).await,
             "/admin/counters" => ok(&WeightCounters {
-                most_at_once: self.most.load(Ordering::Relaxed),
+                most_at_once: self.max_running.load(Ordering::Relaxed),
                 loads: self.loads.load(Ordering::Relaxed),
             }),
             _ => status(StatusCode::NOT_FOUND),
@@ -52,12 +52,12 @@
     }
 
     async fn load(&self, version: Option<u64>) -> Response {
-        let at_once = self.now.fetch_add(1, Ordering::Relaxed) + 1;
-        self.most.fetch_max(at_once, Ordering::Relaxed);
+        let concurrent = self.running.fetch_add(1, Ordering::Relaxed) + 1;
+        self.max_running.fetch_max(concurrent, Ordering::Relaxed);
         self.loads.fetch_add(1, Ordering::Relaxed);
-        let slowdown = at_once.div_ceil(FULL_SPEED_LOADS);
+        let slowdown = concurrent.div_ceil(FULL_SPEED_LOADS);
         tokio::time::sleep(self.load_time * slowdown * slowdown).await;
-        self.now.fetch_sub(1, Ordering::Relaxed);
+        self.running.fetch_sub(1, Ordering::Relaxed);
         ok(&version)
     }
 }
