--- a/crates/sillpin-load/src/commands/send.rs
+++ b/crates/sillpin-load/src/commands/send.rs
@@ -2,8 +2,8 @@
 
 use super::{corpus, documents_arg, value};
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
-use sillpin_load::drive::{self, Drive};
-use sillpin_load::floor;
+use sillpin_load::driver::{self, Drive};
+use sillpin_load::lower_bound;
 use sillpin_load::report::{Line, first_tokens, plot, sum_up};
 use sillpin_load::workload::Trace;
 use std::collections::{BTreeMap, HashMap};
@@ -92,8 +92,8 @@
         timeout: Duration::from_secs(value(args, "timeout")?),
         resend_unknown: false,
     };
-    let rows = drive::run(&drive, &trace, &corpus, |_| {}).await;
-    let floor = floor::of(&trace, &corpus, value(args, "cache")?);
+    let rows = driver::run(&drive, &trace, &corpus, |_| {}).await;
+    let floor = lower_bound::of(&trace, &corpus, value(args, "cache")?);
     let report = sum_up(&rows, Some(&floor), &BTreeMap::new());
     if let Some(file) = args.get_one::<PathBuf>("plot") {
         let line = Line {
--- a/crates/sillpin-load/src/report.rs
+++ b/crates/sillpin-load/src/report.rs
@@ -1,8 +1,8 @@
 //! What came of a workload: counted at the load side and, for executions, at the stand-ins.
 
 use crate::caller::CallResult;
-use crate::drive::Row;
-use crate::floor::Floor;
+use crate::driver::Row;
+use crate::lower_bound::Floor;
 use hdrhistogram::Histogram;
 use plotters::prelude::*;
 use serde::Serialize;
--- a/crates/sillpin-load/tests/load.rs
+++ b/crates/sillpin-load/tests/load.rs
@@ -1,8 +1,8 @@
 //! Workloads are replayable, and the floor is the floor.
 
 use sillpin_load::caller::CallResult;
-use sillpin_load::drive::Row;
-use sillpin_load::floor;
+use sillpin_load::driver::Row;
+use sillpin_load::lower_bound;
 use sillpin_load::report::{Line, first_tokens, plot, sum_up};
 use sillpin_load::workload::{Corpus, Kind, Plan, Trace};
 use std::collections::BTreeMap;
@@ -38,10 +38,10 @@
 fn a_larger_cache_is_never_worse_and_none_beats_the_compulsory_share() {
     let trace = Trace::make(&plan(Kind::Planning, 7));
     let shares: Vec<f64> = [0, 50, 200, 100_000]
-        .map(|capacity| floor::of(&trace, &Corpus::default(), capacity).belady_share)
+        .map(|capacity| lower_bound::of(&trace, &Corpus::default(), capacity).belady_share)
         .into();
     assert!(shares.is_sorted_by(|a, b| a >= b), "{shares:?}");
-    let floor = floor::of(&trace, &Corpus::default(), 100_000);
+    let floor = lower_bound::of(&trace, &Corpus::default(), 100_000);
     assert_eq!(floor.belady_share, floor.compulsory_share);
     assert_eq!(shares[0], 1.0);
 }
--- a/xtask/src/ops/compare.rs
+++ b/xtask/src/ops/compare.rs
@@ -4,8 +4,8 @@
 use super::demo::{ORGANISATIONS, drive_for};
 use serde::Serialize;
 use sillpin_bundle::Bundle;
-use sillpin_load::drive::{self, Row};
-use sillpin_load::floor;
+use sillpin_load::driver::{self, Row};
+use sillpin_load::lower_bound;
 use sillpin_load::report::{Report, median, sum_up};
 use sillpin_load::workload::{Corpus, Kind, Plan, Trace};
 use sillpin_policy::set::{KeepingKind, PlacementKind, PlacementPolicy};
@@ -315,10 +315,10 @@
     }
     let trace = trace(scenario, side, seed);
     let corpus = Corpus::default();
-    let floor = floor::of(&trace, &corpus, ENGINES * CACHE_BLOCKS);
+    let floor = lower_bound::of(&trace, &corpus, ENGINES * CACHE_BLOCKS);
     let callers = fleet.boxes.iter().map(|b| b.callers()).collect();
     let (_balancer, entries) = watch::channel(callers);
-    let rows = drive::run(&drive_for(entries), &trace, &corpus, |_| {}).await;
+    let rows = driver::run(&drive_for(entries), &trace, &corpus, |_| {}).await;
     let executions = fleet.all_executions().await;
     let others: Vec<Row> = rows
         .iter()
--- a/xtask/src/ops/demo.rs
+++ b/xtask/src/ops/demo.rs
@@ -3,8 +3,8 @@
 
 use super::overhead::{self, Measurement, Overhead};
 use sillpin_core::TargetKind;
-use sillpin_load::drive::{self, Drive, Row};
-use sillpin_load::floor;
+use sillpin_load::driver::{self, Drive, Row};
+use sillpin_load::lower_bound;
 use sillpin_load::report::{Report, sum_up};
 use sillpin_load::workload::{Corpus, Event, Kind, Plan, Trace};
 use sillpin_testsuite::fleet::{MODEL, SERVICE_POOL, key_of};
@@ -119,12 +119,12 @@
     let overhead = measure_overhead(&fleet).await;
     let trace = trace(LENGTH);
     let corpus = Corpus::of(documents);
-    let floor = floor::of(&trace, &corpus, 18 * CACHE_BLOCKS);
+    let floor = lower_bound::of(&trace, &corpus, 18 * CACHE_BLOCKS);
     let callers: Vec<SocketAddr> = fleet.boxes.iter().map(|b| b.callers()).collect();
     let (balancer, entries) = watch::channel(callers);
     let drive = drive_for(entries);
     let ended = AtomicUsize::new(0);
-    let sending = drive::run(&drive, &trace, &corpus, |rows| {
+    let sending = driver::run(&drive, &trace, &corpus, |rows| {
         ended.store(rows, Ordering::Relaxed)
     });
     let events = happen(&mut fleet, &balancer, &say, &ended);
--- a/xtask/src/ops/faults/mod.rs
+++ b/xtask/src/ops/faults/mod.rs
@@ -17,7 +17,7 @@
 use sillpin_core::switches::Mechanism;
 use sillpin_core::{Outcome, Revision, TargetKind};
 use sillpin_load::caller::CallResult;
-use sillpin_load::drive::{self, Row};
+use sillpin_load::driver::{self, Row};
 use sillpin_load::workload::{Corpus, Event, Kind, Plan, Trace};
 use sillpin_standin::engine::EngineFaults;
 use sillpin_standin::fault::Faults as LinkFaults;
@@ -115,14 +115,14 @@
     async fn run(mut self, pair: [Fault; 2], report: &mut FaultReport) {
         let trace = self.trace();
         let drive = drive_for(self.balancer.subscribe());
-        let drive = drive::Drive {
+        let drive = driver::Drive {
             timeout: Duration::from_secs(20),
             resend_unknown: true,
             ..drive
         };
         let sending =
             tokio::spawn(
-                async move { drive::run(&drive, &trace, &Corpus::default(), |_| {}).await },
+                async move { driver::run(&drive, &trace, &Corpus::default(), |_| {}).await },
             );
         tokio::time::sleep(FAULT / 2).await;
         let accepted = self
