--- a/crates/sillpin-load/src/caller.rs
+++ b/crates/sillpin-load/src/caller.rs
@@ -1,4 +1,4 @@
-//! Sends one request as a caller would, and checks from outside what comes back.
+//! Sends one request as a caller does, and checks the response from outside.
 
 use crate::oracle::ExpectedAnswer;
 use hyper::body::Incoming;
@@ -11,32 +11,32 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest answer read, in bytes.
-const MAX_ANSWER_LEN: usize = 64 << 20;
+/// Maximum length of a response, in bytes.
+const MAX_RESPONSE_LEN: usize = 64 << 20;
 
-/// What is asked.
+/// A completion request.
 #[derive(Debug, Clone)]
 pub struct CompletionRequest {
-    /// Key of the organisation.
+    /// API key of the organisation.
     pub key: String,
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Prompt.
+    /// Text of the prompt.
     pub prompt: String,
-    /// Tokens to generate.
+    /// Number of tokens to generate.
     pub max_tokens: u32,
-    /// Whether tokens are sent as they come.
+    /// Whether tokens are streamed as they are generated.
     pub stream: bool,
-    /// Class.
+    /// Priority class.
     pub class: PriorityClass,
     /// Idempotency key, if the call runs at most once.
     pub once_key: Option<String>,
-    /// Longest wait for the whole answer.
+    /// Maximum wait for the complete response.
     pub timeout: Duration,
 }
 
 impl CompletionRequest {
-    /// A streamed request with usual values.
+    /// Creates a streamed request with priority `Normal`, no idempotency key and a timeout of 60 s.
     pub fn new(key: &str, model: &str, prompt: impl Into<String>, max_tokens: u32) -> Self {
         Self {
             key: key.to_owned(),
@@ -51,57 +51,57 @@
     }
 }
 
-/// Counts of a whole answer.
+/// Token counts of a complete response.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens generated.
+    /// Number of tokens generated.
     pub completion_tokens: u32,
-    /// Where the prompt's tokens came from.
+    /// Numbers of prompt tokens that were not computed.
     pub prompt_tokens_details: PromptDetails,
 }
 
-/// Where a prompt's tokens came from.
+/// Prompt tokens that were not computed, by source.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 pub struct PromptDetails {
-    /// Found in the engine's cache.
+    /// Number of tokens found in the engine's cache.
     pub cached_tokens: u64,
-    /// Fetched from stores.
+    /// Number of tokens fetched from stores.
     pub imported_tokens: u64,
-    /// Bytes fetched from stores.
+    /// Number of bytes fetched from stores.
     pub imported_bytes: u64,
 }
 
-/// What came back.
+/// Result of a request, as observed by the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallResult {
-    /// The whole answer, and it is the right one.
+    /// The complete and expected response.
     Answered {
         /// Time to first token.
         first_token: Duration,
-        /// Time to the end mark.
-        whole: Duration,
-        /// Counts.
+        /// Time to the end of the response.
+        total: Duration,
+        /// Token counts.
         usage: Usage,
-        /// The request.
+        /// Id of the request, if the response had one.
         request: Option<RequestId>,
     },
-    /// A problem document.
+    /// A problem document, instead of a response or in the middle of a stream.
     Refused {
-        /// The document.
+        /// The problem document.
         problem: Problem,
-        /// Time until it came.
+        /// Time until the problem document was received.
         after: Duration,
     },
-    /// Neither a whole answer nor a word about it.
+    /// Neither a complete response nor a problem document; with the reason.
     Lost(String),
-    /// An answer that is not the one to this prompt.
+    /// A response that is not the one to this request; with the unexpected text.
     Mixed(String),
 }
 
 impl CallResult {
-    /// What was said about the request; `None` if nothing was.
+    /// Returns the reported outcome of the request; `None` if none was reported.
     pub fn outcome(&self) -> Option<Outcome> {
         match self {
             CallResult::Answered { .. } => Some(Outcome::Ran),
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Whether the whole answer came.
+    /// Returns whether the complete response was received.
     pub fn is_answered(&self) -> bool {
         matches!(self, CallResult::Answered { .. })
     }
@@ -128,64 +128,73 @@
     text: String,
 }
 
-/// Sends a request to an entry and checks the answer.
-pub async fn call(client: &Client, entry: SocketAddr, ask: &CompletionRequest) -> CallResult {
+/// Sends a request to an entry and checks the response.
+pub async fn call(
+    client: &Client,
+    entry: SocketAddr,
+    completion: &CompletionRequest,
+) -> CallResult {
     let begun = Instant::now();
-    let work = send(client, entry, ask, begun);
-    match tokio::time::timeout(ask.timeout, work).await {
-        Ok(got) => got,
-        Err(_) => CallResult::Lost(format!("no whole answer within {:?}", ask.timeout)),
+    let sending = send_and_check(client, entry, completion, begun);
+    match tokio::time::timeout(completion.timeout, sending).await {
+        Ok(result) => result,
+        Err(_) => CallResult::Lost(format!(
+            "no complete response within {:?}",
+            completion.timeout
+        )),
     }
 }
 
-fn request(entry: SocketAddr, ask: &CompletionRequest) -> Option<Request<Body>> {
+fn request(entry: SocketAddr, completion: &CompletionRequest) -> Option<Request<Body>> {
     let document = serde_json::json!({
-        "model": ask.model,
-        "prompt": ask.prompt,
-        "max_tokens": ask.max_tokens,
-        "stream": ask.stream,
+        "model": completion.model,
+        "prompt": completion.prompt,
+        "max_tokens": completion.max_tokens,
+        "stream": completion.stream,
     });
     let mut builder = Request::builder()
         .method(Method::POST)
         .uri(format!("http://{entry}/v1/completions"))
-        .header(header::AUTHORIZATION, format!("Bearer {}", ask.key))
-        .header("sillpin-priority", ask.class.to_string());
-    if let Some(key) = &ask.once_key {
+        .header(header::AUTHORIZATION, format!("Bearer {}", completion.key))
+        .header("sillpin-priority", completion.class.to_string());
+    if let Some(key) = &completion.once_key {
         builder = builder.header("idempotency-key", key);
     }
     builder.body(Body::full(document.to_string())).ok()
 }
 
-async fn send(
+async fn send_and_check(
     client: &Client,
     entry: SocketAddr,
-    ask: &CompletionRequest,
+    completion: &CompletionRequest,
     begun: Instant,
 ) -> CallResult {
-    let Some(req) = request(entry, ask) else {
-        return CallResult::Lost("the request could not be built".to_owned());
+    let Some(req) = request(entry, completion) else {
+        return CallResult::Lost(
+            "the HTTP request could not be built: invalid address or header value".to_owned(),
+        );
     };
     let resp = match client.send("call an entry", entry, req).await {
         Ok(resp) => resp,
         Err(e) => return CallResult::Lost(e.to_string()),
     };
     if resp.status() != StatusCode::OK {
-        return refused(resp, begun).await;
+        return read_refusal(resp, begun).await;
     }
     let id = resp.headers().get("sillpin-request-id");
     let id = id
         .and_then(|v| v.to_str().ok())
         .and_then(|v| v.parse().ok());
-    let expected = ExpectedAnswer::of(&ask.prompt);
-    if ask.stream {
-        return streamed(resp, ask, expected, begun, id).await;
+    let expected = ExpectedAnswer::of(&completion.prompt);
+    if completion.stream {
+        return read_stream(resp, completion, expected, begun, id).await;
     }
-    whole(resp, ask, expected, begun, id).await
+    read_document(resp, completion, expected, begun, id).await
 }
 
-async fn refused(resp: Response<Incoming>, begun: Instant) -> CallResult {
+async fn read_refusal(resp: Response<Incoming>, begun: Instant) -> CallResult {
     let status = resp.status();
-    match read_json::<Problem, _>(resp.into_body(), MAX_ANSWER_LEN).await {
+    match read_json::<Problem, _>(resp.into_body(), MAX_RESPONSE_LEN).await {
         Ok(problem) => CallResult::Refused {
             problem,
             after: begun.elapsed(),
@@ -194,32 +203,32 @@
     }
 }
 
-async fn whole(
+async fn read_document(
     resp: Response<Incoming>,
-    ask: &CompletionRequest,
+    completion: &CompletionRequest,
     expected: ExpectedAnswer,
     begun: Instant,
     request: Option<RequestId>,
 ) -> CallResult {
-    let document: Document = match read_json(resp.into_body(), MAX_ANSWER_LEN).await {
+    let document: Document = match read_json(resp.into_body(), MAX_RESPONSE_LEN).await {
         Ok(document) => document,
         Err(e) => return CallResult::Lost(e.to_string()),
     };
     let [choice] = document.choices;
-    if choice.text != expected.text(ask.max_tokens) {
+    if choice.text != expected.text(completion.max_tokens) {
         return CallResult::Mixed(choice.text);
     }
     CallResult::Answered {
         first_token: begun.elapsed(),
-        whole: begun.elapsed(),
+        total: begun.elapsed(),
         usage: document.usage.unwrap_or_default(),
         request,
     }
 }
 
-async fn streamed(
+async fn read_stream(
     resp: Response<Incoming>,
-    ask: &CompletionRequest,
+    completion: &CompletionRequest,
     expected: ExpectedAnswer,
     begun: Instant,
     request: Option<RequestId>,
@@ -228,7 +237,7 @@
     let mut first_token = None;
     let mut usage = None;
     let mut tokens = 0;
-    let mut failing = false;
+    let mut is_error_event = false;
     loop {
         let line = match lines.next().await {
             Ok(Some(line)) => line,
@@ -237,19 +246,19 @@
         };
         let line = String::from_utf8_lossy(&line).into_owned();
         if line == "event: error" {
-            failing = true;
+            is_error_event = true;
             continue;
         }
         let Some(data) = line.strip_prefix("data: ") else {
             continue;
         };
-        if failing {
+        if is_error_event {
             return match serde_json::from_str(data) {
                 Ok(problem) => CallResult::Refused {
                     problem,
                     after: begun.elapsed(),
                 },
-                Err(e) => CallResult::Lost(format!("unreadable problem: {e}")),
+                Err(e) => CallResult::Lost(format!("invalid problem document: {e}")),
             };
         }
         if data == "[DONE]" {
@@ -257,7 +266,7 @@
         }
         let document: Document = match serde_json::from_str(data) {
             Ok(document) => document,
-            Err(e) => return CallResult::Lost(format!("unreadable event: {e}")),
+            Err(e) => return CallResult::Lost(format!("invalid event: {e}")),
         };
         let [choice] = document.choices;
         usage = usage.or(document.usage);
@@ -271,15 +280,15 @@
         tokens += 1;
     }
     let counted = usage.unwrap_or_default().completion_tokens;
-    if tokens != ask.max_tokens || counted != tokens {
+    if tokens != completion.max_tokens || counted != tokens {
         return CallResult::Lost(format!(
-            "{tokens} of {} tokens, {counted} counted",
-            ask.max_tokens
+            "received {tokens} of {} tokens, the usage reports {counted}",
+            completion.max_tokens
         ));
     }
     CallResult::Answered {
         first_token: first_token.unwrap_or_else(|| begun.elapsed()),
-        whole: begun.elapsed(),
+        total: begun.elapsed(),
         usage: usage.unwrap_or_default(),
         request,
     }
--- a/crates/sillpin-load/src/commands/make.rs
+++ b/crates/sillpin-load/src/commands/make.rs
@@ -1,4 +1,4 @@
-//! `sillpin-load make`: writes a trace.
+//! `sillpin-load make`: prints a trace.
 
 use super::value;
 use clap::{Arg, ArgMatches, Command, value_parser};
@@ -8,23 +8,27 @@
 
 pub fn cli() -> Command {
     Command::new("make")
-        .about("Prints a trace, one request a line")
+        .about("Generates a trace and prints it, one request per line")
         .arg(
             Arg::new("kind")
                 .required(true)
                 .value_parser(value_parser!(Kind))
-                .help("planning or kerb"),
+                .help("Kind of workload: planning or kerb"),
         )
         .arg(number("seed", "1", "Seed"))
-        .arg(number("rate", "20", "Requests a second"))
+        .arg(number("rate", "20", "Mean requests per second"))
         .arg(number("seconds", "30", "Length"))
-        .arg(number("prompts", "200", "Prompts that return"))
+        .arg(number(
+            "prompts",
+            "200",
+            "Number of packs or histories whose prompts return",
+        ))
         .arg(
             Arg::new("organisations")
                 .long("organisations")
                 .value_delimiter(',')
                 .default_value("riders,mechanics")
-                .help("Organisations, the largest first"),
+                .help("Organisations, by descending number of requests"),
         )
 }
 
--- a/crates/sillpin-load/src/commands/mod.rs
+++ b/crates/sillpin-load/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands: each declares its arguments beside the function that runs it.
+//! The subcommands. Each module declares the arguments of one command and runs it.
 
 mod make;
 mod send;
@@ -10,7 +10,7 @@
 
 pub fn cli() -> Command {
     Command::new("sillpin-load")
-        .about("Makes, sends and sums up workloads")
+        .about("Generates and sends workloads, and summarizes their results")
         .subcommand_required(true)
         .subcommand(make::cli())
         .subcommand(send::cli())
@@ -29,7 +29,7 @@
         .long("document")
         .action(clap::ArgAction::Append)
         .value_parser(value_parser!(PathBuf))
-        .help("A real text to make prompts of; may be given often")
+        .help("A text file to build prompts from; may be repeated")
 }
 
 fn corpus(args: &ArgMatches) -> io::Result<Corpus> {
@@ -43,5 +43,5 @@
     name: &str,
 ) -> io::Result<T> {
     let value = args.get_one::<T>(name).cloned();
-    value.ok_or_else(|| io::Error::other(format!("{name} is missing")))
+    value.ok_or_else(|| io::Error::other(format!("the argument `{name}` is missing")))
 }
--- a/crates/sillpin-load/src/commands/send.rs
+++ b/crates/sillpin-load/src/commands/send.rs
@@ -1,10 +1,10 @@
-//! `sillpin-load send`: sends a trace and sums up what came of it.
+//! `sillpin-load send`: sends a trace and summarizes the results.
 
 use super::{corpus, documents_arg, value};
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
-use sillpin_load::driver::{self, Drive};
+use sillpin_load::driver::{self, DriverConfig};
 use sillpin_load::lower_bound;
-use sillpin_load::report::{Line, first_tokens, plot, sum_up};
+use sillpin_load::report::{Line, first_token_times, plot, summarize};
 use sillpin_load::workload::Trace;
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -15,12 +15,12 @@
 
 pub fn cli() -> Command {
     Command::new("send")
-        .about("Sends a trace, open loop, and sums up what came of it")
+        .about("Sends a trace, open loop, and summarizes the results")
         .arg(
             Arg::new("trace")
                 .required(true)
                 .value_parser(value_parser!(PathBuf))
-                .help("The trace"),
+                .help("File of the trace"),
         )
         .arg(
             Arg::new("entries")
@@ -28,20 +28,20 @@
                 .required(true)
                 .action(ArgAction::Append)
                 .value_parser(value_parser!(SocketAddr))
-                .help("An entry; may be given often"),
+                .help("Address of an entry; may be repeated"),
         )
         .arg(
             Arg::new("keys")
                 .long("key")
                 .required(true)
                 .action(ArgAction::Append)
-                .help("ORGANISATION=KEY; may be given often"),
+                .help("ORGANISATION=KEY; may be repeated"),
         )
         .arg(
             Arg::new("model")
                 .long("model")
                 .default_value("mfano")
-                .help("Model to ask"),
+                .help("Model of completion requests"),
         )
         .arg(
             Arg::new("pool")
@@ -54,20 +54,20 @@
                 .long("timeout-seconds")
                 .default_value("120")
                 .value_parser(value_parser!(u64))
-                .help("Longest wait for an answer"),
+                .help("Maximum wait for a response"),
         )
         .arg(
             Arg::new("cache")
                 .long("cache-blocks")
                 .default_value("1000")
                 .value_parser(value_parser!(usize))
-                .help("Blocks that all engines together cache, for the floor"),
+                .help("Total cache capacity of all engines in blocks, for the lower bound"),
         )
         .arg(
             Arg::new("plot")
                 .long("plot")
                 .value_parser(value_parser!(PathBuf))
-                .help("Write a plot (SVG)"),
+                .help("File to which a plot (SVG) is written"),
         )
         .arg(
             Arg::new("json")
@@ -84,21 +84,21 @@
     let corpus = corpus(args)?;
     let entries = args.get_many::<SocketAddr>("entries").unwrap_or_default();
     let (_balancer, entries) = watch::channel(entries.copied().collect());
-    let drive = Drive {
+    let config = DriverConfig {
         entries,
         keys: keys(args)?,
         model: value(args, "model")?,
         service_pool: value(args, "pool")?,
         timeout: Duration::from_secs(value(args, "timeout")?),
-        resend_unknown: false,
+        retry_unknown: false,
     };
-    let rows = driver::run(&drive, &trace, &corpus, |_| {}).await;
-    let floor = lower_bound::of(&trace, &corpus, value(args, "cache")?);
-    let report = sum_up(&rows, Some(&floor), &BTreeMap::new());
+    let records = driver::run(&config, &trace, &corpus, |_| {}).await;
+    let lower_bound = lower_bound::of(&trace, &corpus, value(args, "cache")?);
+    let report = summarize(&records, Some(&lower_bound), &BTreeMap::new());
     if let Some(file) = args.get_one::<PathBuf>("plot") {
         let line = Line {
             name: "all",
-            times: first_tokens(&rows),
+            times: first_token_times(&records),
         };
         let svg = plot("Time to first token", &[line]).map_err(io::Error::other)?;
         std::fs::write(file, svg)?;
@@ -116,7 +116,7 @@
     let split = |pair: &String| {
         let pair = pair.split_once('=');
         let pair = pair.map(|(org, key)| (org.to_owned(), key.to_owned()));
-        pair.ok_or_else(|| io::Error::other("--key must be ORGANISATION=KEY"))
+        pair.ok_or_else(|| io::Error::other("--key must have the form ORGANISATION=KEY"))
     };
     given.map(split).collect()
 }
--- a/crates/sillpin-load/src/driver.rs
+++ b/crates/sillpin-load/src/driver.rs
@@ -1,4 +1,4 @@
-//! Sends a workload, open loop: each request at its time, whatever became of those before it.
+//! Sends a workload, open loop: each request at its time, whether or not earlier ones have ended.
 
 use crate::caller::{CallResult, CompletionRequest, call};
 use crate::workload::{Action, Corpus, Event, Trace};
@@ -14,168 +14,170 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Times that a request is sent again after a broken connection, and the pause before.
-const MAX_RESENDS: u32 = 3;
-const RESEND_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum number of retries after a broken connection, and the pause before each.
+const MAX_RETRIES: u32 = 3;
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Where and as whom a workload is sent.
+/// Addresses, keys and other parameters with which a workload is sent.
 #[derive(Debug, Clone)]
-pub struct Drive {
-    /// Entries, used in turn. May change while the workload is sent, as a balancer's list does.
+pub struct DriverConfig {
+    /// Entries, used in turn. The list may change while the workload is sent, as a balancer's does.
     pub entries: watch::Receiver<Vec<SocketAddr>>,
-    /// Key of each organisation.
+    /// API key of each organisation.
     pub keys: HashMap<String, String>,
-    /// Model to ask.
+    /// Model of completion requests.
     pub model: String,
     /// Pool of plain services to call.
     pub service_pool: String,
-    /// Longest wait for an answer.
+    /// Maximum wait for a response.
     pub timeout: Duration,
-    /// Whether callers send a call that runs at most once again when told "unknown".
-    pub resend_unknown: bool,
+    /// Whether callers retry a call with an idempotency key if its outcome is "unknown".
+    pub retry_unknown: bool,
 }
 
-/// What became of one request.
+/// A request of a workload and its result.
 #[derive(Debug, Clone)]
-pub struct Row {
-    /// When it was sent.
+pub struct RequestRecord {
+    /// Time at which it was due, from the start of the workload.
     pub at: Duration,
-    /// Its class.
+    /// Priority class.
     pub class: PriorityClass,
-    /// Its organisation.
+    /// Name of the organisation.
     pub organisation: String,
-    /// Its idempotency key, if it runs at most once.
+    /// Idempotency key, if the call runs at most once.
     pub once_key: Option<String>,
-    /// Times that it was sent again after a broken connection.
-    pub resends: u32,
-    /// What came back in the end.
-    pub got: CallResult,
+    /// Number of retries after a broken connection or an unknown outcome.
+    pub retries: u32,
+    /// Result of the last attempt.
+    pub result: CallResult,
 }
 
-/// Sends a trace and gathers what became of each request, in no particular order. `progress` is
-/// told how many have ended.
+/// Sends a trace and returns the records of its requests, in no particular order. Calls `report_progress` with
+/// the number of requests that have ended.
 pub async fn run(
-    drive: &Drive,
+    config: &DriverConfig,
     trace: &Trace,
     corpus: &Corpus,
-    progress: impl Fn(usize),
-) -> Vec<Row> {
+    report_progress: impl Fn(usize),
+) -> Vec<RequestRecord> {
     let client = Client::default();
     let corpus = Arc::new(corpus.clone());
     let start = Instant::now();
     let mut tasks = JoinSet::new();
-    let mut rows = Vec::with_capacity(trace.events.len());
+    let mut records = Vec::with_capacity(trace.events.len());
     for (number, event) in trace.events.iter().enumerate() {
         tokio::time::sleep_until(start + Duration::from_micros(event.at_us)).await;
-        let send = Send {
-            drive: drive.clone(),
+        let request = ScheduledRequest {
+            config: config.clone(),
             client: client.clone(),
             corpus: corpus.clone(),
             event: event.clone(),
             number,
         };
-        tasks.spawn(send.run());
-        while let Some(Ok(row)) = tasks.try_join_next() {
-            rows.push(row);
+        tasks.spawn(request.run());
+        while let Some(Ok(record)) = tasks.try_join_next() {
+            records.push(record);
         }
-        progress(rows.len());
+        report_progress(records.len());
     }
-    while let Some(row) = tasks.join_next().await {
-        rows.extend(row.ok());
-        progress(rows.len());
+    while let Some(record) = tasks.join_next().await {
+        records.extend(record.ok());
+        report_progress(records.len());
     }
-    rows
+    records
 }
 
-struct Send {
-    drive: Drive,
+struct ScheduledRequest {
+    config: DriverConfig,
     client: Client,
     corpus: Arc<Corpus>,
     event: Event,
     number: usize,
 }
 
-impl Send {
-    /// Sends the request; like any caller behind a balancer, it asks another entry when a
-    /// connection broke without a word. A call that runs at most once keeps its idempotency key.
-    async fn run(self) -> Row {
-        let mut resends = 0;
-        let mut got = self.send(resends).await;
-        while self.sends_again(&got) && resends < MAX_RESENDS {
-            resends += 1;
-            tokio::time::sleep(RESEND_PAUSE).await;
-            got = self.send(resends).await;
+impl ScheduledRequest {
+    /// Sends the request. Like a caller behind a balancer, it retries at another entry if the connection broke
+    /// without a response. A call that runs at most once keeps its idempotency key.
+    async fn run(self) -> RequestRecord {
+        let mut retries = 0;
+        let mut result = self.send(retries).await;
+        while self.needs_retry(&result) && retries < MAX_RETRIES {
+            retries += 1;
+            tokio::time::sleep(RETRY_PAUSE).await;
+            result = self.send(retries).await;
         }
         let once_key = match &self.event.action {
             Action::Once { key, .. } => Some(key.clone()),
             Action::Complete { .. } => None,
         };
-        Row {
+        RequestRecord {
             at: Duration::from_micros(self.event.at_us),
             class: self.event.class,
             organisation: self.event.organisation.clone(),
             once_key,
-            resends,
-            got,
+            retries,
+            result,
         }
     }
 
-    fn sends_again(&self, got: &CallResult) -> bool {
+    fn needs_retry(&self, result: &CallResult) -> bool {
         let once = matches!(self.event.action, Action::Once { .. });
-        let unknown = got.outcome() == Some(Outcome::Unknown);
-        matches!(got, CallResult::Lost(_)) || (once && unknown && self.drive.resend_unknown)
+        let unknown = result.outcome() == Some(Outcome::Unknown);
+        matches!(result, CallResult::Lost(_)) || (once && unknown && self.config.retry_unknown)
     }
 
-    async fn send(&self, resends: u32) -> CallResult {
-        let entry = self.entry(resends);
+    async fn send(&self, retries: u32) -> CallResult {
+        let entry = self.entry(retries);
         match &self.event.action {
             Action::Complete { prompt, tokens } => {
-                let ask = CompletionRequest {
+                let completion = CompletionRequest {
                     class: self.event.class,
-                    timeout: self.drive.timeout,
+                    timeout: self.config.timeout,
                     ..CompletionRequest::new(
                         self.key(),
-                        &self.drive.model,
+                        &self.config.model,
                         self.corpus.text(prompt),
                         *tokens,
                     )
                 };
-                call(&self.client, entry, &ask).await
+                call(&self.client, entry, &completion).await
             }
-            Action::Once { key, body } => self.once(entry, key, body).await,
+            Action::Once { key, body } => self.call_service(entry, key, body).await,
         }
     }
 
-    fn entry(&self, resends: u32) -> SocketAddr {
-        let entries = self.drive.entries.borrow();
-        entries[(self.number + resends as usize) % entries.len().max(1)]
+    fn entry(&self, retries: u32) -> SocketAddr {
+        let entries = self.config.entries.borrow();
+        entries[(self.number + retries as usize) % entries.len().max(1)]
     }
 
     fn key(&self) -> &str {
-        let key = self.drive.keys.get(&self.event.organisation);
+        let key = self.config.keys.get(&self.event.organisation);
         key.map_or("", String::as_str)
     }
 
-    /// Calls a plain service that echoes the body.
-    async fn once(&self, entry: SocketAddr, key: &str, body: &str) -> CallResult {
+    /// Calls a plain service, which echoes the body.
+    async fn call_service(&self, entry: SocketAddr, key: &str, body: &str) -> CallResult {
         let begun = Instant::now();
         let req = Request::builder()
             .method(Method::POST)
             .uri(format!(
                 "http://{entry}/services/{}/unlock",
-                self.drive.service_pool
+                self.config.service_pool
             ))
             .header(header::AUTHORIZATION, format!("Bearer {}", self.key()))
             .header("idempotency-key", key)
             .body(Body::full(body.to_owned()));
         let Ok(req) = req else {
-            return CallResult::Lost("the request could not be built".to_owned());
+            return CallResult::Lost(
+                "the HTTP request could not be built: invalid address or header value".to_owned(),
+            );
         };
-        let sent = self.client.send("call a service", entry, req);
-        let resp = match tokio::time::timeout(self.drive.timeout, sent).await {
+        let sending = self.client.send("call a service", entry, req);
+        let resp = match tokio::time::timeout(self.config.timeout, sending).await {
             Ok(Ok(resp)) => resp,
             Ok(Err(e)) => return CallResult::Lost(e.to_string()),
-            Err(_) => return CallResult::Lost("no answer in time".to_owned()),
+            Err(_) => return CallResult::Lost("no response within the timeout".to_owned()),
         };
         let after = begun.elapsed();
         if resp.status() != StatusCode::OK {
@@ -187,19 +189,19 @@
         match sillpin_http::read_limited(resp.into_body(), 1 << 20).await {
             Ok(echo) if echo == body => CallResult::Answered {
                 first_token: after,
-                whole: begun.elapsed(),
+                total: begun.elapsed(),
                 usage: Default::default(),
                 request: None,
             },
-            Ok(_) => CallResult::Mixed("another call's answer".to_owned()),
+            Ok(_) => CallResult::Mixed("the response to another call".to_owned()),
             Err(e) => CallResult::Lost(e.to_string()),
         }
     }
 }
 
-impl Row {
-    /// Whether the caller was told that the request was not run.
+impl RequestRecord {
+    /// Returns whether the outcome reported to the caller is "not run".
     pub fn is_not_run(&self) -> bool {
-        self.got.outcome() == Some(Outcome::NotRun)
+        self.result.outcome() == Some(Outcome::NotRun)
     }
 }
--- a/crates/sillpin-load/src/lib.rs
+++ b/crates/sillpin-load/src/lib.rs
@@ -1,11 +1,11 @@
-//! The load and comparison tool: seeded open-loop workloads, and checks of answers from outside.
+//! Load generator and comparison tool: sends seeded open-loop workloads and checks the responses from outside.
 //!
-//! - [`workload`]: what is sent, when, by whom; replayable,
-//! - [`lower_bound`]: the best that any cache could do with a workload,
-//! - [`caller`]: sends one request and checks its answer,
-//! - [`oracle`]: what the answer must be,
+//! - [`workload`]: replayable traces of requests with their times and organisations,
+//! - [`lower_bound`]: share of prompt tokens that must be computed even with an optimal cache,
+//! - [`caller`]: sends one request and checks its response,
+//! - [`oracle`]: the expected response to a prompt,
 //! - [`driver`]: sends a workload, open loop,
-//! - [`report`]: what came of it, as text, JSON and a plot.
+//! - [`report`]: results of a workload as text, JSON and a plot.
 
 pub mod caller;
 pub mod driver;
--- a/crates/sillpin-load/src/lower_bound.rs
+++ b/crates/sillpin-load/src/lower_bound.rs
@@ -1,4 +1,4 @@
-//! The best that any cache could do with a workload, computed from the trace alone.
+//! Lower bounds of the share of prompt tokens that must be computed, derived from the trace alone.
 
 use crate::workload::{Action, Corpus, Trace};
 use serde::Serialize;
@@ -6,14 +6,15 @@
 use sillpin_core::{BlockName, ModelId, OrgId, WeightVersion};
 use std::collections::{BTreeSet, HashMap};
 
-/// Shares of the prompts' tokens that have to be computed.
+/// Shares of the prompts' tokens that must be computed.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
-pub struct Floor {
-    /// By first sight of each block and by what stands behind the last whole block: no cache helps.
+pub struct LowerBound {
+    /// With an unlimited cache: tokens of blocks that occur for the first time, and of the partial block at the
+    /// end of each prompt.
     pub compulsory_share: f64,
-    /// With one cache of the given size that knows the future (Belady).
+    /// With one cache of the given capacity and optimal eviction (Belady).
     pub belady_share: f64,
-    /// Tokens of all prompts.
+    /// Number of tokens of all prompts.
     pub tokens: u64,
 }
 
@@ -22,15 +23,15 @@
     blocks: Vec<BlockName>,
 }
 
-/// Tokens of a whole block, as its length gives them.
+/// Number of tokens of a complete block, derived from its length in bytes.
 const BLOCK_TOKENS: u64 = (BLOCK_BYTES as u64) / sillpin_core::block::BYTES_PER_TOKEN;
 
-/// The floor of a trace for a cache of `capacity` blocks in all.
-pub fn of(trace: &Trace, corpus: &Corpus, capacity: usize) -> Floor {
+/// Returns the lower bounds of a trace; `capacity` is the total cache capacity in blocks.
+pub fn of(trace: &Trace, corpus: &Corpus, capacity: usize) -> LowerBound {
     let prompts = prompts(trace, corpus);
     let tokens: u64 = prompts.iter().map(|p| p.tokens).sum();
     let share = |hits: u64| (tokens - hits * BLOCK_TOKENS) as f64 / tokens.max(1) as f64;
-    Floor {
+    LowerBound {
         compulsory_share: share(hits(&prompts, usize::MAX)),
         belady_share: share(hits(&prompts, capacity)),
         tokens,
@@ -60,8 +61,8 @@
     trace.events.iter().filter_map(of_event).collect()
 }
 
-/// Blocks found in a cache of `capacity` that evicts the block whose next use is farthest away. A
-/// block counts only when all before it in its prompt are found too.
+/// Returns the number of blocks found in a cache of `capacity` blocks that evicts the block whose next use is
+/// farthest away. A block counts only if all blocks before it in its prompt are found too.
 fn hits(prompts: &[Prompt], capacity: usize) -> u64 {
     let mut next_use: Vec<Vec<usize>> = prompts
         .iter()
@@ -69,9 +70,9 @@
         .collect();
     let mut seen: HashMap<BlockName, usize> = HashMap::new();
     for (at, prompt) in prompts.iter().enumerate().rev() {
-        for (place, block) in prompt.blocks.iter().enumerate() {
-            if let Some(later) = seen.insert(*block, at) {
-                next_use[at][place] = later;
+        for (position, block) in prompt.blocks.iter().enumerate() {
+            if let Some(next) = seen.insert(*block, at) {
+                next_use[at][position] = next;
             }
         }
     }
@@ -81,8 +82,8 @@
     for (at, prompt) in prompts.iter().enumerate() {
         let found = prompt.blocks.iter().take_while(|b| cached.contains_key(*b));
         hits += found.count() as u64;
-        for (place, block) in prompt.blocks.iter().enumerate() {
-            let next = next_use[at][place];
+        for (position, block) in prompt.blocks.iter().enumerate() {
+            let next = next_use[at][position];
             if let Some(before) = cached.insert(*block, next) {
                 by_use.remove(&(before, *block));
             }
--- a/crates/sillpin-load/src/main.rs
+++ b/crates/sillpin-load/src/main.rs
@@ -1,4 +1,4 @@
-//! `sillpin-load`: makes, sends and compares workloads.
+//! `sillpin-load`: generates and sends workloads, and summarizes their results.
 
 mod commands;
 
--- a/crates/sillpin-load/src/oracle.rs
+++ b/crates/sillpin-load/src/oracle.rs
@@ -1,16 +1,17 @@
-//! What a stand-in engine must answer to a prompt, so that an answer can be checked from outside.
+//! The response that a stand-in engine must send to a prompt, so that responses can be checked from
+//! outside.
 //!
-//! Each token is a function of the whole prompt and of its position. A token lost, doubled, out of
-//! place or of another prompt therefore shows.
+//! Each token is a function of the complete prompt and of the token's position. A token that is lost,
+//! repeated, out of order or of another prompt is therefore detected.
 
-/// The answer that belongs to one prompt.
+/// The expected response to one prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ExpectedAnswer {
     digest: [u8; 8],
 }
 
 impl ExpectedAnswer {
-    /// The answer that belongs to `prompt`.
+    /// Returns the expected response to `prompt`.
     pub fn of(prompt: &str) -> Self {
         let hash = blake3::hash(prompt.as_bytes());
         let mut digest = [0; 8];
@@ -18,14 +19,14 @@
         Self { digest }
     }
 
-    /// Text of the token at `index`.
+    /// Returns the text of the token at `index`.
     pub fn token(&self, index: u32) -> String {
         let digest = u64::from_le_bytes(self.digest);
         let mixed = (digest ^ u64::from(index).wrapping_mul(0x9e37_79b9_7f4a_7c15)).rotate_left(17);
         format!("{index}:{:06x} ", mixed & 0xff_ffff)
     }
 
-    /// The whole text of `tokens` tokens.
+    /// Returns the text of the first `tokens` tokens.
     pub fn text(&self, tokens: u32) -> String {
         (0..tokens).map(|index| self.token(index)).collect()
     }
--- a/crates/sillpin-load/src/report.rs
+++ b/crates/sillpin-load/src/report.rs
@@ -1,8 +1,8 @@
-//! What came of a workload: counted at the load side and, for executions, at the stand-ins.
+//! Results of a workload, counted by the callers and, for executions, by the stand-ins.
 
 use crate::caller::CallResult;
-use crate::driver::Row;
-use crate::lower_bound::Floor;
+use crate::driver::RequestRecord;
+use crate::lower_bound::LowerBound;
 use hdrhistogram::Histogram;
 use plotters::prelude::*;
 use serde::Serialize;
@@ -13,54 +13,56 @@
 /// Counts and times of a workload.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Report {
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: u64,
-    /// Whole answers.
+    /// Number of complete and expected responses.
     pub answered: u64,
-    /// Refused, and told "not run".
+    /// Number of refusals with the outcome "not run".
     pub refused_not_run: u64,
-    /// Told "unknown" or "ran" without the whole answer.
+    /// Number of requests without a complete response whose outcome is "unknown" or "ran".
     pub unknown: u64,
-    /// Neither a whole answer nor a word about it.
+    /// Number of requests that got neither a complete response nor a problem document.
     pub lost: u64,
-    /// Calls that ran more than once, or ran although told "not run"; counted at the services.
+    /// Number of calls that ran more than once, or ran although reported as "not run"; counted by the services.
     pub doubled: u64,
-    /// Answers that were not the caller's own.
+    /// Number of responses that were not the one to the request.
     pub mixed: u64,
-    /// Times that a caller sent again after a broken connection.
+    /// Number of retries by callers.
     pub resent: u64,
     /// Median time to first token, in milliseconds.
     pub ttft_p50_ms: f64,
     /// 95th percentile of the time to first token, in milliseconds.
     pub ttft_p95_ms: f64,
-    /// 95th percentile of the urgent class alone.
+    /// 95th percentile of the time to first token of the urgent class, in milliseconds.
     pub urgent_p95_ms: f64,
-    /// Tokens computed over tokens of all prompts, compulsory ones included.
+    /// Share of all prompt tokens that were computed, compulsory ones included.
     pub recomputed_share: f64,
-    /// Part of that which no cache could avoid.
+    /// Share of all prompt tokens that must be computed with any cache.
     pub compulsory_share: f64,
-    /// The same for one cache as large as all engines' together that knows the future.
+    /// Share that must be computed with one optimal cache (Belady) of all engines' total capacity.
     pub belady_share: f64,
-    /// Bytes fetched from stores.
+    /// Number of bytes fetched from stores.
     pub link_bytes: u64,
 }
 
-/// The times to first token of answered requests, in microseconds.
-pub fn first_tokens<'a>(rows: impl IntoIterator<Item = &'a Row>) -> Histogram<u64> {
+/// Returns the times to first token of answered requests, in microseconds.
+pub fn first_token_times<'a>(
+    records: impl IntoIterator<Item = &'a RequestRecord>,
+) -> Histogram<u64> {
     let mut histogram = micros();
-    for row in rows {
-        if let CallResult::Answered { first_token, .. } = &row.got {
+    for record in records {
+        if let CallResult::Answered { first_token, .. } = &record.result {
             histogram.saturating_record(first_token.as_micros() as u64);
         }
     }
     histogram
 }
 
-/// The times to refusal of requests that were not run, in microseconds.
-pub fn refusals<'a>(rows: impl IntoIterator<Item = &'a Row>) -> Histogram<u64> {
+/// Returns the times to refusal of requests, in microseconds.
+pub fn refusal_times<'a>(records: impl IntoIterator<Item = &'a RequestRecord>) -> Histogram<u64> {
     let mut histogram = micros();
-    for row in rows {
-        if let CallResult::Refused { after, .. } = &row.got {
+    for record in records {
+        if let CallResult::Refused { after, .. } = &record.result {
             histogram.saturating_record(after.as_micros() as u64);
         }
     }
@@ -76,27 +78,33 @@
     histogram.value_at_quantile(quantile) as f64 / 1_000.0
 }
 
-/// Sums a workload up. `executions`: how often each idempotency key ran, as the services counted.
-pub fn sum_up(rows: &[Row], floor: Option<&Floor>, executions: &BTreeMap<String, u32>) -> Report {
-    let completions = || rows.iter().filter(|row| row.once_key.is_none());
-    let all = first_tokens(completions());
-    let urgent = first_tokens(completions().filter(|row| row.class == PriorityClass::Urgent));
+/// Summarizes a workload. `executions` is the number of executions of each idempotency key, as counted by the
+/// services.
+pub fn summarize(
+    records: &[RequestRecord],
+    bound: Option<&LowerBound>,
+    executions: &BTreeMap<String, u32>,
+) -> Report {
+    let completions = || records.iter().filter(|record| record.once_key.is_none());
+    let all = first_token_times(completions());
+    let urgent =
+        first_token_times(completions().filter(|record| record.class == PriorityClass::Urgent));
     let mut report = Report {
-        sent: rows.len() as u64,
+        sent: records.len() as u64,
         ttft_p50_ms: millis(&all, 0.5),
         ttft_p95_ms: millis(&all, 0.95),
         urgent_p95_ms: millis(&urgent, 0.95),
-        doubled: doubled(rows, executions),
-        resent: rows.iter().map(|row| u64::from(row.resends)).sum(),
+        doubled: doubled(records, executions),
+        resent: records.iter().map(|record| u64::from(record.retries)).sum(),
         ..Report::default()
     };
-    if let Some(floor) = floor {
-        report.compulsory_share = floor.compulsory_share;
-        report.belady_share = floor.belady_share;
+    if let Some(bound) = bound {
+        report.compulsory_share = bound.compulsory_share;
+        report.belady_share = bound.belady_share;
     }
     let (mut tokens, mut reused) = (0, 0);
-    for row in rows {
-        match &row.got {
+    for record in records {
+        match &record.result {
             CallResult::Answered { usage, .. } => {
                 let details = usage.prompt_tokens_details;
                 report.answered += 1;
@@ -116,22 +124,22 @@
     report
 }
 
-fn doubled(rows: &[Row], executions: &BTreeMap<String, u32>) -> u64 {
-    let repeated = executions
+fn doubled(records: &[RequestRecord], executions: &BTreeMap<String, u32>) -> u64 {
+    let ran_twice = executions
         .iter()
         .filter(|(key, count)| *key != "-" && **count > 1);
-    let untrue = rows.iter().filter(|row| {
-        let ran = row
+    let ran_anyway = records.iter().filter(|record| {
+        let ran = record
             .once_key
             .as_ref()
             .is_some_and(|key| executions.contains_key(key));
-        ran && row.is_not_run()
+        ran && record.is_not_run()
     });
-    (repeated.count() + untrue.count()) as u64
+    (ran_twice.count() + ran_anyway.count()) as u64
 }
 
 impl Report {
-    /// The report for people.
+    /// Formats the report as readable text.
     pub fn text(&self) -> String {
         format!(
             "sent {}, answered {}, refused as not run {}, unknown {}, lost {}, doubled {}, mixed {}; \
@@ -158,23 +166,26 @@
     }
 }
 
-/// A named line of a plot.
+/// A line of a plot.
 pub struct Line<'a> {
-    /// Its name.
+    /// Name in the legend.
     pub name: &'a str,
-    /// Its values.
+    /// Times to first token, in microseconds.
     pub times: Histogram<u64>,
 }
 
-/// Plot size in pixels.
+/// Size of a plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (800, 500);
 
-/// Why a plot could not be drawn.
+/// A plot could not be drawn, with the reason.
 #[derive(Debug, derive_more::Display, derive_more::Error)]
 #[display("cannot draw the plot: {_0}")]
 pub struct PlotError(#[error(not(source))] String);
 
-/// Draws the share of answers whose first token came within a time, as SVG.
+/// Plots the share of responses over their time to first token, as an SVG document.
+///
+/// # Errors
+/// If the plotting library fails.
 pub fn plot(title: &str, lines: &[Line<'_>]) -> Result<String, PlotError> {
     let mut svg = String::new();
     draw(title, lines, &mut svg).map_err(|e| PlotError(e.to_string()))?;
@@ -186,12 +197,12 @@
     lines: &[Line<'_>],
     svg: &mut String,
 ) -> Result<(), Box<dyn std::error::Error>> {
-    let longest = lines
+    let max_us = lines
         .iter()
         .map(|l| l.times.value_at_quantile(0.99))
         .max()
         .unwrap_or(1);
-    let longest_ms = (longest as f64 / 1_000.0).max(1.0);
+    let max_ms = (max_us as f64 / 1_000.0).max(1.0);
     let area = SVGBackend::with_string(svg, PLOT_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
@@ -199,7 +210,7 @@
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(48)
-        .build_cartesian_2d(0.0..longest_ms, 0.0..1.0)?;
+        .build_cartesian_2d(0.0..max_ms, 0.0..1.0)?;
     chart
         .configure_mesh()
         .x_desc("time to first token, ms")
@@ -209,7 +220,7 @@
         let colour = Palette99::pick(number).mix(1.0);
         let points = (0..=100).map(|percent| {
             let quantile = f64::from(percent) / 100.0;
-            (millis(&line.times, quantile).min(longest_ms), quantile)
+            (millis(&line.times, quantile).min(max_ms), quantile)
         });
         chart
             .draw_series(LineSeries::new(points, colour.stroke_width(2)))?
@@ -225,13 +236,13 @@
     Ok(())
 }
 
-/// The median of some figures.
+/// Returns the median of `figures`, or NaN if there are none.
 pub fn median(mut figures: Vec<f64>) -> f64 {
     figures.sort_by(f64::total_cmp);
     figures.get(figures.len() / 2).copied().unwrap_or(f64::NAN)
 }
 
-/// The time of a figure in milliseconds.
+/// Returns a duration in milliseconds.
 pub fn as_millis(time: Duration) -> f64 {
     time.as_secs_f64() * 1_000.0
 }
--- a/crates/sillpin-load/src/workload/corpus.rs
+++ b/crates/sillpin-load/src/workload/corpus.rs
@@ -1,8 +1,8 @@
-//! The texts that prompts are made of: real documents if given, else made up from a seed.
+//! The texts of which prompts are built: given documents, or else generated ones.
 
 use serde::{Deserialize, Serialize};
 
-/// Words of made-up documents, of the two users' trades.
+/// Words of generated documents, from the fields of the two users.
 const WORDS: &[&str] = &[
     "setback",
     "plot",
@@ -40,25 +40,25 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Part {
-    /// A document, cut or repeated to a length in bytes.
+    /// A document, truncated or repeated to a length in bytes.
     Document {
-        /// Which.
+        /// Number of the document.
         number: u64,
         /// Length in bytes.
         len: usize,
     },
-    /// A text.
+    /// A literal text.
     Text(String),
 }
 
-/// Texts by number.
+/// Documents by number.
 #[derive(Debug, Clone, Default)]
 pub struct Corpus {
     documents: Vec<String>,
 }
 
 impl Corpus {
-    /// Uses real documents; empty ones are left out.
+    /// Creates a corpus of the given documents, without the blank ones. If none remains, documents are generated.
     pub fn of(documents: Vec<String>) -> Self {
         let documents = documents.into_iter().filter(|d| !d.trim().is_empty());
         Self {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The text of a prompt.
+    /// Returns the text of a prompt.
     pub fn text(&self, parts: &[Part]) -> String {
         let mut text = String::new();
         for part in parts {
@@ -78,12 +78,12 @@
         text
     }
 
-    /// Appends a document. Its head names it, so that two documents differ from their first block.
+    /// Appends a document. It starts with its number, so that any two documents differ in their first block.
     fn write(&self, text: &mut String, number: u64, len: usize) {
         let end = text.len() + len;
         text.push_str(&format!("Document {number}\n"));
         if self.documents.is_empty() {
-            write_made_up(text, number, end);
+            write_generated(text, number, end);
         } else {
             let source = &self.documents[number as usize % self.documents.len()];
             while text.len() < end {
@@ -94,7 +94,7 @@
     }
 }
 
-fn write_made_up(text: &mut String, number: u64, end: usize) {
+fn write_generated(text: &mut String, number: u64, end: usize) {
     let mut state = number.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     while text.len() < end {
         state ^= state << 13;
--- a/crates/sillpin-load/src/workload/kerb.rs
+++ b/crates/sillpin-load/src/workload/kerb.rs
@@ -1,24 +1,24 @@
-//! The head office's day: disputes read over a rider's growing history, replies to mechanics in
-//! Swahili or English, and bursts of unlocks and swaps that must not repeat.
+//! The workload of the scooter company's head office: disputes, whose prompts contain a rider's growing
+//! history; replies to mechanics in Swahili or English; and bursts of unlocks and swaps that must not run twice.
 
 use super::corpus::Part;
-use super::{Action, Event, Plan, arrivals, skewed};
+use super::{Action, Event, Plan, arrivals, zipf_index};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use sillpin_core::PriorityClass;
 use sillpin_core::block::BLOCK_BYTES;
 
-/// Blocks of a rider's history at first: the least, and how many more at the most.
+/// Initial number of blocks of a rider's history: the minimum, and the maximum of a random addition.
 const HISTORY_BLOCKS: (usize, usize) = (3, 9);
 
-/// A history grows by this many bytes with each dispute.
+/// Number of bytes by which a history grows with each dispute.
 const GROWTH: usize = BLOCK_BYTES / 2;
 
-/// Parts of the traffic, in percent: disputes, replies; the rest are unlocks and swaps.
+/// Shares of the traffic, in percent: disputes and replies. The rest are unlocks and swaps.
 const DISPUTES: u32 = 40;
 const REPLIES: u32 = 25;
 
-/// Unlocks come in bursts of up to this many.
+/// Exclusive upper bound of a random number; a burst has one unlock more than a third of it.
 const BURST: u64 = 6;
 
 /// Time between two calls of a burst, in microseconds.
@@ -33,7 +33,7 @@
 pub(super) fn events(plan: &Plan, mut rng: ChaCha8Rng) -> Vec<Event> {
     let mut riders: Vec<Rider> = (0..plan.prompts)
         .map(|number| Rider {
-            organisation: skewed(&mut rng, plan.organisations.len()),
+            organisation: zipf_index(&mut rng, plan.organisations.len()),
             number: number as u64,
             len: (HISTORY_BLOCKS.0 + rng.random_range(0..=HISTORY_BLOCKS.1)) * BLOCK_BYTES,
         })
@@ -41,9 +41,9 @@
     let mut events = Vec::new();
     for at_us in arrivals(&mut rng, plan.rate, plan.length) {
         let kind = rng.random_range(0..100);
-        let organisation = skewed(&mut rng, plan.organisations.len());
+        let organisation = zipf_index(&mut rng, plan.organisations.len());
         if kind < DISPUTES && !riders.is_empty() {
-            let rider = skewed(&mut rng, riders.len());
+            let rider = zipf_index(&mut rng, riders.len());
             events.push(dispute(plan, &mut riders[rider], at_us));
         } else if kind < DISPUTES + REPLIES {
             events.push(reply(plan, organisation, at_us, rng.random()));
--- a/crates/sillpin-load/src/workload/mod.rs
+++ b/crates/sillpin-load/src/workload/mod.rs
@@ -1,7 +1,7 @@
-//! Workloads: traces of requests, seeded and replayable.
+//! Workloads: traces of requests, generated from a seed and replayable.
 //!
-//! A trace names texts instead of carrying them: each prompt is a list of [`Part`]s of a
-//! [`Corpus`], so that a trace of many long prompts stays small and is replayed to the letter.
+//! A trace refers to texts instead of containing them: each prompt is a list of [`Part`]s of a [`Corpus`]. A
+//! trace of many long prompts therefore stays small, and its prompts are reproduced exactly.
 
 pub mod corpus;
 mod kerb;
@@ -16,11 +16,11 @@
 use sillpin_core::PriorityClass;
 use std::time::Duration;
 
-/// Which workload.
+/// Kind of workload.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, FromStr, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Long bye-law and submission packs shared by an organisation's officers.
+    /// Questions about long bye-laws and submission packs that an organisation's officers share.
     #[display("planning")]
     Planning,
     /// Rider histories, replies, unlocks and swaps.
@@ -28,39 +28,39 @@
     Kerb,
 }
 
-/// Size of a workload.
+/// Parameters of a generated workload.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Which.
+    /// Kind of workload.
     pub kind: Kind,
-    /// Seed.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// Organisations; the first are the largest.
+    /// Organisations, by descending expected number of requests.
     pub organisations: Vec<String>,
-    /// Mean requests a second.
+    /// Mean requests per second.
     pub rate: f64,
-    /// Length.
+    /// Duration.
     pub length: Duration,
-    /// Prompts that return: packs or histories in all.
+    /// Number of packs or histories whose prompts return.
     pub prompts: usize,
 }
 
-/// What a request asks for.
+/// Content of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
-    /// A completion.
+    /// A completion request.
     Complete {
-        /// The prompt, one part behind the other.
+        /// Parts of the prompt, which are concatenated.
         prompt: Vec<Part>,
-        /// Tokens to generate.
+        /// Number of tokens to generate.
         tokens: u32,
     },
     /// A call of a plain service that runs at most once.
     Once {
-        /// Its idempotency key.
+        /// Idempotency key of the call.
         key: String,
-        /// Its body.
+        /// Body of the call.
         body: String,
     },
 }
@@ -68,25 +68,25 @@
 /// One request of a trace.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// When it is sent, in microseconds from the start.
+    /// Time at which it is sent, in microseconds from the start.
     pub at_us: u64,
-    /// Its organisation.
+    /// Name of the organisation.
     pub organisation: String,
-    /// Its class.
+    /// Priority class.
     pub class: PriorityClass,
-    /// What it asks for.
+    /// Content of the request.
     pub action: Action,
 }
 
-/// A workload, in the order in which it is sent.
+/// A workload: its requests in the order in which they are sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trace {
-    /// Its requests.
+    /// Requests by ascending time.
     pub events: Vec<Event>,
 }
 
 impl Trace {
-    /// Makes a trace.
+    /// Generates a trace. The same plan always gives the same trace.
     pub fn make(plan: &Plan) -> Self {
         let rng = ChaCha8Rng::seed_from_u64(plan.seed);
         let mut events = match plan.kind {
@@ -97,7 +97,7 @@
         Self { events }
     }
 
-    /// The trace as a text, one request a line.
+    /// Formats the trace as JSON lines, one request per line.
     pub fn to_lines(&self) -> String {
         let lines = self.events.iter().map(|event| {
             let line = serde_json::to_string(event).unwrap_or_default();
@@ -106,7 +106,10 @@
         lines.collect()
     }
 
-    /// Reads what [`Trace::to_lines`] wrote.
+    /// Parses the output of [`Trace::to_lines`].
+    ///
+    /// # Errors
+    /// If a line is not a valid request.
     pub fn from_lines(text: &str) -> Result<Self, serde_json::Error> {
         let events = text.lines().map(serde_json::from_str);
         Ok(Self {
@@ -115,8 +118,8 @@
     }
 }
 
-/// Index drawn so that lower ones are likelier (Zipf with exponent 1).
-fn skewed<R: rand::Rng>(rng: &mut R, count: usize) -> usize {
+/// Draws an index below `count`; lower ones are more likely (Zipf distribution with exponent 1).
+fn zipf_index<R: rand::Rng>(rng: &mut R, count: usize) -> usize {
     use rand::RngExt;
     let total: f64 = (1..=count).map(|rank| 1.0 / rank as f64).sum();
     let mut point = rng.random::<f64>() * total;
@@ -129,7 +132,7 @@
     count - 1
 }
 
-/// Times of a Poisson process with `rate` events a second, in microseconds.
+/// Draws the times of a Poisson process with `rate` events per second, in microseconds.
 fn arrivals<R: rand::Rng>(rng: &mut R, rate: f64, length: Duration) -> Vec<u64> {
     use rand::RngExt;
     let mut times = Vec::new();
--- a/crates/sillpin-load/src/workload/planning.rs
+++ b/crates/sillpin-load/src/workload/planning.rs
@@ -1,29 +1,30 @@
-//! The planning firm's day: an organisation's officers ask about submission packs, each read behind
-//! the organisation's bye-laws; clerks draft short replies; applicants check their files.
+//! The planning firm's workload: officers' questions about submission packs, whose prompts contain the
+//! organisation's bye-laws and then the pack; clerks' short replies; and applicants' status checks.
 
 use super::corpus::Part;
-use super::{Action, Event, Plan, arrivals, skewed};
+use super::{Action, Event, Plan, arrivals, zipf_index};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal};
 use sillpin_core::PriorityClass;
 use sillpin_core::block::BLOCK_BYTES;
 
-/// Blocks of an organisation's bye-laws.
+/// Number of blocks of an organisation's bye-laws.
 const BYE_LAW_BLOCKS: usize = 8;
 
-/// Blocks of a submission pack: the least, and how many more at the most.
+/// Number of blocks of a submission pack: the minimum, and the maximum of a random addition.
 const PACK_BLOCKS: (usize, usize) = (4, 16);
 
-/// Parts of the traffic, in percent: questions about packs, short replies; the rest are status checks.
+/// Shares of the traffic, in percent: questions about packs and short replies. The rest are status checks.
 const QUESTIONS: u32 = 55;
 const REPLIES: u32 = 20;
 
-/// Gaps after which a pack returns, as a part of the workload's length: median and spread.
+/// Log-normal distribution of the gaps after which a pack returns: the median as a share of the workload's
+/// duration, and the standard deviation of the logarithm.
 const GAP_MEDIAN: f64 = 0.12;
 const GAP_SPREAD: f64 = 1.0;
 
-/// Documents below this number are bye-laws.
+/// Number of the first pack. Documents with smaller numbers are bye-laws.
 const FIRST_PACK: u64 = 1_000;
 
 struct Pack {
@@ -38,7 +39,7 @@
     let length_us = plan.length.as_micros() as u64;
     let mut packs: Vec<Pack> = (0..plan.prompts)
         .map(|number| Pack {
-            organisation: skewed(&mut rng, plan.organisations.len()),
+            organisation: zipf_index(&mut rng, plan.organisations.len()),
             number: FIRST_PACK + number as u64,
             blocks: PACK_BLOCKS.0 + rng.random_range(0..=PACK_BLOCKS.1),
             next_us: rng.random_range(0..length_us.max(2) / 2),
@@ -57,8 +58,13 @@
                 pack.next_us = at_us + gap as u64;
             }
         } else {
-            let organisation = skewed(&mut rng, plan.organisations.len());
-            events.push(short(plan, organisation, at_us, kind < QUESTIONS + REPLIES));
+            let organisation = zipf_index(&mut rng, plan.organisations.len());
+            events.push(short_request(
+                plan,
+                organisation,
+                at_us,
+                kind < QUESTIONS + REPLIES,
+            ));
         }
     }
     events
@@ -74,7 +80,7 @@
         number: pack.number,
         len: pack.blocks * BLOCK_BYTES,
     };
-    let ask = Part::Text(format!(
+    let question = Part::Text(format!(
         "\nQuestion {}: does the pack comply?",
         pack.questions
     ));
@@ -83,13 +89,13 @@
         organisation: plan.organisations[pack.organisation].clone(),
         class: PriorityClass::Normal,
         action: Action::Complete {
-            prompt: vec![bye_laws, submission, ask],
+            prompt: vec![bye_laws, submission, question],
             tokens: 24,
         },
     }
 }
 
-fn short(plan: &Plan, organisation: usize, at_us: u64, is_reply: bool) -> Event {
+fn short_request(plan: &Plan, organisation: usize, at_us: u64, is_reply: bool) -> Event {
     let text = if is_reply {
         format!("Draft a short reply to the authority's query {at_us}.")
     } else {
--- a/crates/sillpin-load/tests/program.rs
+++ b/crates/sillpin-load/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program's arguments.
+//! Tests of the command line.
 
 use std::process::Command;
 
--- a/xtask/src/commands/faults.rs
+++ b/xtask/src/commands/faults.rs
@@ -1,4 +1,4 @@
-//! `cargo xtask faults`: randomised rounds of faults over real processes.
+//! `cargo xtask faults`: injects random faults into a fleet of real processes.
 
 use crate::ops::faults;
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
@@ -9,7 +9,7 @@
 
 pub fn cli() -> Command {
     Command::new("faults")
-        .about("Runs randomised rounds of faults and checks the promises from outside")
+        .about("Injects random faults into a fleet, in rounds, and checks its guarantees from outside")
         .arg(
             Arg::new("seed")
                 .long("seed")
@@ -28,20 +28,20 @@
             Arg::new("off")
                 .long("off")
                 .value_parser(value_parser!(Mechanism))
-                .help("Build with a mechanism turned off (claim, outcome, attempt, adopt or slots): its checker must fire"),
+                .help("Disable a mechanism (claim, outcome, attempt, adopt or slots); fails unless a checker detects violations"),
         )
         .arg(
             Arg::new("json")
                 .long("json")
                 .action(ArgAction::SetTrue)
-                .help("End with one JSON document"),
+                .help("Print the report as one JSON document"),
         )
 }
 
 pub fn run(args: &ArgMatches) -> io::Result<()> {
     let off = args.get_one::<Mechanism>("off").copied();
     if let Some(mechanism) = off {
-        return run_broken(args, mechanism);
+        return run_without(args, mechanism);
     }
     super::build_programs()?;
     let seed = args.get_one("seed").copied().unwrap_or(1);
@@ -58,16 +58,16 @@
     }
     if report.violations() > 0 {
         return Err(io::Error::other(format!(
-            "{} violations",
+            "{} violations of guarantees",
             report.violations()
         )));
     }
     Ok(())
 }
 
-/// Builds with the feature that lets mechanisms be turned off, apart from all other builds, and
-/// runs this command again over those programs.
-fn run_broken(args: &ArgMatches, mechanism: Mechanism) -> io::Result<()> {
+/// Builds the programs with the feature that lets mechanisms be disabled, in a separate target
+/// folder, and runs this command again with those programs. Fails if no violation is detected.
+fn run_without(args: &ArgMatches, mechanism: Mechanism) -> io::Result<()> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let dir = root.join("target/broken");
     let build = std::process::Command::new(env!("CARGO"))
@@ -84,7 +84,9 @@
         .current_dir(&root)
         .status()?;
     if !build.success() {
-        return Err(io::Error::other("the broken programs could not be built"));
+        return Err(io::Error::other(
+            "cargo build with the feature `sillpin-core/broken` failed",
+        ));
     }
     let rounds = args.get_one::<u32>("rounds").copied().unwrap_or(2);
     let run = std::process::Command::new(std::env::current_exe()?)
@@ -93,9 +95,9 @@
         .env(PROGRAMS_ENV, dir.join("debug"))
         .status()?;
     if run.success() {
-        let what = format!("no checker fired with {mechanism} turned off");
+        let what = format!("no checker detected a violation with {mechanism} disabled");
         return Err(io::Error::other(what));
     }
-    println!("with {mechanism} turned off a checker fired, as it must");
+    println!("a checker detected violations with {mechanism} disabled, as expected");
     Ok(())
 }
--- a/xtask/src/commands/measure.rs
+++ b/xtask/src/commands/measure.rs
@@ -1,14 +1,14 @@
-//! `cargo xtask measure SCENARIO`: the figures of `docs/MEASUREMENTS.md`.
+//! `cargo xtask measure SCENARIO`: produces the figures of `docs/MEASUREMENTS.md`.
 
 use crate::ops::{compare, control, idle, streams};
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use serde::Serialize;
 use std::io;
 
-/// Streams opened through one entry.
+/// Default number of streams opened through one entry.
 const STREAMS: usize = 10_000;
 
-/// Keepers at the size designed for.
+/// Default number of keepers: the fleet size that the design targets.
 const KEEPERS: usize = 380;
 
 const SCENARIOS: [&str; 10] = [
@@ -24,17 +24,17 @@
     "slow-links",
 ];
 
-/// Runs of each side of a comparison.
+/// Default number of runs of each side of a comparison.
 const REPEATS: u64 = 5;
 
 pub fn cli() -> Command {
     Command::new("measure")
-        .about("Measures a scenario; build with --release to compare")
+        .about("Measures a scenario; build with --release for comparable figures")
         .arg(
             Arg::new("scenario")
                 .required(true)
                 .value_parser(SCENARIOS)
-                .help("What to measure"),
+                .help("Scenario to measure"),
         )
         .arg(
             Arg::new("streams")
@@ -71,28 +71,28 @@
     match scenario {
         "streams" => {
             let streams = args.get_one::<usize>("streams").copied().unwrap_or(STREAMS);
-            show(args, &runtime.block_on(streams::measure(streams)))
+            print_figures(args, &runtime.block_on(streams::measure(streams)))
         }
         "control-380" => {
             let keepers = args.get_one::<usize>("keepers").copied().unwrap_or(KEEPERS);
-            show(args, &runtime.block_on(control::measure(keepers)))
+            print_figures(args, &runtime.block_on(control::measure(keepers)))
         }
-        "idle" => show(args, &runtime.block_on(idle::measure())),
+        "idle" => print_figures(args, &runtime.block_on(idle::measure())),
         name => {
             let Some(scenario) = compare::scenario(name) else {
-                return Err(io::Error::other("no such scenario"));
+                return Err(io::Error::other("unknown scenario"));
             };
             let repeats = args.get_one::<u64>("repeats").copied().unwrap_or(REPEATS);
-            let say = |what: &str| eprintln!("{what}");
-            show(
+            let report_progress = |what: &str| eprintln!("{what}");
+            print_figures(
                 args,
-                &runtime.block_on(compare::run(&scenario, repeats, say)),
+                &runtime.block_on(compare::run(&scenario, repeats, report_progress)),
             )
         }
     }
 }
 
-fn show<T: Serialize + std::fmt::Debug>(args: &ArgMatches, figures: &T) -> io::Result<()> {
+fn print_figures<T: Serialize + std::fmt::Debug>(args: &ArgMatches, figures: &T) -> io::Result<()> {
     if args.get_flag("json") {
         println!("{}", serde_json::to_string(figures)?);
     } else {
--- a/xtask/src/commands/mod.rs
+++ b/xtask/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands: each declares its arguments beside the function that runs it.
+//! The subcommands. Each module declares the arguments of one command and runs it.
 
 mod demo;
 mod docs;
@@ -12,7 +12,7 @@
 
 pub fn cli() -> Command {
     Command::new("xtask")
-        .about("Chores of the sillpin workspace")
+        .about("Development tasks of the sillpin workspace")
         .subcommand_required(true)
         .subcommand(demo::cli())
         .subcommand(docs::cli())
@@ -32,8 +32,8 @@
     }
 }
 
-/// Builds the programs that a fleet is started from, in the profile of this one, unless the
-/// environment names others.
+/// Builds the programs that a fleet runs, in the profile of this program, unless the environment
+/// variable [`PROGRAMS_ENV`] gives a folder of built ones.
 fn build_programs() -> io::Result<()> {
     if std::env::var_os(PROGRAMS_ENV).is_some() {
         return Ok(());
@@ -47,5 +47,7 @@
     if status.success() {
         return Ok(());
     }
-    Err(io::Error::other("the programs could not be built"))
+    Err(io::Error::other(
+        "cargo build of the workspace's programs failed",
+    ))
 }
--- a/xtask/src/commands/names.rs
+++ b/xtask/src/commands/names.rs
@@ -1,16 +1,16 @@
-//! `cargo xtask names`: the users' platform is spelled in one folder only.
+//! `cargo xtask names`: checks that names of the users' platform are used in one folder only.
 //!
-//! Headers, paths and keys of the platform are decoded in `platform/`; a name of theirs elsewhere means that
-//! something was decoded twice, or that a decision has moved into the adapter's language.
+//! Headers, paths and keys of the platform are decoded in `platform/`. Such a name elsewhere means that
+//! something is decoded twice, or that other code depends on the platform's formats.
 
 use clap::Command;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Folders of the product's own code.
+/// Folders that must not use names of the platform.
 const FOLDERS: [&str; 3] = ["crates", "xtask/src/ops", "tests/testsuite"];
 
-/// Names that only the adapter may spell.
+/// Names of the platform that only the adapter may use.
 const NAMES: [&str; 24] = [
     "expect-instance",
     "expect-version",
@@ -39,14 +39,14 @@
 ];
 
 pub fn cli() -> Command {
-    Command::new("names").about("Checks that only platform/ spells the platform's names")
+    Command::new("names").about("Checks that names of the platform are used only in platform/")
 }
 
 pub fn run() -> io::Result<()> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let mut found = Vec::new();
     for folder in FOLDERS {
-        look_into(&root.join(folder), &mut found)?;
+        search_folder(&root.join(folder), &mut found)?;
     }
     if found.is_empty() {
         return Ok(());
@@ -57,19 +57,19 @@
     )))
 }
 
-fn look_into(folder: &Path, found: &mut Vec<String>) -> io::Result<()> {
+fn search_folder(folder: &Path, found: &mut Vec<String>) -> io::Result<()> {
     for entry in std::fs::read_dir(folder)? {
         let path = entry?.path();
         if path.is_dir() {
-            look_into(&path, found)?;
+            search_folder(&path, found)?;
         } else if path.extension().is_some_and(|extension| extension == "rs") {
-            look_at(&path, found)?;
+            search_file(&path, found)?;
         }
     }
     Ok(())
 }
 
-fn look_at(path: &PathBuf, found: &mut Vec<String>) -> io::Result<()> {
+fn search_file(path: &PathBuf, found: &mut Vec<String>) -> io::Result<()> {
     let text = std::fs::read_to_string(path)?;
     for (number, line) in text.lines().enumerate() {
         let lower = line.to_ascii_lowercase();
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,4 +1,4 @@
-//! Chores of the workspace: `cargo xtask COMMAND`.
+//! Development tasks of the workspace: `cargo xtask COMMAND`.
 
 mod commands;
 mod ops;
--- a/xtask/src/ops/compare.rs
+++ b/xtask/src/ops/compare.rs
@@ -1,12 +1,12 @@
-//! Policies compared on the same workload: each run on a fresh fleet, runs interleaved, medians of
-//! several.
+//! Compares policies on the same workload. Each run uses a new fleet, the runs of the sides are
+//! interleaved, and the medians of several runs are reported.
 
-use super::demo::{ORGANISATIONS, drive_for};
+use super::demo::{ORGANISATIONS, driver_config};
 use serde::Serialize;
 use sillpin_bundle::Bundle;
-use sillpin_load::driver::{self, Row};
+use sillpin_load::driver::{self, RequestRecord};
 use sillpin_load::lower_bound;
-use sillpin_load::report::{Report, median, sum_up};
+use sillpin_load::report::{Report, median, summarize};
 use sillpin_load::workload::{Corpus, Kind, Plan, Trace};
 use sillpin_policy::set::{KeepingKind, PlacementKind, PlacementPolicy};
 use sillpin_testsuite::{Fleet, FleetShape};
@@ -14,81 +14,81 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Length of one run's workload.
+/// Duration of one run's workload.
 const LENGTH: Duration = Duration::from_secs(12);
 
-/// Blocks that each engine caches, and engines.
+/// Capacity of each engine's prefix cache in blocks, and number of engines.
 const CACHE_BLOCKS: usize = 100;
 const ENGINES: usize = 6;
 
 /// One side of a comparison.
 #[derive(Debug, Clone)]
 pub struct Side {
-    /// Its name.
+    /// Name in the report.
     pub name: &'static str,
     /// How engines are chosen.
     pub placement: PlacementKind,
-    /// What is kept.
+    /// Which blocks are kept at stores.
     pub keeping: KeepingKind,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Weight of recomputed work.
+    /// Weight of the time to compute blocks.
     pub recompute_weight: u16,
-    /// Leading blocks that decide a prompt's homes.
+    /// Number of leading blocks that determine a prompt's homes.
     pub home_blocks: u8,
-    /// Factor by which the largest organisation's part is multiplied.
-    pub noise: usize,
+    /// Factor by which the largest organisation's requests are multiplied.
+    pub noise_factor: usize,
 }
 
-/// A comparison.
+/// A comparison of several sides on the same workload.
 pub struct Scenario {
-    /// The workload.
+    /// Kind of the workload.
     pub kind: Kind,
-    /// Its sides.
+    /// Sides that are compared.
     pub sides: Vec<Side>,
-    /// Rate of the stores' links, in bytes a second.
+    /// Rate of the stores' links, in bytes per second.
     pub link_rate: u64,
 }
 
-/// Medians of a side, with the lowest and highest run.
+/// Results of a side: medians of its runs, with the lowest and highest.
 #[derive(Debug, Clone, Serialize)]
 pub struct SideReport {
-    /// Its name.
+    /// Name of the side.
     pub name: &'static str,
-    /// Runs.
+    /// Number of runs.
     pub runs: usize,
-    /// Answered over sent.
+    /// Share of requests that were answered.
     pub answered_share: Spread,
     /// Median time to first token, in milliseconds.
     pub ttft_p50_ms: Spread,
     /// 95th percentile of the time to first token, in milliseconds.
     pub ttft_p95_ms: Spread,
-    /// The same of the urgent class.
+    /// 95th percentile of the time to first token of the urgent class, in milliseconds.
     pub urgent_p95_ms: Spread,
-    /// The same of all organisations but the largest.
+    /// 95th percentile of the time to first token of all organisations but the largest, in milliseconds.
     pub others_p95_ms: Spread,
     /// 95th percentile of the time to a refusal, in milliseconds.
     pub refusal_p95_ms: Spread,
-    /// Tokens computed over tokens of all prompts.
+    /// Share of all prompt tokens that were computed.
     pub computed_share: Spread,
-    /// Part of that which no cache could avoid.
+    /// Share of all prompt tokens that must be computed with any cache.
     pub compulsory_share: f64,
-    /// The same for a cache as large as all engines' that knows the future.
+    /// Share that must be computed with one optimal cache (Belady) of all engines' total capacity.
     pub belady_share: f64,
     /// Bytes fetched from stores.
     pub link_bytes: Spread,
-    /// Requests lost, doubled or mixed in all runs.
+    /// Number of requests lost, run twice or answered with another request's response, in all runs.
     pub bad: u64,
 }
 
-/// Median, lowest and highest of some runs.
+/// Median, lowest and highest value of several runs.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Spread {
-    /// Median.
+    /// Median of the runs.
     pub median: f64,
-    /// Lowest.
+    /// Lowest value.
     pub low: f64,
-    /// Highest.
+    /// Highest value.
     pub high: f64,
 }
 
@@ -118,7 +118,7 @@
         rate,
         recompute_weight: PlacementPolicy::default().recompute_weight,
         home_blocks: PlacementPolicy::default().home_blocks,
-        noise: 1,
+        noise_factor: 1,
     }
 }
 
@@ -136,7 +136,7 @@
     ]
 }
 
-/// The scenario of a name.
+/// Returns the scenario with a name, or `None` if there is none.
 pub fn scenario(name: &str) -> Option<Scenario> {
     const PLANNING_RATE: f64 = 26.0;
     const KERB_RATE: f64 = 60.0;
@@ -160,7 +160,7 @@
             let quiet = side("quiet", PlacementKind::Scored, PLANNING_RATE);
             let noisy = Side {
                 name: "noisy",
-                noise: 10,
+                noise_factor: 10,
                 ..quiet.clone()
             };
             (Kind::Planning, vec![quiet, noisy], LINK)
@@ -199,13 +199,17 @@
     })
 }
 
-/// Runs a scenario `repeats` times, its sides in turn; `say` gets its progress.
-pub async fn run(scenario: &Scenario, repeats: u64, say: impl Fn(&str)) -> Vec<SideReport> {
+/// Runs the sides of a scenario alternately, `repeats` times each. Calls `report_progress` after each run.
+pub async fn run(
+    scenario: &Scenario,
+    repeats: u64,
+    report_progress: impl Fn(&str),
+) -> Vec<SideReport> {
     let mut runs: BTreeMap<usize, Vec<Run>> = BTreeMap::new();
     for repeat in 0..repeats {
         for (number, side) in scenario.sides.iter().enumerate() {
             let run = run_once(scenario, side, repeat + 1).await;
-            say(&format!(
+            report_progress(&format!(
                 "run {repeat} of {}: {}",
                 side.name,
                 run.report.text()
@@ -221,7 +225,7 @@
 
 fn summary(side: &Side, runs: &[Run]) -> SideReport {
     let spread = |figure: fn(&Run) -> f64| Spread::of(runs.iter().map(figure).collect());
-    let floor = |figure: fn(&Run) -> f64| median(runs.iter().map(figure).collect());
+    let median_of = |figure: fn(&Run) -> f64| median(runs.iter().map(figure).collect());
     SideReport {
         name: side.name,
         runs: runs.len(),
@@ -232,8 +236,8 @@
         others_p95_ms: spread(|r| r.others_p95_ms),
         refusal_p95_ms: spread(|r| r.refusal_p95_ms),
         computed_share: spread(|r| r.report.recomputed_share),
-        compulsory_share: floor(|r| r.report.compulsory_share),
-        belady_share: floor(|r| r.report.belady_share),
+        compulsory_share: median_of(|r| r.report.compulsory_share),
+        belady_share: median_of(|r| r.report.belady_share),
         link_bytes: spread(|r| r.report.link_bytes as f64),
         bad: runs
             .iter()
@@ -295,10 +299,10 @@
         .filter(|e| e.organisation == ORGANISATIONS[0])
         .cloned()
         .collect();
-    for copy in 1..side.noise {
-        let late = 37_000 * copy as u64;
+    for copy in 1..side.noise_factor {
+        let delay_us = 37_000 * copy as u64;
         trace.events.extend(noisy.iter().cloned().map(|mut event| {
-            event.at_us += late;
+            event.at_us += delay_us;
             event
         }));
     }
@@ -315,20 +319,21 @@
     }
     let trace = trace(scenario, side, seed);
     let corpus = Corpus::default();
-    let floor = lower_bound::of(&trace, &corpus, ENGINES * CACHE_BLOCKS);
+    let lower_bound = lower_bound::of(&trace, &corpus, ENGINES * CACHE_BLOCKS);
     let callers = fleet.boxes.iter().map(|b| b.callers()).collect();
     let (_balancer, entries) = watch::channel(callers);
-    let rows = driver::run(&drive_for(entries), &trace, &corpus, |_| {}).await;
+    let records = driver::run(&driver_config(entries), &trace, &corpus, |_| {}).await;
     let executions = fleet.all_executions().await;
-    let others: Vec<Row> = rows
+    let others: Vec<RequestRecord> = records
         .iter()
         .filter(|r| r.organisation != ORGANISATIONS[0])
         .cloned()
         .collect();
     Run {
-        report: sum_up(&rows, Some(&floor), &executions),
-        others_p95_ms: sum_up(&others, None, &BTreeMap::new()).ttft_p95_ms,
-        refusal_p95_ms: sillpin_load::report::refusals(&rows).value_at_quantile(0.95) as f64
+        report: summarize(&records, Some(&lower_bound), &executions),
+        others_p95_ms: summarize(&others, None, &BTreeMap::new()).ttft_p95_ms,
+        refusal_p95_ms: sillpin_load::report::refusal_times(&records).value_at_quantile(0.95)
+            as f64
             / 1_000.0,
     }
 }
--- a/xtask/src/ops/control.rs
+++ b/xtask/src/ops/control.rs
@@ -1,5 +1,5 @@
-//! The control side at scale: many real keepers on loopback, the platform's stand-in at its stated
-//! rates, and targets that share a few addresses.
+//! Measures the keepers at scale: many real keepers on loopback, the platform's stand-in with its
+//! default rates, and targets that share a few addresses.
 
 use super::procfs::{cpu_time, loopback_bytes, memory};
 use serde::Serialize;
@@ -12,43 +12,44 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Availability zones.
+/// Availability zones of the keepers and engines.
 const ZONES: [&str; 6] = ["zone-a", "zone-b", "zone-c", "zone-d", "zone-e", "zone-f"];
 
-/// Engines in the box list for each keeper, as 600 to 380.
+/// Number of engines in the box list per keeper: 600 for 380.
 const ENGINES_PER_KEEPER: f64 = 600.0 / 380.0;
 
-/// Time for the keepers to find each other, and time measured over.
+/// Time for the keepers to discover each other, and duration of the measurement.
 const SETTLE: Duration = Duration::from_secs(15);
 const SPAN: Duration = Duration::from_secs(10);
 
-/// Longest wait for a revision to be in force.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Maximum wait for a revision to be in force.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What the control side cost at one size.
+/// Cost of the keepers at one fleet size.
 #[derive(Debug, Clone, Serialize)]
 pub struct ControlCost {
-    /// Keepers.
+    /// Number of keepers.
     pub keepers: usize,
-    /// Engines in the box list.
+    /// Number of engines in the box list.
     pub engines: usize,
-    /// From acceptance until every keeper has the revision, in milliseconds.
+    /// Time from acceptance until every keeper has the revision, in milliseconds.
     pub in_force_ms: u64,
-    /// The same while a third of the keepers restart.
+    /// The same time while a third of the keepers restart.
     pub in_force_restarts_ms: u64,
-    /// Mean share of a core of a keeper, in percent.
+    /// Mean processor usage of a keeper, in percent of a core.
     pub cpu_percent: f64,
-    /// Largest resident memory, in megabytes.
+    /// Largest resident memory of a keeper, in megabytes.
     pub memory_mb: f64,
-    /// Bytes a second over loopback for each keeper: what keepers, targets and the platform send.
+    /// Bytes per second over the loopback interface, per keeper: everything that keepers, targets and the
+    /// platform send.
     pub bytes_per_sec: f64,
-    /// Writes to the platform a second.
+    /// Writes to the platform per second.
     pub platform_writes: f64,
-    /// Reads of the platform a second.
+    /// Reads from the platform per second.
     pub platform_reads: f64,
-    /// Watches begun a second.
+    /// Watches started per second.
     pub platform_watches: f64,
-    /// Most calls counted within one second, from the start on.
+    /// Maximum number of calls to the platform within one second, the start included.
     pub platform_busiest_second: u64,
 }
 
@@ -58,7 +59,7 @@
     process: Process,
 }
 
-/// Starts `count` keepers and measures them.
+/// Starts `count` keepers and measures their cost.
 pub async fn measure(count: usize) -> ControlCost {
     let mut fleet = Fleet::start_unready(FleetShape {
         zones: vec!["zone-a"],
@@ -73,11 +74,13 @@
     let mut keepers: Vec<Keeper> = (0..count).map(|number| start(&fleet, number)).collect();
     fleet.accept(&fleet.bundle("first")).await;
     let engines = (count as f64 * ENGINES_PER_KEEPER).round() as usize;
-    fleet.publish_list(&list(&fleet, &keepers, engines)).await;
+    fleet
+        .publish_list(&box_list(&fleet, &keepers, engines))
+        .await;
     tokio::time::sleep(SETTLE).await;
-    let mut cost = steady(&fleet, &keepers, engines).await;
-    cost.in_force_ms = accept(&fleet, &keepers).await.as_millis() as u64;
-    cost.in_force_restarts_ms = with_restarts(&mut fleet, &mut keepers, engines).await;
+    let mut cost = measure_idle(&fleet, &keepers, engines).await;
+    cost.in_force_ms = accept_and_wait(&fleet, &keepers).await.as_millis() as u64;
+    cost.in_force_restarts_ms = accept_during_restarts(&mut fleet, &mut keepers, engines).await;
     cost.platform_busiest_second = counters(&fleet).await.busiest_second;
     cost
 }
@@ -89,8 +92,8 @@
     Keeper { id, zone, process }
 }
 
-/// The box list: all keepers, and engines that share the addresses of the few real ones.
-fn list(fleet: &Fleet, keepers: &[Keeper], engines: usize) -> BoxList {
+/// Returns the box list: all keepers, and engines that share the addresses of the few real ones.
+fn box_list(fleet: &Fleet, keepers: &[Keeper], engines: usize) -> BoxList {
     let boxes = keepers.iter().map(|keeper| BoxEntry {
         id: keeper.id.parse().expect("valid"),
         zone: keeper.zone.parse().expect("valid"),
@@ -128,7 +131,7 @@
     counted.unwrap_or_default()
 }
 
-async fn steady(fleet: &Fleet, keepers: &[Keeper], engines: usize) -> ControlCost {
+async fn measure_idle(fleet: &Fleet, keepers: &[Keeper], engines: usize) -> ControlCost {
     let ids: Vec<u32> = keepers.iter().map(|k| k.process.id()).collect();
     let cpu = || ids.iter().map(|id| cpu_time(*id)).sum::<Duration>();
     let (cpu_before, bytes_before) = (cpu(), loopback_bytes());
@@ -137,7 +140,7 @@
     tokio::time::sleep(SPAN).await;
     let span = begun.elapsed().as_secs_f64();
     let after = counters(fleet).await;
-    let each = |total: f64| total / span / keepers.len() as f64;
+    let per_keeper = |total: f64| total / span / keepers.len() as f64;
     let rate = |after: u64, before: u64| (after - before) as f64 / span;
     let largest = ids.iter().map(|id| memory(*id)).max().unwrap_or(0);
     ControlCost {
@@ -145,9 +148,9 @@
         engines,
         in_force_ms: 0,
         in_force_restarts_ms: 0,
-        cpu_percent: 100.0 * each((cpu() - cpu_before).as_secs_f64()),
+        cpu_percent: 100.0 * per_keeper((cpu() - cpu_before).as_secs_f64()),
         memory_mb: largest as f64 / 1e6,
-        bytes_per_sec: each((loopback_bytes() - bytes_before) as f64),
+        bytes_per_sec: per_keeper((loopback_bytes() - bytes_before) as f64),
         platform_writes: rate(after.writes, before.writes),
         platform_reads: rate(after.reads, before.reads),
         platform_watches: rate(after.watches, before.watches),
@@ -155,8 +158,8 @@
     }
 }
 
-/// Accepts a bundle and waits until all keepers have it.
-async fn accept(fleet: &Fleet, keepers: &[Keeper]) -> Duration {
+/// Accepts a bundle and returns the time until all keepers have it, at most [`TIMEOUT`].
+async fn accept_and_wait(fleet: &Fleet, keepers: &[Keeper]) -> Duration {
     let begun = Instant::now();
     let accepted = fleet.accept(&fleet.bundle("next")).await.revision;
     let mut waits = JoinSet::new();
@@ -166,20 +169,22 @@
     waits.join_all().await.into_iter().max().unwrap_or_default()
 }
 
-/// When a keeper has a revision, seen from outside, looking every 100 ms.
+/// Polls the status of a keeper every 100 ms until it has a revision. Returns the time since `begun`, or
+/// [`TIMEOUT`].
 async fn wait_for(peer: std::net::SocketAddr, revision: Revision, begun: Instant) -> Duration {
-    while begun.elapsed() < PATIENCE {
+    while begun.elapsed() < TIMEOUT {
         let status = sillpin_cli::ops::fleet::status(peer).await;
         if status.is_ok_and(|status| status.revision >= revision) {
             return begun.elapsed();
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    PATIENCE
+    TIMEOUT
 }
 
-/// Kills a third of the keepers, starts them anew, and accepts a bundle at once.
-async fn with_restarts(fleet: &mut Fleet, keepers: &mut [Keeper], engines: usize) -> u64 {
+/// Kills and restarts a third of the keepers, then immediately accepts a bundle. Returns the time until all
+/// keepers have it, in milliseconds.
+async fn accept_during_restarts(fleet: &mut Fleet, keepers: &mut [Keeper], engines: usize) -> u64 {
     let third = keepers.len() / 3;
     for keeper in &mut keepers[..third] {
         keeper.process.kill();
@@ -187,6 +192,6 @@
     for keeper in &mut keepers[..third] {
         keeper.process = fleet.start_keeper(&keeper.id, keeper.zone, "127.0.0.1:0");
     }
-    fleet.publish_list(&list(fleet, keepers, engines)).await;
-    accept(fleet, keepers).await.as_millis() as u64
+    fleet.publish_list(&box_list(fleet, keepers, engines)).await;
+    accept_and_wait(fleet, keepers).await.as_millis() as u64
 }
--- a/xtask/src/ops/demo.rs
+++ b/xtask/src/ops/demo.rs
@@ -1,11 +1,11 @@
-//! A whole fleet under a real workload, with a bundle accepted midway, an engine and an entry box
-//! killed; counted from outside.
+//! Runs a complete fleet under a workload. Meanwhile a bundle is accepted, and an engine and a box are
+//! killed. Results are counted from outside.
 
 use super::overhead::{self, Measurement, Overhead};
 use sillpin_core::TargetKind;
-use sillpin_load::driver::{self, Drive, Row};
+use sillpin_load::driver::{self, DriverConfig, RequestRecord};
 use sillpin_load::lower_bound;
-use sillpin_load::report::{Report, sum_up};
+use sillpin_load::report::{Report, summarize};
 use sillpin_load::workload::{Corpus, Event, Kind, Plan, Trace};
 use sillpin_testsuite::fleet::{MODEL, SERVICE_POOL, key_of};
 use sillpin_testsuite::wait::until;
@@ -16,7 +16,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Organisations, the largest first.
+/// Organisations, by descending number of requests.
 pub const ORGANISATIONS: [&str; 10] = [
     "head-office",
     "city-plans",
@@ -30,33 +30,33 @@
     "airport",
 ];
 
-/// Length of the workload.
+/// Duration of the workload.
 const LENGTH: Duration = Duration::from_secs(30);
 
-/// Blocks that each engine caches.
+/// Capacity of each engine's prefix cache, in blocks.
 const CACHE_BLOCKS: usize = 60;
 
-/// What the demo counted.
+/// Results of the demo.
 #[derive(Debug, Clone, serde::Serialize)]
 pub struct DemoReport {
-    /// What came of the workload.
+    /// Results of the workload.
     #[serde(flatten)]
     pub report: Report,
-    /// From acceptance to the bundle being in force on every box, in milliseconds.
+    /// Time from acceptance until the bundle is in force on every box, in milliseconds.
     pub bundle_in_force_ms: u64,
-    /// Median of what an entry adds to a call, in microseconds.
+    /// Median latency that an entry adds to a call, in microseconds.
     pub entry_overhead_p50_us: i64,
-    /// 99th percentile of it.
+    /// 99th percentile of the latency that an entry adds to a call, in microseconds.
     pub entry_overhead_p99_us: i64,
 }
 
 impl DemoReport {
-    /// Whether what must never happen happened.
+    /// Returns whether requests were lost, run twice or answered with another request's response.
     pub fn is_bad(&self) -> bool {
         self.report.lost + self.report.doubled + self.report.mixed > 0
     }
 
-    /// The report for people.
+    /// Formats the report as readable text.
     pub fn text(&self) -> String {
         format!(
             "{}bundle in force everywhere after {} ms\nan entry adds {} us (median), {} us (99th percentile)\n",
@@ -68,7 +68,7 @@
     }
 }
 
-/// The fleet of the demo.
+/// Returns the shape of the demo's fleet.
 pub fn shape() -> FleetShape {
     let cache = CACHE_BLOCKS.to_string();
     let args = [
@@ -95,7 +95,7 @@
     }
 }
 
-/// The demo's workload: both users' days at once.
+/// Returns the demo's workload: the workloads of both users, merged.
 pub fn trace(length: Duration) -> Trace {
     let plan = |kind, seed, rate, prompts| Plan {
         kind,
@@ -111,43 +111,45 @@
     Trace { events }
 }
 
-/// Runs the demo over `documents`; `say` gets its progress.
-pub async fn run(documents: Vec<String>, say: impl Fn(&str)) -> DemoReport {
-    say("starting 3 zones with 3 entry boxes each, 18 engines, 3 services, 2 stores, the platform");
+/// Runs the demo with prompts built from `documents`; `report_progress` is called with each step.
+pub async fn run(documents: Vec<String>, report_progress: impl Fn(&str)) -> DemoReport {
+    report_progress(
+        "starting 3 zones with 3 entry boxes each, 18 engines, 3 services, 2 stores, the platform",
+    );
     let mut fleet = Fleet::start(shape()).await;
-    say("measuring what an entry adds");
+    report_progress("measuring the latency that an entry adds");
     let overhead = measure_overhead(&fleet).await;
     let trace = trace(LENGTH);
     let corpus = Corpus::of(documents);
-    let floor = lower_bound::of(&trace, &corpus, 18 * CACHE_BLOCKS);
+    let lower_bound = lower_bound::of(&trace, &corpus, 18 * CACHE_BLOCKS);
     let callers: Vec<SocketAddr> = fleet.boxes.iter().map(|b| b.callers()).collect();
     let (balancer, entries) = watch::channel(callers);
-    let drive = drive_for(entries);
+    let config = driver_config(entries);
     let ended = AtomicUsize::new(0);
-    let sending = driver::run(&drive, &trace, &corpus, |rows| {
-        ended.store(rows, Ordering::Relaxed)
+    let sending = driver::run(&config, &trace, &corpus, |count| {
+        ended.store(count, Ordering::Relaxed)
     });
-    let events = happen(&mut fleet, &balancer, &say, &ended);
-    let (rows, bundle_in_force): (Vec<Row>, Duration) = tokio::join!(sending, events);
+    let events = inject_events(&mut fleet, &balancer, &report_progress, &ended);
+    let (records, bundle_in_force): (Vec<RequestRecord>, Duration) = tokio::join!(sending, events);
     let executions = fleet.all_executions().await;
     DemoReport {
-        report: sum_up(&rows, Some(&floor), &executions),
+        report: summarize(&records, Some(&lower_bound), &executions),
         bundle_in_force_ms: bundle_in_force.as_millis() as u64,
         entry_overhead_p50_us: overhead.p50_us,
         entry_overhead_p99_us: overhead.p99_us,
     }
 }
 
-/// How a workload reaches the fleet.
-pub fn drive_for(entries: watch::Receiver<Vec<SocketAddr>>) -> Drive {
+/// Returns how a workload is sent to the fleet's `entries`.
+pub fn driver_config(entries: watch::Receiver<Vec<SocketAddr>>) -> DriverConfig {
     let keys = ORGANISATIONS.map(|org| (org.to_owned(), key_of(org)));
-    Drive {
+    DriverConfig {
         entries,
         keys: keys.into(),
         model: MODEL.to_owned(),
         service_pool: SERVICE_POOL.to_owned(),
         timeout: Duration::from_secs(60),
-        resend_unknown: false,
+        retry_unknown: false,
     }
 }
 
@@ -166,16 +168,17 @@
     overhead::measure(&measurement).await
 }
 
-/// What happens while the workload is sent: a bundle, then the death of an engine, then of a box.
-async fn happen(
+/// Accepts a bundle, then kills an engine, then a box, while the workload is sent. Returns the time until
+/// the bundle was in force.
+async fn inject_events(
     fleet: &mut Fleet,
     balancer: &watch::Sender<Vec<SocketAddr>>,
-    say: &impl Fn(&str),
+    report_progress: &impl Fn(&str),
     ended: &AtomicUsize,
 ) -> Duration {
     tokio::time::sleep(LENGTH / 3).await;
     let in_force = accept_and_wait(fleet).await;
-    say(&format!("bundle in force everywhere after {in_force:?}"));
+    report_progress(&format!("bundle in force everywhere after {in_force:?}"));
     tokio::time::sleep(LENGTH / 6).await;
     let engine = "engine-msasani-0".parse().expect("valid");
     fleet
@@ -184,25 +187,25 @@
         .expect("started")
         .process
         .kill();
-    say(&format!(
+    report_progress(&format!(
         "killed an engine; {} requests have ended",
         ended.load(Ordering::Relaxed)
     ));
     tokio::time::sleep(LENGTH / 6).await;
-    let dead = fleet.boxes.last_mut().expect("started");
-    dead.entry.kill();
-    dead.keeper.kill();
-    let gone = dead.callers();
-    say(&format!(
+    let killed = fleet.boxes.last_mut().expect("started");
+    killed.entry.kill();
+    killed.keeper.kill();
+    let killed_addr = killed.callers();
+    report_progress(&format!(
         "killed an entry box; {} requests have ended",
         ended.load(Ordering::Relaxed)
     ));
     tokio::time::sleep(Duration::from_secs(1)).await;
-    balancer.send_modify(|entries| entries.retain(|entry| *entry != gone));
+    balancer.send_modify(|entries| entries.retain(|entry| *entry != killed_addr));
     in_force
 }
 
-/// Accepts a bundle and waits until it is in force on every box.
+/// Accepts a bundle and returns the time until it is in force on every box.
 pub async fn accept_and_wait(fleet: &Fleet) -> Duration {
     let begun = Instant::now();
     let accepted = fleet.accept(&fleet.bundle("second")).await;
--- a/xtask/src/ops/faults/fault.rs
+++ b/xtask/src/ops/faults/fault.rs
@@ -1,94 +1,94 @@
-//! The faults that rounds inject.
+//! The faults that can be injected in a round.
 
 use sillpin_core::switches::Mechanism;
 
-/// A fault.
+/// A fault of one part of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display)]
 pub enum Fault {
-    /// Platform outage.
+    /// The platform refuses every call.
     #[display("platform outage")]
     PlatformOutage,
-    /// Platform slow.
+    /// The platform responds slowly.
     #[display("platform slow")]
     PlatformSlow,
-    /// Platform loses answers.
+    /// The platform's responses to some writes are lost.
     #[display("platform loses answers")]
-    PlatformLosesAnswers,
-    /// Engine killed.
+    PlatformLosesResponses,
+    /// The process of an engine is killed.
     #[display("engine killed")]
     EngineKilled,
-    /// Engine frozen.
+    /// The process of an engine is paused.
     #[display("engine frozen")]
     EngineFrozen,
-    /// Engine cuts answers.
+    /// An engine breaks its responses at a token.
     #[display("engine cuts answers")]
-    EngineCuts,
-    /// Engine leaves.
+    EngineCutsResponses,
+    /// An engine reports that it is leaving and refuses new runs.
     #[display("engine leaves")]
     EngineLeaves,
-    /// Engine link cut.
+    /// All connections to an engine are closed.
     #[display("engine link cut")]
     EngineLinkCut,
-    /// Service breaks answers.
+    /// A service runs requests, but breaks its responses.
     #[display("service breaks answers")]
-    ServiceBreaks,
-    /// Service slow.
+    ServiceBreaksResponses,
+    /// A service responds slowly.
     #[display("service slow")]
     ServiceSlow,
-    /// Service requests lost.
+    /// Requests to a service are lost.
     #[display("service requests lost")]
     ServiceRequestsLost,
-    /// Store spoils blocks.
+    /// A store returns corrupted, unsealed or freed blocks.
     #[display("store spoils blocks")]
-    StoreSpoils,
-    /// Keeper frozen.
+    StoreCorruptsBlocks,
+    /// The process of a keeper is paused.
     #[display("keeper frozen")]
     KeeperFrozen,
-    /// Keeper killed.
+    /// The process of a keeper is killed and restarted.
     #[display("keeper killed")]
     KeeperKilled,
-    /// Entry killed.
+    /// The process of an entry is killed.
     #[display("entry killed")]
     EntryKilled,
-    /// Entry stopped.
+    /// An entry is terminated and drains.
     #[display("entry stopped")]
     EntryStopped,
-    /// Weights swapped.
+    /// A bundle with another weight version is accepted.
     #[display("weights swapped")]
     WeightsSwapped,
-    /// Engine answers for another.
+    /// An engine sends the response of another attempt.
     #[display("engine answers for another")]
-    EngineCrosses,
+    EngineMixesAttempts,
 }
 
-/// All of them.
+/// All faults. The seeded random choice depends on their order.
 pub const FAULTS: [Fault; 18] = [
     Fault::PlatformOutage,
     Fault::PlatformSlow,
-    Fault::PlatformLosesAnswers,
+    Fault::PlatformLosesResponses,
     Fault::EngineKilled,
     Fault::EngineFrozen,
-    Fault::EngineCuts,
+    Fault::EngineCutsResponses,
     Fault::EngineLeaves,
     Fault::EngineLinkCut,
-    Fault::ServiceBreaks,
+    Fault::ServiceBreaksResponses,
     Fault::ServiceSlow,
     Fault::ServiceRequestsLost,
-    Fault::StoreSpoils,
+    Fault::StoreCorruptsBlocks,
     Fault::KeeperFrozen,
     Fault::KeeperKilled,
     Fault::EntryKilled,
     Fault::EntryStopped,
     Fault::WeightsSwapped,
-    Fault::EngineCrosses,
+    Fault::EngineMixesAttempts,
 ];
 
-/// The faults that a mechanism is meant for.
+/// Returns the faults against which a mechanism protects.
 pub fn faults_for(mechanism: Mechanism) -> [Fault; 2] {
     match mechanism {
-        Mechanism::Claim => [Fault::ServiceBreaks; 2],
+        Mechanism::Claim => [Fault::ServiceBreaksResponses; 2],
         Mechanism::Outcome => [Fault::ServiceSlow; 2],
-        Mechanism::Attempt => [Fault::EngineCrosses; 2],
+        Mechanism::Attempt => [Fault::EngineMixesAttempts; 2],
         Mechanism::Adopt => [Fault::PlatformSlow; 2],
         Mechanism::Slots => [Fault::WeightsSwapped; 2],
     }
--- a/xtask/src/ops/faults/mod.rs
+++ b/xtask/src/ops/faults/mod.rs
@@ -1,14 +1,15 @@
-//! Randomised rounds over real processes: pairs of faults while the workload runs, checked from the
-//! outside.
+//! Rounds of random faults on real processes: each round injects two faults while a workload runs, and
+//! checks the guarantees from outside.
 //!
-//! The checkers look at what callers got and what the stand-ins counted, never at the system's own
-//! word. With a mechanism turned off (`sillpin_core::switches`) its checker must fire: then the
-//! faults of each round are those that the mechanism is meant for.
+//! The checkers use the responses that callers received and the counters of the stand-ins; only whether a
+//! bundle is in force is read from the fleet's own status. With a mechanism disabled
+//! (`sillpin_core::switches`), its checker must detect violations; the faults of each round are then those
+//! against which the mechanism protects.
 
 mod fault;
 mod report;
 
-use super::demo::{ORGANISATIONS, drive_for};
+use super::demo::{ORGANISATIONS, driver_config};
 use fault::{FAULTS, Fault, faults_for};
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
@@ -17,7 +18,7 @@
 use sillpin_core::switches::Mechanism;
 use sillpin_core::{Outcome, Revision, TargetKind};
 use sillpin_load::caller::CallResult;
-use sillpin_load::driver::{self, Row};
+use sillpin_load::driver::{self, RequestRecord};
 use sillpin_load::workload::{Corpus, Event, Kind, Plan, Trace};
 use sillpin_standin::engine::EngineFaults;
 use sillpin_standin::fault::Faults as LinkFaults;
@@ -30,21 +31,22 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Length of a round's workload.
-const ROUND: Duration = Duration::from_millis(2_500);
+/// Duration of a round's workload.
+const ROUND_DURATION: Duration = Duration::from_millis(2_500);
 
-/// How long a fault lasts.
-const FAULT: Duration = Duration::from_millis(700);
+/// Duration of a fault.
+const FAULT_DURATION: Duration = Duration::from_millis(700);
 
-/// Looks at a box for an accepted bundle, 50 ms apart.
-const LOOKS: u32 = 100;
+/// Maximum number of polls of a box for an accepted bundle, 50 ms apart.
+const MAX_POLLS: u32 = 100;
 
-/// Runs rounds; `say` gets their progress.
+/// Runs `rounds` rounds with random faults, or with those for the disabled mechanism `off`. Calls
+/// `report_progress` after each round.
 pub async fn run(
     seed: u64,
     rounds: u32,
     off: Option<Mechanism>,
-    say: impl Fn(&str),
+    report_progress: impl Fn(&str),
 ) -> FaultReport {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut report = FaultReport::default();
@@ -54,7 +56,7 @@
         Round::start(round_seed).await.run(pair, &mut report).await;
         report.rounds += 1;
         let violations = report.violations();
-        say(&format!(
+        report_progress(&format!(
             "round {round}: {} and {}; violations so far {violations}",
             pair[0], pair[1]
         ));
@@ -114,17 +116,17 @@
 
     async fn run(mut self, pair: [Fault; 2], report: &mut FaultReport) {
         let trace = self.trace();
-        let drive = drive_for(self.balancer.subscribe());
-        let drive = driver::Drive {
+        let config = driver_config(self.balancer.subscribe());
+        let config = driver::DriverConfig {
             timeout: Duration::from_secs(20),
-            resend_unknown: true,
-            ..drive
+            retry_unknown: true,
+            ..config
         };
         let sending =
             tokio::spawn(
-                async move { driver::run(&drive, &trace, &Corpus::default(), |_| {}).await },
+                async move { driver::run(&config, &trace, &Corpus::default(), |_| {}).await },
             );
-        tokio::time::sleep(FAULT / 2).await;
+        tokio::time::sleep(FAULT_DURATION / 2).await;
         let accepted = self
             .fleet
             .accept(&self.fleet.bundle("during"))
@@ -134,11 +136,11 @@
             *report.injected.entry(fault.to_string()).or_default() += 1;
             self.inject(fault).await;
         }
-        tokio::time::sleep(FAULT).await;
-        self.heal().await;
-        let rows = sending.await.unwrap_or_default();
-        self.check_answers(&rows, report);
-        self.check_calls(&rows, report).await;
+        tokio::time::sleep(FAULT_DURATION).await;
+        self.clear_faults().await;
+        let records = sending.await.unwrap_or_default();
+        self.check_answers(&records, report);
+        self.check_calls(&records, report).await;
         self.check_bundle(accepted, report).await;
         self.check_loads(report).await;
     }
@@ -149,7 +151,7 @@
             seed: self.rng.random(),
             organisations: ORGANISATIONS.map(str::to_owned).into(),
             rate,
-            length: ROUND,
+            length: ROUND_DURATION,
             prompts,
         };
         let mut events: Vec<Event> = Trace::make(&plan(Kind::Kerb, 25.0, 10)).events;
@@ -170,7 +172,7 @@
 
     async fn inject(&mut self, fault: Fault) {
         match fault {
-            Fault::PlatformOutage | Fault::PlatformSlow | Fault::PlatformLosesAnswers => {
+            Fault::PlatformOutage | Fault::PlatformSlow | Fault::PlatformLosesResponses => {
                 self.fleet.platform_faults(&platform_faults(fault)).await;
             }
             Fault::EngineKilled | Fault::EngineFrozen => {
@@ -186,19 +188,19 @@
                     None => {}
                 }
             }
-            Fault::EngineCuts | Fault::EngineLeaves | Fault::EngineCrosses => {
+            Fault::EngineCutsResponses | Fault::EngineLeaves | Fault::EngineMixesAttempts => {
                 let faults = EngineFaults {
-                    cut_at: (fault == Fault::EngineCuts).then_some(3),
+                    cut_at: (fault == Fault::EngineCutsResponses).then_some(3),
                     leaving: fault == Fault::EngineLeaves,
-                    crossed: fault == Fault::EngineCrosses,
+                    crossed: fault == Fault::EngineMixesAttempts,
                     ..EngineFaults::default()
                 };
                 let name = self.target(TargetKind::Engine);
                 self.fleet.target_faults(&name, &faults).await;
             }
-            Fault::ServiceBreaks | Fault::ServiceSlow => {
+            Fault::ServiceBreaksResponses | Fault::ServiceSlow => {
                 let faults = ServiceFaults {
-                    break_answer: fault == Fault::ServiceBreaks,
+                    break_answer: fault == Fault::ServiceBreaksResponses,
                     delay_ms: if fault == Fault::ServiceSlow {
                         2_000
                     } else {
@@ -211,7 +213,7 @@
             }
             Fault::EngineLinkCut => self.cut_link(TargetKind::Engine, true).await,
             Fault::ServiceRequestsLost => self.cut_link(TargetKind::Service, false).await,
-            Fault::StoreSpoils => {
+            Fault::StoreCorruptsBlocks => {
                 let faults = StoreFaults {
                     flip_bit: true,
                     careless: true,
@@ -224,7 +226,7 @@
                 self.fleet.boxes[index].keeper.pause();
             }
             Fault::KeeperKilled => self.restart_keeper().await,
-            Fault::EntryKilled | Fault::EntryStopped => self.lose_entry(fault).await,
+            Fault::EntryKilled | Fault::EntryStopped => self.stop_entry(fault).await,
             Fault::WeightsSwapped => {
                 let bundle = self.fleet.bundle_with_version("swap", 2);
                 let signed = self.fleet.sign(&bundle);
@@ -250,20 +252,20 @@
         let (peer, entry) = (entry_box.peer(), entry_box.keeper.addr("entry"));
         let (id, zone) = (entry_box.id.clone(), entry_box.zone.to_string());
         entry_box.keeper.kill();
-        let again = self
-            .fleet
-            .start_keeper_at(&id, &zone, &peer.to_string(), &entry.to_string());
-        self.fleet.boxes[index].keeper = again;
+        let restarted =
+            self.fleet
+                .start_keeper_at(&id, &zone, &peer.to_string(), &entry.to_string());
+        self.fleet.boxes[index].keeper = restarted;
     }
 
-    /// Kills or stops an entry; the balancer takes it out a moment after it is not ready.
-    async fn lose_entry(&mut self, fault: Fault) {
+    /// Kills or terminates an entry; the balancer removes it 100 ms later.
+    async fn stop_entry(&mut self, fault: Fault) {
         if self.fleet.boxes.len() < 3 {
             return;
         }
         let index = self.box_index();
         let entry = &mut self.fleet.boxes[index].entry;
-        let gone = entry.addr("callers");
+        let stopped_addr = entry.addr("callers");
         if fault == Fault::EntryKilled {
             entry.kill();
         } else {
@@ -272,11 +274,11 @@
         let balancer = self.balancer.clone();
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(100)).await;
-            balancer.send_modify(|entries| entries.retain(|entry| *entry != gone));
+            balancer.send_modify(|entries| entries.retain(|entry| *entry != stopped_addr));
         });
     }
 
-    async fn heal(&mut self) {
+    async fn clear_faults(&mut self) {
         self.fleet.platform_faults(&PlatformFaults::default()).await;
         for entry_box in &self.fleet.boxes {
             entry_box.keeper.go_on();
@@ -311,44 +313,49 @@
         }
     }
 
-    fn check_answers(&self, rows: &[Row], report: &mut FaultReport) {
-        let is_wrong = |row: &&Row| matches!(row.got, CallResult::Lost(_) | CallResult::Mixed(_));
-        let wrong: Vec<&Row> = rows.iter().filter(is_wrong).collect();
-        for row in &wrong {
-            eprintln!("wrong: {row:?}");
+    fn check_answers(&self, records: &[RequestRecord], report: &mut FaultReport) {
+        let is_wrong =
+            |r: &&RequestRecord| matches!(r.result, CallResult::Lost(_) | CallResult::Mixed(_));
+        let wrong: Vec<&RequestRecord> = records.iter().filter(is_wrong).collect();
+        for record in &wrong {
+            eprintln!("lost, or the response to another request: {record:?}");
         }
-        report.whole_own_answer.count(rows.len(), wrong.len());
-        let repeatable = || rows.iter().filter(|row| row.once_key.is_none());
-        let unanswered = repeatable().filter(|row| !row.got.is_answered());
+        report.whole_own_answer.count(records.len(), wrong.len());
+        let repeatable = || records.iter().filter(|record| record.once_key.is_none());
+        let unanswered = repeatable().filter(|record| !record.result.is_answered());
         report
             .repeatable
             .count(repeatable().count(), unanswered.count());
-        let unknown = rows
+        let unknown = records
             .iter()
-            .filter(|row| row.got.outcome() == Some(Outcome::Unknown));
+            .filter(|record| record.result.outcome() == Some(Outcome::Unknown));
         report.unknown += unknown.count() as u64;
     }
 
-    async fn check_calls(&self, rows: &[Row], report: &mut FaultReport) {
+    async fn check_calls(&self, records: &[RequestRecord], report: &mut FaultReport) {
         let executions = self.fleet.all_executions().await;
-        let calls: Vec<&Row> = rows.iter().filter(|row| row.once_key.is_some()).collect();
-        let count = |row: &Row| {
-            let key = row.once_key.as_ref();
+        let calls: Vec<&RequestRecord> = records
+            .iter()
+            .filter(|record| record.once_key.is_some())
+            .collect();
+        let count = |record: &RequestRecord| {
+            let key = record.once_key.as_ref();
             key.and_then(|key| executions.get(key))
                 .copied()
                 .unwrap_or(0)
         };
-        let twice = calls.iter().filter(|row| count(row) > 1).count();
+        let twice = calls.iter().filter(|record| count(record) > 1).count();
         report.at_most_once.count(calls.len(), twice);
-        let not_run: Vec<&&Row> = calls.iter().filter(|row| row.is_not_run()).collect();
-        let untrue = not_run.iter().filter(|row| count(row) > 0).count();
-        report.not_run_is_true.count(not_run.len(), untrue);
+        let not_run: Vec<&&RequestRecord> =
+            calls.iter().filter(|record| record.is_not_run()).collect();
+        let ran_anyway = not_run.iter().filter(|record| count(record) > 0).count();
+        report.not_run_is_true.count(not_run.len(), ran_anyway);
     }
 
     async fn check_bundle(&self, accepted: Revision, report: &mut FaultReport) {
         for entry_box in &self.fleet.boxes {
             let mut in_force = false;
-            for _ in 0..LOOKS {
+            for _ in 0..MAX_POLLS {
                 let status = self.fleet.status(entry_box).await;
                 in_force = status.is_some_and(|status| status.revision >= accepted);
                 if in_force {
@@ -373,7 +380,7 @@
     PlatformFaults {
         outage: fault == Fault::PlatformOutage,
         delay_ms: if fault == Fault::PlatformSlow { 400 } else { 0 },
-        lose_answers: if fault == Fault::PlatformLosesAnswers {
+        lose_answers: if fault == Fault::PlatformLosesResponses {
             5
         } else {
             0
--- a/xtask/src/ops/faults/report.rs
+++ b/xtask/src/ops/faults/report.rs
@@ -1,50 +1,50 @@
-//! What the rounds counted.
+//! Results of the rounds.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// A promise and how often it was tried and violated.
+/// How often a guarantee was checked and violated.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct Tally {
-    /// Times tried.
+    /// Number of checks.
     pub tried: u64,
-    /// Times violated.
+    /// Number of violations.
     pub violated: u64,
 }
 
 impl Tally {
-    /// Counts further tries.
+    /// Adds further checks and violations.
     pub fn count(&mut self, tried: usize, violated: usize) {
         self.tried += tried as u64;
         self.violated += violated as u64;
     }
 }
 
-/// What the rounds counted.
+/// Results of all rounds.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct FaultReport {
-    /// Rounds.
+    /// Number of rounds.
     pub rounds: u32,
-    /// Each caller receives the whole answer to its own request.
+    /// Guarantee: no request is lost, and each caller receives the response to its own request.
     pub whole_own_answer: Tally,
-    /// "Not run" is true, counted at the services.
+    /// Guarantee: a call reported as "not run" did not run, as counted by the services.
     pub not_run_is_true: Tally,
-    /// Calls that run at most once run at most once.
+    /// Guarantee: a call with an idempotency key runs at most once.
     pub at_most_once: Tally,
-    /// An accepted bundle is in force everywhere and never reverts.
+    /// Guarantee: an accepted bundle is in force on every box.
     pub bundle_in_force: Tally,
-    /// Never more than three loads of weights at once.
+    /// Guarantee: at most three weight loads run at the same time.
     pub loads_at_once: Tally,
-    /// Repeatable requests, and those among them that were not answered whole.
+    /// Repeatable requests, and those of them that got no complete response.
     pub repeatable: Tally,
-    /// Calls that ended as unknown.
+    /// Number of requests whose outcome was reported as unknown.
     pub unknown: u64,
-    /// Faults injected, by name.
+    /// Number of injected faults, by name.
     pub injected: BTreeMap<String, u32>,
 }
 
 impl FaultReport {
-    /// Promises violated.
+    /// Returns the number of violated guarantees.
     pub fn violations(&self) -> u64 {
         [
             self.whole_own_answer,
--- a/xtask/src/ops/idle.rs
+++ b/xtask/src/ops/idle.rs
@@ -1,31 +1,31 @@
-//! What the control side costs while nothing is asked.
+//! Measures the cost of the keepers while the fleet gets no requests.
 
 use super::procfs::{cpu_time, loopback_bytes, memory};
 use serde::Serialize;
 use sillpin_testsuite::{Fleet, FleetShape};
 use std::time::Duration;
 
-/// Time measured over.
+/// Duration of the measurement.
 const SPAN: Duration = Duration::from_secs(20);
 
-/// Time before, for the start to be over.
+/// Time before the measurement in which the fleet finishes its start.
 const SETTLE: Duration = Duration::from_secs(5);
 
-/// Cost of a keeper.
+/// Cost of an idle keeper.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct IdleCost {
-    /// Boxes.
+    /// Number of boxes.
     pub boxes: usize,
-    /// Mean share of a core, in percent.
+    /// Mean processor usage of a keeper, in percent of a core.
     pub cpu_percent: f64,
-    /// Largest resident memory, in megabytes.
+    /// Largest resident memory of a keeper, in megabytes.
     pub memory_mb: f64,
-    /// Bytes a second over the loopback link for each box: all that keepers, entries, targets and
-    /// the platform send.
+    /// Bytes per second over the loopback interface, per box: everything that keepers, entries,
+    /// targets and the platform send.
     pub bytes_per_sec: f64,
 }
 
-/// Starts nine boxes with the settings' defaults and measures them idle.
+/// Starts nine boxes with default settings and measures their keepers without load.
 pub async fn measure() -> IdleCost {
     let fleet = Fleet::start(FleetShape {
         zones: vec!["kariakoo", "msasani", "ubungo"],
--- a/xtask/src/ops/mod.rs
+++ b/xtask/src/ops/mod.rs
@@ -1,4 +1,4 @@
-//! The work behind the commands.
+//! Implementations of the subcommands.
 
 pub mod compare;
 pub mod control;
--- a/xtask/src/ops/overhead.rs
+++ b/xtask/src/ops/overhead.rs
@@ -1,4 +1,5 @@
-//! What an entry adds to a call of an engine: interleaved, at a fixed rate.
+//! Measures the latency that an entry adds to a call of an engine, by interleaved calls through the
+//! entry and directly, at a fixed rate.
 
 use hdrhistogram::Histogram;
 use sillpin_core::{AttemptId, WeightVersion};
@@ -11,48 +12,49 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Quantiles of what an entry adds, in microseconds.
+/// Latency that an entry adds, in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, serde::Serialize)]
 pub struct Overhead {
-    /// Difference of the medians.
+    /// Difference of the median latencies.
     pub p50_us: i64,
-    /// Difference of the 99th percentiles.
+    /// Difference of the 99th percentiles of the latency.
     pub p99_us: i64,
 }
 
-/// What is measured.
+/// Parameters of the measurement.
 pub struct Measurement {
-    /// The entry.
+    /// Address of the entry.
     pub entry: SocketAddr,
-    /// Key of an organisation.
+    /// API key of an organisation.
     pub key: String,
     /// Engines to call directly, in turn.
     pub engines: Vec<SocketAddr>,
-    /// Calls a second, each way.
+    /// Calls per second, through the entry and directly each.
     pub rate: u32,
-    /// Calls each way.
+    /// Number of calls, through the entry and directly each.
     pub calls: u32,
 }
 
-/// Calls engines through the entry and directly, in turn.
+/// Calls engines alternately through the entry and directly, and compares the latencies.
 pub async fn measure(measurement: &Measurement) -> Overhead {
     let client = Client::default();
-    let mut every = tokio::time::interval(Duration::from_secs(1) / measurement.rate);
+    let mut interval = tokio::time::interval(Duration::from_secs(1) / measurement.rate);
     let (mut through, mut direct) = (JoinSet::new(), JoinSet::new());
     for number in 0..measurement.calls {
-        every.tick().await;
+        interval.tick().await;
         let engine = measurement.engines[number as usize % measurement.engines.len()];
-        let ask = CompletionRequest::new(&measurement.key, MODEL, format!("overhead {number}"), 1);
-        let (via, entry) = (client.clone(), measurement.entry);
-        let by_engine = HttpEngine::new(client.clone());
-        let prompt = ask.prompt.clone();
+        let request =
+            CompletionRequest::new(&measurement.key, MODEL, format!("overhead {number}"), 1);
+        let (entry_client, entry) = (client.clone(), measurement.entry);
+        let direct_client = HttpEngine::new(client.clone());
+        let prompt = request.prompt.clone();
         through.spawn(async move {
-            match call(&via, entry, &ask).await {
-                CallResult::Answered { whole, .. } => Some(whole),
+            match call(&entry_client, entry, &request).await {
+                CallResult::Answered { total, .. } => Some(total),
                 _ => None,
             }
         });
-        direct.spawn(async move { call_engine(&by_engine, engine, prompt).await });
+        direct.spawn(async move { call_engine(&direct_client, engine, prompt).await });
     }
     let through = quantiles(through.join_all().await);
     let direct = quantiles(direct.join_all().await);
--- a/xtask/src/ops/procfs.rs
+++ b/xtask/src/ops/procfs.rs
@@ -1,12 +1,12 @@
-//! What the operating system counts of a process and of the loopback link.
+//! Reads the kernel's counters of processes and of the loopback interface.
 
 use std::fs;
 use std::time::Duration;
 
-/// Length of the kernel's clock tick, as `getconf CLK_TCK` gives it on Linux.
+/// Duration of the kernel's clock tick: `getconf CLK_TCK` is 100 on Linux.
 const TICK: Duration = Duration::from_millis(10);
 
-/// Processor time that a process has used.
+/// Returns the processor time that a process has used, or zero if it cannot be read.
 pub fn cpu_time(id: u32) -> Duration {
     let stat = fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
     let after_name = stat.rsplit(')').next().unwrap_or_default();
@@ -22,7 +22,7 @@
     TICK * (ticks(USER_TIME) + ticks(SYSTEM_TIME))
 }
 
-/// Resident memory of a process, in bytes.
+/// Returns the resident memory of a process in bytes, or 0 if it cannot be read.
 pub fn memory(id: u32) -> u64 {
     let status = fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -30,7 +30,7 @@
     kib.unwrap_or(0) * 1_024
 }
 
-/// Bytes sent over the loopback link since the start of the machine.
+/// Returns the bytes sent over the loopback interface since the machine started.
 pub fn loopback_bytes() -> u64 {
     let table = fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = table
--- a/xtask/src/ops/streams.rs
+++ b/xtask/src/ops/streams.rs
@@ -1,4 +1,4 @@
-//! Many open streams through one entry box.
+//! Measures the cost of many open streams through one entry.
 
 use super::procfs::{cpu_time, memory};
 use serde::Serialize;
@@ -9,33 +9,34 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// Streams over one connection of a caller (HTTP/2).
+/// Number of streams over one HTTP/2 connection of a caller.
 const STREAMS_PER_CONNECTION: usize = 100;
 
-/// Tokens of each stream; the engines give one every two seconds.
+/// Number of tokens of each stream; the engines generate one every two seconds.
 const TOKENS: u32 = 12;
 
-/// Pause between the starts of two connections' streams.
-const RAMP: Duration = Duration::from_millis(60);
+/// Time between the starts of two connections' streams.
+const CONNECTION_INTERVAL: Duration = Duration::from_millis(60);
 
-/// What many streams cost.
+/// Cost of many open streams for an entry.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct StreamCost {
-    /// Streams.
+    /// Number of streams.
     pub streams: usize,
-    /// Streams that got their whole answer.
+    /// Number of streams that received their complete response.
     pub whole: usize,
-    /// Most streams open at once, as the engines counted.
+    /// Maximum number of streams open at the same time, as counted by the engines.
     pub open_at_once: u32,
-    /// Memory of the entry for each stream, in bytes.
+    /// Memory of the entry per stream, in bytes.
     pub bytes_per_stream: f64,
-    /// Processor time of the entry for each request, in microseconds, its tokens included.
+    /// Processor time of the entry per request with one token, in microseconds.
     pub cpu_per_request_us: f64,
-    /// Processor time of the entry for each token, in microseconds: by difference to short answers.
+    /// Processor time of the entry per token, in microseconds: from the difference between long and short
+    /// responses.
     pub cpu_per_token_us: f64,
 }
 
-/// Opens `streams` streams through one entry.
+/// Opens `streams` streams through one entry and measures their cost.
 pub async fn measure(streams: usize) -> StreamCost {
     let args = [
         "--max-batch",
@@ -70,7 +71,7 @@
         let client = Client::http2();
         for stream in 0..STREAMS_PER_CONNECTION {
             let client = client.clone();
-            let ask = CompletionRequest {
+            let request = CompletionRequest {
                 timeout: Duration::from_secs(120),
                 ..CompletionRequest::new(
                     &key_of("riders"),
@@ -79,21 +80,21 @@
                     TOKENS,
                 )
             };
-            tasks.spawn(async move { call(&client, callers, &ask).await.is_answered() });
+            tasks.spawn(async move { call(&client, callers, &request).await.is_answered() });
         }
-        tokio::time::sleep(RAMP).await;
+        tokio::time::sleep(CONNECTION_INTERVAL).await;
     }
-    let (mut open_at_once, mut most_memory) = (0, before);
+    let (mut open_at_once, mut max_memory) = (0, before);
     let mut whole = 0;
-    let mut look = tokio::time::interval(Duration::from_millis(500));
+    let mut sample_interval = tokio::time::interval(Duration::from_millis(500));
     loop {
         tokio::select! {
             ended = tasks.join_next() => match ended {
                 Some(answered) => whole += usize::from(answered.unwrap_or(false)),
                 None => break,
             },
-            _ = look.tick() => {
-                most_memory = most_memory.max(memory(id));
+            _ = sample_interval.tick() => {
+                max_memory = max_memory.max(memory(id));
                 open_at_once = open_at_once.max(running(&fleet).await);
             }
         }
@@ -103,7 +104,7 @@
         streams,
         whole,
         open_at_once,
-        bytes_per_stream: (most_memory - before) as f64 / streams as f64,
+        bytes_per_stream: (max_memory - before) as f64 / streams as f64,
         cpu_per_request_us: short,
         cpu_per_token_us: (long - short) / 100.0,
     }
@@ -120,10 +121,10 @@
     loads.map(|load| load.running).sum()
 }
 
-/// Processor time of an entry for a request with `tokens` tokens, in microseconds.
+/// Returns the processor time of an entry per request with `tokens` tokens, in microseconds.
 async fn cpu_of(tokens: u32) -> f64 {
     const REQUESTS: u32 = 1_000;
-    const AT_ONCE: u32 = 50;
+    const CONCURRENCY: u32 = 50;
     let args = [
         "--max-batch",
         "1000",
@@ -144,13 +145,13 @@
     let (callers, id) = (fleet.boxes[0].callers(), fleet.boxes[0].entry.id());
     let before = cpu_time(id);
     let mut tasks = JoinSet::new();
-    for worker in 0..AT_ONCE {
+    for worker in 0..CONCURRENCY {
         let client = fleet.client.clone();
         tasks.spawn(async move {
-            for number in 0..REQUESTS / AT_ONCE {
+            for number in 0..REQUESTS / CONCURRENCY {
                 let prompt = format!("{worker} {number}");
-                let ask = CompletionRequest::new(&key_of("riders"), MODEL, prompt, tokens);
-                call(&client, callers, &ask).await;
+                let request = CompletionRequest::new(&key_of("riders"), MODEL, prompt, tokens);
+                call(&client, callers, &request).await;
             }
         });
     }
