--- a/crates/sillpin-load/src/report.rs
+++ b/crates/sillpin-load/src/report.rs
@@ -214,7 +214,7 @@
     chart
         .configure_mesh()
         .x_desc("time to first token, ms")
-        .y_desc("share of answers")
+        .y_desc("share of responses")
         .draw()?;
     for (number, line) in lines.iter().enumerate() {
         let colour = Palette99::pick(number).mix(1.0);
