--- a/crates/sillpin-cli/src/commands/status.rs
+++ b/crates/sillpin-cli/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `sillpin status`: what a keeper sees of the fleet.
+//! `sillpin status`: shows the fleet as a keeper sees it.
 
 use super::{keeper_arg, show, value};
 use clap::{ArgMatches, Command};
@@ -9,7 +9,9 @@
 
 pub fn cli() -> Command {
     Command::new("status")
-        .about("Shows boxes, targets, the revision in force and how old each piece of news is")
+        .about(
+            "Shows boxes, targets, the revision in force and how old the keeper's information is",
+        )
         .arg(keeper_arg())
 }
 
@@ -66,14 +68,14 @@
         |load| format!("running {} waiting {}", load.running, load.waiting),
     );
     let reachable = target.state.as_ref().is_none_or(|state| state.reachable);
-    let reach = if reachable {
+    let reachability = if reachable {
         "in reach"
     } else {
         "out of reach"
     };
     let leaving = if target.leaving { " leaving" } else { "" };
     format!(
-        "  {} {} {} {} {} {load} {reach}{leaving}\n",
+        "  {} {} {} {} {} {load} {reachability}{leaving}\n",
         entry.id, entry.kind, entry.pool, entry.zone, entry.addr
     )
 }
--- a/crates/sillpin-gateway/src/budget.rs
+++ b/crates/sillpin-gateway/src/budget.rs
@@ -26,7 +26,7 @@
 /// deviation of 4; 65 are allowed.
 const RANDOM_SAVED_FRACTION: f64 = 0.5;
 
-/// A granted retry expires after this time. It is normally taken within milliseconds, when a silent target is
+/// A granted retry expires after this time. It is normally taken within milliseconds, when an unresponsive target is
 /// abandoned.
 const GRANT_TTL: Duration = Duration::from_millis(500);
 
@@ -107,7 +107,7 @@
 
     /// Takes one retry from the budget; returns whether there was one.
     pub fn take(&mut self, pool: &PoolId, rules: &RetryRules, boxes: usize, now: Instant) -> bool {
-        if !self.has(pool, rules, boxes, now) {
+        if !self.has_retry(pool, rules, boxes, now) {
             return false;
         }
         let bucket = self.bucket(pool, rules, boxes, now);
@@ -118,8 +118,14 @@
     }
 
     /// Whether there is a retry in the budget. Where retries are granted at random, this draws the random number, so
-    /// call it just before a retry is wanted.
-    pub fn has(&mut self, pool: &PoolId, rules: &RetryRules, boxes: usize, now: Instant) -> bool {
+    /// call it just before a retry is to be made.
+    pub fn has_retry(
+        &mut self,
+        pool: &PoolId,
+        rules: &RetryRules,
+        boxes: usize,
+        now: Instant,
+    ) -> bool {
         let random = self.rng.random::<f64>();
         let bucket = self.bucket(pool, rules, boxes, now);
         if bucket.balance >= 1.0 || bucket.granted_at.is_some() {
--- a/crates/sillpin-gateway/src/fleet_state/fleet/evacuated.rs
+++ b/crates/sillpin-gateway/src/fleet_state/fleet/evacuated.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time after the store's return within which operators write again what it lost. An acknowledged
+/// Time after the store recovers within which operators write again what it lost. An acknowledged
 /// evacuation is not ended before: a zone that stays empty for too long costs only capacity.
 const REWRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
@@ -68,7 +68,7 @@
     }
 
     /// Marks the targets of a zone that takes requests again as warming up, since they may be cold
-    /// and their entries show it only later. They had nothing to do, so they appear less loaded
+    /// and their entries state it only later. They had no requests, so they appear less loaded
     /// than all others.
     fn mark_cold(&mut self, zone: &ZoneId, now: Instant) {
         let Some(config) = self.config.clone() else {
--- a/crates/sillpin-gateway/src/fleet_state/mod.rs
+++ b/crates/sillpin-gateway/src/fleet_state/mod.rs
@@ -63,7 +63,7 @@
     Peer(BoxId),
     /// The box that reads the store for the zone, relayed by the hub.
     #[display("zone's reader")]
-    Passed,
+    Relayed,
 }
 
 /// Another box of the fleet, or this one.
@@ -268,7 +268,7 @@
         /// The model.
         model: ModelId,
         /// The version.
-        named: DesiredVersion,
+        desired: DesiredVersion,
         /// Where it came from.
         source: Source,
     },
--- a/crates/sillpin-gateway/src/fleet_state/reader.rs
+++ b/crates/sillpin-gateway/src/fleet_state/reader.rs
@@ -2,7 +2,7 @@
 //!
 //! One box of a zone polls each prefix, and the other boxes get the store's revision from it. In
 //! addition every box watches what operators publish: it may be large, and the store's link carries
-//! it to all boxes at once, while a box with a slow link would take seconds to send it to a zone.
+//! it to all boxes in parallel, while a box with a slow link would take seconds to send it to a zone.
 
 use super::transfers::Transfers;
 use super::{BoxEntry, FleetHandle, FleetMsg, Reading, Source, Topic};
@@ -29,8 +29,7 @@
 const FIRST_WAIT: Duration = Duration::from_millis(1);
 
 /// Longest time for which a box that does not read for its zone waits for a change: the 30 s that
-/// the store allows, less a margin. Each call costs: on 59 boxes all calls of watches rise by 13%
-/// (912 to 1,034 in 60 s).
+/// the store allows, less a margin. Each call costs.
 const MAX_LONG_POLL: Duration = Duration::from_secs(25);
 
 /// Share of the store's history for which such a box waits. If nothing changes during a longer
@@ -302,7 +301,7 @@
 }
 
 /// Returns the wait after a number of consecutive failures, with jitter, so that the boxes don't
-/// all call a returning store at once.
+/// all call the store at the moment when it recovers.
 fn backoff(failures: u32, least: Duration, longest: Duration) -> Duration {
     let doubled = least * 2u32.pow(failures.min(4));
     let most = doubled.min(longest);
--- a/crates/sillpin-gateway/src/ops.rs
+++ b/crates/sillpin-gateway/src/ops.rs
@@ -58,7 +58,7 @@
 /// Interval of the log lines about calls of the platform store and about traffic between boxes.
 const TRAFFIC_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Capacity of the queue of updates for other boxes. The leader orders a quarter of all engines at once, and updates
+/// Capacity of the queue of updates for other boxes. The leader orders a quarter of all engines together, and updates
 /// that do not fit are lost: boxes then go on sending to engines that are loading.
 const UPDATE_QUEUE: usize = 1_024;
 
@@ -98,7 +98,7 @@
     peers: TcpListener,
     gossip: UdpSocket,
     metrics: Option<TcpListener>,
-    at: ListenAddrs,
+    addrs: ListenAddrs,
 }
 
 async fn listen_all(cfg: &BoxConfig) -> Result<Listeners, BindError> {
@@ -119,7 +119,7 @@
         peers,
         gossip,
         metrics,
-        at: ListenAddrs {
+        addrs: ListenAddrs {
             callers: callers_at,
             ready: ready_at,
             peers: peers_at,
@@ -145,10 +145,10 @@
 {
     let cfg = settings.borrow().clone();
     let listeners = listen_all(&cfg).await?;
-    let at = listeners.at;
-    started(at);
+    let addrs = listeners.addrs;
+    started(addrs);
     let Telemetry { log, metrics, .. } = telemetry;
-    event!(log, events::BOX_STARTED, "callers" => at.callers.to_string(),
+    event!(log, events::BOX_STARTED, "callers" => addrs.callers.to_string(),
         "platform" => cfg.platform.to_string(), "seeds" => cfg.seeds.len());
     let (fleet, port) = fleet_state::channel();
     observe_fleet(&metrics.meter(), fleet.clone());
@@ -159,8 +159,8 @@
     let me = BoxEntry {
         id: cfg.id.clone(),
         zone: cfg.zone.clone(),
-        peers: listeners.at.peers,
-        gossip: listeners.at.gossip,
+        peers: listeners.addrs.peers,
+        gossip: listeners.addrs.gossip,
         link_mbps: cfg.link_mbps,
     };
     let transfers = Transfers::default();
@@ -182,7 +182,7 @@
     let handles = FleetHandles {
         fleet: fleet.clone(),
         loads,
-        kept: CacheStores::default(),
+        cache_stores: CacheStores::default(),
         fatal: FatalRequests::new(log.clone()),
         suspend_clock,
     };
@@ -197,7 +197,7 @@
     tokio::spawn(cache_stores::reader::run(Readers {
         control: adapter.control.clone(),
         me: me.clone(),
-        kept: shared.kept.clone(),
+        cache_stores: shared.cache_stores.clone(),
         loads: shared.loads.clone(),
         fleet: fleet.clone(),
         updates: zone_updates_tx,
@@ -307,7 +307,7 @@
     let answerer = PeerServer {
         fleet_key,
         fleet: fleet.clone(),
-        kept: shared.kept.clone(),
+        cache_stores: shared.cache_stores.clone(),
         log: log.clone(),
     };
     tokio::spawn(link::serve(listener, answerer, CancellationToken::new()));
@@ -335,7 +335,7 @@
         settings,
         fleet: fleet.clone(),
         loads: shared.loads.clone(),
-        kept: shared.kept.clone(),
+        cache_stores: shared.cache_stores.clone(),
         fatal: shared.fatal.clone(),
         suspend_clock: shared.suspend_clock.clone(),
         updates,
@@ -363,7 +363,7 @@
         control: adapter.control.clone(),
         fleet,
         loads: shared.loads.clone(),
-        kept: shared.kept.clone(),
+        cache_stores: shared.cache_stores.clone(),
         updates: updates_tx,
         stopping,
         log,
--- a/crates/sillpin-gateway/src/weights/rollout.rs
+++ b/crates/sillpin-gateway/src/weights/rollout.rs
@@ -37,7 +37,7 @@
 /// requests to any engine with a job, so the number is limited.
 const MAX_JOBS_FACTOR: usize = 2;
 
-/// Interval at which the leader looks for engines to order.
+/// Interval at which the leader checks which engines to order.
 const SCAN_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Delay after a failed attempt to become the leader.
@@ -81,7 +81,7 @@
     /// Load of targets and liveness of boxes.
     pub loads: Loads,
     /// State of the cache stores.
-    pub kept: CacheStores,
+    pub cache_stores: CacheStores,
     /// Updates for all boxes.
     pub updates: mpsc::Sender<WeightLoadUpdate>,
     /// Cancelled when the box shuts down.
@@ -178,7 +178,7 @@
         let (limit, until) = watch::channel(leadership.orders_until);
         let reclaimer = Reclaimer {
             control: self.control.clone(),
-            kept: self.kept.clone(),
+            cache_stores: self.cache_stores.clone(),
             fleet: self.fleet.clone(),
             until: until.clone(),
             suspend_clock: self.election.suspend_clock.clone(),
@@ -219,12 +219,12 @@
     async fn apply_recorded_versions(&self, version_ages: &[DesiredVersionAge]) {
         let now = Instant::now();
         for age in version_ages {
-            let Some(named) = age.to_desired_version(now) else {
+            let Some(desired) = age.to_desired_version(now) else {
                 continue;
             };
             let msg = FleetMsg::DesiredVersion {
                 model: age.model.clone(),
-                named,
+                desired,
                 source: Source::Store,
             };
             self.fleet.send(msg).await;
--- a/crates/sillpin-gateway/tests/slow_start.rs
+++ b/crates/sillpin-gateway/tests/slow_start.rs
@@ -1,8 +1,8 @@
 //! Tests of what a whole fleet sends to cold targets.
 //!
 //! A target that has just started can handle 11 requests a second and fails well above that, but
-//! looks idle to every box. On a day on which many users came just after the evacuation of a zone,
-//! 71 boxes together sent single targets more than 21 requests in a second.
+//! appears idle to every box. Under load just after the evacuation of a zone, 71 boxes together sent
+//! single targets more than 21 requests in a second.
 
 mod common;
 
@@ -87,7 +87,7 @@
 
 struct Fleet {
     boxes: Vec<SimulatedBox>,
-    /// When each box, by its index, learns of the start and the end of each other.
+    /// When each box, by its index, detects the start and the end of each other.
     lags: HashMap<(usize, usize), (Duration, Duration)>,
     rng: StdRng,
 }
@@ -187,7 +187,7 @@
                 (ms(DISCOVERED_AFTER_MS), ms(REMOVED_AFTER_MS))
             });
             let one = &self.boxes[other];
-            // A box learns of all others after its own start, and of later ones after theirs.
+            // A box detects all others after its own start, and later ones after theirs.
             let from = one.started_at.max(self.boxes[of].started_at) + start;
             // A box that stops announces it; half of the announcements are as late as those of
             // starts.
--- a/crates/sillpin-load/src/lib.rs
+++ b/crates/sillpin-load/src/lib.rs
@@ -1,15 +1,15 @@
-//! The load and comparison tool: seeded open-loop workloads, and checks of answers from outside.
+//! Load generator and comparison tool: sends seeded open-loop workloads and checks the responses from outside.
 //!
-//! - [`workload`]: what is sent, when, by whom; replayable,
-//! - [`floor`]: the best that any cache could do with a workload,
-//! - [`caller`]: sends one request and checks its answer,
-//! - [`oracle`]: what the answer must be,
-//! - [`drive`]: sends a workload, open loop,
-//! - [`report`]: what came of it, as text, JSON and a plot.
+//! - [`workload`]: replayable traces of requests with their times and organisations,
+//! - [`lower_bound`]: share of prompt tokens that must be computed even with an optimal cache,
+//! - [`caller`]: sends one request and checks its response,
+//! - [`oracle`]: the expected response to a prompt,
+//! - [`driver`]: sends a workload, open loop,
+//! - [`report`]: results of a workload as text, JSON and a plot.
 
 pub mod caller;
-pub mod drive;
-pub mod floor;
+pub mod driver;
+pub mod lower_bound;
 pub mod oracle;
 pub mod report;
 pub mod workload;
--- a/tests/testsuite/operators.rs
+++ b/tests/testsuite/operators.rs
@@ -1,12 +1,13 @@
-//! The operators' command line against a running fleet.
+//! Integration tests of the `sillpin` command line and of metrics, against a running fleet.
 
-use sillpin_load::caller::{Ask, Got, call};
-use sillpin_testsuite::fleet::{MODEL, key_of};
+use sillpin_load::caller::{CallResult, CompletionRequest, call};
+use sillpin_testsuite::fleet::{MODEL, api_key};
 use sillpin_testsuite::process::program;
 use sillpin_testsuite::wait::until;
 use sillpin_testsuite::{Fleet, FleetShape};
 use std::process::Command;
 
+/// Runs `sillpin`; returns its exit code, standard output and standard error.
 fn sillpin(args: &[&str]) -> (Option<i32>, String, String) {
     let out = Command::new(program("sillpin"))
         .args(args)
@@ -18,7 +19,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_bundle_goes_from_new_to_in_force() {
-    let fleet = Fleet::start_unready(FleetShape::default()).await;
+    let fleet = Fleet::start_without_bundle(FleetShape::default()).await;
     let platform = fleet.platform.addr("platform").to_string();
     let peer = fleet.boxes[0].peer().to_string();
     let text = serde_json::to_string_pretty(&fleet.bundle("by-hand")).unwrap();
@@ -62,15 +63,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn status_and_explain_say_what_happened() {
+async fn status_and_explain_describe_a_served_request() {
     let fleet = Fleet::start(FleetShape {
         boxes: 2,
         ..FleetShape::default()
     })
     .await;
-    let ask = Ask::new(&key_of("riders"), MODEL, "Explain me. ".repeat(1_000), 3);
+    let ask = CompletionRequest::new(&api_key("riders"), MODEL, "Explain me. ".repeat(1_000), 3);
     let got = call(&fleet.client, fleet.boxes[0].callers(), &ask).await;
-    let Got::Answered {
+    let CallResult::Answered {
         request: Some(request),
         ..
     } = got
--- a/tests/testsuite/organisations.rs
+++ b/tests/testsuite/organisations.rs
@@ -1,15 +1,15 @@
-//! One organisation's prompts never reach another.
+//! Isolation of organisations: cached blocks are not shared, and revoked keys are refused.
 
 use sillpin_cli::ops::organisation;
-use sillpin_load::caller::{Ask, Got, Usage, call};
-use sillpin_testsuite::fleet::{MODEL, key_of};
+use sillpin_load::caller::{CallResult, CompletionRequest, Usage, call};
+use sillpin_testsuite::fleet::{MODEL, api_key};
 use sillpin_testsuite::wait::until;
 use sillpin_testsuite::{Fleet, FleetShape};
 
 async fn usage(fleet: &Fleet, org: &str, prompt: &str) -> Usage {
-    let ask = Ask::new(&key_of(org), MODEL, prompt, 3);
+    let ask = CompletionRequest::new(&api_key(org), MODEL, prompt, 3);
     match call(&fleet.client, fleet.boxes[0].callers(), &ask).await {
-        Got::Answered { usage, .. } => usage,
+        CallResult::Answered { usage, .. } => usage,
         got => panic!("{got:?}"),
     }
 }
@@ -31,12 +31,12 @@
 }
 
 #[tokio::test]
-async fn a_revoked_key_is_refused_and_its_open_stream_ends_whole() {
+async fn a_revoked_key_is_refused_and_its_open_stream_completes() {
     let fleet = Fleet::start(FleetShape::default()).await;
     let entry = fleet.boxes[0].callers();
     let (client, long) = (
         fleet.client.clone(),
-        Ask::new(&key_of("mechanics"), MODEL, "long", 150),
+        CompletionRequest::new(&api_key("mechanics"), MODEL, "long", 150),
     );
     let open = tokio::spawn(async move { call(&client, entry, &long).await });
     let org = "mechanics".parse().unwrap();
@@ -44,9 +44,9 @@
         .await
         .unwrap();
     until("the key to be refused", || async {
-        let ask = Ask::new(&key_of("mechanics"), MODEL, "refuse me", 2);
+        let ask = CompletionRequest::new(&api_key("mechanics"), MODEL, "refuse me", 2);
         match call(&fleet.client, entry, &ask).await {
-            Got::Refused { problem, .. } if problem.status == 401 => Some(()),
+            CallResult::Refused { problem, .. } if problem.status == 401 => Some(()),
             _ => None,
         }
     })
--- a/tests/testsuite/versions.rs
+++ b/tests/testsuite/versions.rs
@@ -1,17 +1,18 @@
-//! A new request never uses blocks of another weight version; a swap loses no answer and never
-//! loads more than three engines at once.
+//! A change of weights loses no response, has at most three engines load at the same time, and new
+//! requests never use blocks of another weight version.
 
 use futures::future::join_all;
-use sillpin_load::caller::{Ask, Got, call};
+use sillpin_load::caller::{CallResult, CompletionRequest, call};
 use sillpin_standin::weights::WeightCounters;
-use sillpin_testsuite::fleet::{MODEL, key_of};
+use sillpin_testsuite::fleet::{MODEL, api_key};
 use sillpin_testsuite::wait::until;
 use sillpin_testsuite::{Fleet, FleetShape};
 
-fn ask(prompt: &str, tokens: u32) -> Ask {
-    Ask::new(&key_of("riders"), MODEL, prompt, tokens)
+fn ask(prompt: &str, tokens: u32) -> CompletionRequest {
+    CompletionRequest::new(&api_key("riders"), MODEL, prompt, tokens)
 }
 
+/// Returns the weight version of each engine; `None` while one is unknown.
 async fn versions(fleet: &Fleet) -> Option<Vec<u64>> {
     let status = fleet.status(&fleet.boxes[0]).await?;
     let engines = status.targets.iter().filter(|t| t.entry.model.is_some());
@@ -21,7 +22,7 @@
 }
 
 #[tokio::test]
-async fn a_swap_under_load_loses_no_answer_and_reuses_no_old_block() {
+async fn a_change_of_weights_under_load_loses_no_response_and_reuses_no_old_block() {
     let fleet = Fleet::start(FleetShape {
         zones: vec!["kariakoo", "msasani"],
         engines: 4,
@@ -40,7 +41,8 @@
     let load = tokio::spawn(async move {
         let mut all = Vec::new();
         for round in 0..20 {
-            let asks: Vec<Ask> = (0..6).map(|i| ask(&format!("{round} {i}"), 20)).collect();
+            let asks: Vec<CompletionRequest> =
+                (0..6).map(|i| ask(&format!("{round} {i}"), 20)).collect();
             let calls = asks.iter().map(|ask| call(&client, entry, ask));
             all.extend(join_all(calls).await);
         }
@@ -60,7 +62,7 @@
     assert!(counted.most_at_once <= 3, "{counted:?}");
     assert_eq!(counted.loads, 8);
     let got = call(&fleet.client, entry, &ask(&prompt, 2)).await;
-    let Got::Answered { usage, .. } = got else {
+    let CallResult::Answered { usage, .. } = got else {
         panic!("{got:?}");
     };
     assert_eq!(usage.prompt_tokens_details.cached_tokens, 0);
