--- a/crates/sillpin-gateway/src/cache_stores/reader.rs
+++ b/crates/sillpin-gateway/src/cache_stores/reader.rs
@@ -37,8 +37,8 @@
 
 /// A box that has just started lists each store itself, after a random delay of at most this much times the number of boxes in the
 /// fleet: all boxes may have started together, a store serves few clients concurrently, and each listing occupies it for some
-/// milliseconds. If a box waited for the zone's reader instead, whole prompts would be recomputed meanwhile: after all of 71 boxes
-/// had lost power, nothing was fetched for 1.7 s, and engines needed 3 s to prefill what had arrived in one.
+/// milliseconds. If a box waited for the zone's reader instead, whole prompts would be recomputed meanwhile: when all of 71 boxes
+/// restarted together, nothing was fetched for 1.7 s, and engines needed 3 s to prefill what had arrived in one.
 const LIST_SPREAD: Duration = Duration::from_millis(4);
 
 /// Time after which a box that knows no other box assumes that it is the only one: it reads the registered boxes within some 20 ms
--- a/crates/sillpin-gateway/src/dialect.rs
+++ b/crates/sillpin-gateway/src/dialect.rs
@@ -226,7 +226,7 @@
     /// Builds the headers of a target's response for the caller.
     fn write_response(&self, from: &HeaderMap) -> HeaderMap;
 
-    /// Builds the headers of a response that the box creates itself; `retry_after` is when the caller may come back.
+    /// Builds the headers of a response that the box creates itself; `retry_after` is the time after which the caller may retry.
     fn write_own_response(
         &self,
         request_id: Option<&str>,
--- a/crates/sillpin-gateway/src/fatal/persist.rs
+++ b/crates/sillpin-gateway/src/fatal/persist.rs
@@ -1,6 +1,6 @@
 //! Persists the crash history in the platform store, so that it survives the loss of all boxes.
 //!
-//! Boxes that all start together know nothing, and a request that crashed three targets before would crash three more. So a box that
+//! Boxes that all start together have no history, and a request that crashed three targets before would crash three more. So a box that
 //! observes the second or third crash under a request writes it to the platform store, all such requests under one key, and a box
 //! reads that key when it starts.
 
--- a/crates/sillpin-gateway/src/fleet_state/fleet.rs
+++ b/crates/sillpin-gateway/src/fleet_state/fleet.rs
@@ -42,7 +42,8 @@
 /// seconds at most.
 const UNOBSERVED_TIME: Duration = Duration::from_secs(2);
 
-/// Share of the listed targets that no planned change removes at one revision.
+/// If more than this share of the listed targets disappears at one revision, their entries are
+/// taken to have expired: no planned change removes as many.
 const MASS_EXPIRY_SHARE: f64 = 0.5;
 
 /// Time between two checks of entries that wait for a deadline.
@@ -90,7 +91,7 @@
 }
 
 impl<K: PublishedFormat> Fleet<K> {
-    /// Creates the state of a box that knows nothing yet.
+    /// Creates the state of a box that has received nothing yet.
     pub fn new(me: BoxId, keys: K, log: Logger) -> Self {
         Self {
             me,
--- a/crates/sillpin-gateway/src/fleet_state/fleet/targets.rs
+++ b/crates/sillpin-gateway/src/fleet_state/fleet/targets.rs
@@ -81,7 +81,7 @@
     }
 
     /// Marks a target as warming up for `time` from now. The duration in an entry is as old as the
-    /// entry, so the mark rather lasts too long.
+    /// entry, so the mark lasts too long rather than too short.
     pub(super) fn set_cold(&mut self, target: &TargetId, time: Duration, now: Instant) {
         if !time.is_zero() {
             let until = self.cold.entry(target.clone()).or_insert(now);
--- a/crates/sillpin-gateway/src/fleet_state/mirror.rs
+++ b/crates/sillpin-gateway/src/fleet_state/mirror.rs
@@ -38,7 +38,7 @@
 }
 
 impl Mirror {
-    /// Returns how far the prefix is known.
+    /// Returns the sync state of the prefix.
     pub fn known(&self) -> SyncState {
         self.known
     }
--- a/crates/sillpin-gateway/src/fleet_state/mod.rs
+++ b/crates/sillpin-gateway/src/fleet_state/mod.rs
@@ -82,7 +82,7 @@
     pub link_mbps: u32,
 }
 
-/// How far a mirrored prefix is known.
+/// Sync state of a mirrored prefix.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SyncState {
     /// Revision up to which nothing is missing.
@@ -101,18 +101,18 @@
 pub struct View {
     /// The configuration in force.
     pub config: Option<Arc<FleetConfig>>,
-    /// How far it is known what operators publish.
+    /// Sync state of what operators publish.
     pub operators_sync: SyncState,
     /// Targets that are listed, leaving ones included, with the weights that this box found them to
     /// serve.
     pub targets: Arc<HashMap<TargetId, Arc<TargetEntry>>>,
-    /// The same by pool and zone, without leaving ones and those of evacuated zones.
+    /// These targets by pool and zone, without leaving ones and those of evacuated zones.
     pub index: Arc<TargetIndex>,
     /// Targets exactly as their entries state.
     pub entries: Arc<HashMap<TargetId, Arc<TargetEntry>>>,
     /// Until when targets are cold, which means that they are warming up, as far as known.
     pub cold: Arc<HashMap<TargetId, Instant>>,
-    /// How far targets are known.
+    /// Sync state of the targets.
     pub targets_sync: SyncState,
     /// Zones that operators have evacuated.
     pub evacuations: Arc<Evacuations>,
@@ -167,7 +167,7 @@
         zones.peek().is_some() && zones.all(|zone| self.evacuations.contains(zone))
     }
 
-    /// Returns how far a prefix is known.
+    /// Returns the sync state of a prefix.
     pub fn known(&self, topic: Topic) -> SyncState {
         match topic {
             Topic::Operators => self.operators_sync,
--- a/crates/sillpin-gateway/src/fleet_state/reader.rs
+++ b/crates/sillpin-gateway/src/fleet_state/reader.rs
@@ -25,7 +25,7 @@
 
 /// Wait of the first watch, which returns immediately. A stale read may be seconds old, so nothing
 /// is confirmed before the first watch ends, and until then no part is fetched and no request is
-/// refused for good. This starts fetches 0.5 s sooner, for the same number of calls.
+/// refused definitively. This starts fetches 0.5 s sooner, for the same number of calls.
 const FIRST_WAIT: Duration = Duration::from_millis(1);
 
 /// Longest time for which a box that does not read for its zone waits for a change: the 30 s that
@@ -47,10 +47,10 @@
 const MIN_LONG_POLL_BACKOFF: Duration = Duration::from_millis(1_000);
 const MAX_LONG_POLL_BACKOFF: Duration = Duration::from_millis(4_000);
 
-/// Least time between two calls for what operators publish.
+/// Minimum time between two calls for what operators publish.
 const OPERATORS_PAUSE: Duration = Duration::from_millis(250);
 
-/// Least time between two calls for targets' entries: heartbeats end a watch many times a second,
+/// Minimum time between two calls for targets' entries: heartbeats end a watch many times a second,
 /// and each response costs a call. Requests may be sent to a leaving target for two seconds.
 const TARGETS_PAUSE: Duration = Duration::from_millis(900);
 
--- a/crates/sillpin-gateway/src/front/admit.rs
+++ b/crates/sillpin-gateway/src/front/admit.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Maximum age of a configuration that is used to deny a request for good. Configuration changes may take two seconds
+/// Maximum age of a configuration that is used to deny a request definitively. Configuration changes may take two seconds
 /// to come into force.
 const MAX_DENY_AGE: Duration = Duration::from_millis(1_800);
 
--- a/crates/sillpin-gateway/src/front/body_memory.rs
+++ b/crates/sillpin-gateway/src/front/body_memory.rs
@@ -16,7 +16,7 @@
     /// The memory for bodies is used up.
     #[display("no memory for the body")]
     NoMemory,
-    /// The caller broke off.
+    /// The caller's connection failed before the body was complete.
     #[display("body was cut off")]
     Truncated,
 }
--- a/crates/sillpin-gateway/src/front/dispatch.rs
+++ b/crates/sillpin-gateway/src/front/dispatch.rs
@@ -59,8 +59,8 @@
 }
 
 /// Mean retry-after while all targets that could serve a request are in evacuated zones. An evacuation lasts for
-/// several seconds at least, and callers that come back sooner are refused again. The actual value is uniform from
-/// half of it to one and a half times it, so that callers don't come back all at once.
+/// several seconds at least, and callers that retry sooner are refused again. The actual value is uniform from
+/// half of it to one and a half times it, so that callers don't all retry at the same time.
 const EVACUATED_WAIT: Duration = Duration::from_secs(1);
 
 /// Refusal while all suitable targets are in evacuated zones.
@@ -323,7 +323,7 @@
         }
     }
 
-    /// Reports that a response broke off at a target to the crash detector, since the target may have crashed.
+    /// Reports to the crash detector that a target's response was cut off, since the target may have crashed.
     pub fn response_broken(&self, request: &AdmittedRequest, target: &Arc<TargetEntry>) {
         let broken = BrokenRequest {
             id: request.head.id.clone(),
--- a/crates/sillpin-gateway/src/front/events.rs
+++ b/crates/sillpin-gateway/src/front/events.rs
@@ -1,6 +1,6 @@
 //! Splits a stream's bytes into complete events.
 //!
-//! A target may break off within an event, so only complete events are passed on, and the id of the last one is kept
+//! A stream may be cut off within an event, so only complete events are passed on, and the id of the last one is kept
 //! for a resumption.
 
 use bytes::{Bytes, BytesMut};
--- a/crates/sillpin-gateway/src/front/refusal.rs
+++ b/crates/sillpin-gateway/src/front/refusal.rs
@@ -20,7 +20,7 @@
     pub outcome: Outcome,
     /// Reason, for the caller and for logs.
     pub reason: String,
-    /// When the caller may come back; `None` if it should not.
+    /// Time after which the caller may retry; `None` if it should not.
     pub retry_after: Option<Duration>,
 }
 
--- a/crates/sillpin-gateway/src/front/selection.rs
+++ b/crates/sillpin-gateway/src/front/selection.rs
@@ -47,7 +47,7 @@
 const MAX_LIMITED_WAIT: Duration = Duration::from_secs(4);
 
 /// Range of the random delay added to the retry-after of callers that are refused because of a backoff, so that they
-/// don't come back all at once when it ends.
+/// don't all retry when it ends.
 const BACKOFF_SPREAD: Duration = Duration::from_millis(400);
 
 /// The target selected for an attempt, and what is sent to it.
@@ -269,7 +269,7 @@
     }
 
     /// Retry-after for a request that no target of a pool may get because of rate limits; `None` if limits are not
-    /// the reason. Randomised by half of the value in both directions, so that callers don't come back all at once.
+    /// the reason. Randomised by half of the value in both directions, so that callers don't all retry at the same time.
     pub fn limit_wait(
         &self,
         request: &AdmittedRequest,
--- a/crates/sillpin-gateway/src/front/shared.rs
+++ b/crates/sillpin-gateway/src/front/shared.rs
@@ -54,7 +54,7 @@
     pub metrics: BoxMetrics,
     /// Log.
     pub log: Logger,
-    /// Cancelled when the box is asked to stop.
+    /// Cancelled when the box is requested to stop.
     pub stopping: CancellationToken,
     /// Time at which the box started.
     pub started: Instant,
--- a/crates/sillpin-gateway/src/peers/datagram.rs
+++ b/crates/sillpin-gateway/src/peers/datagram.rs
@@ -19,7 +19,7 @@
 /// Largest number of changes of stored parts in one message, so that it fits a datagram.
 pub const MAX_CHANGES: usize = 60;
 
-/// How far a box knows a prefix.
+/// Sync state of a prefix, as sent to other boxes.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct SyncSummary {
     /// Revision up to which nothing is missing.
@@ -30,7 +30,7 @@
     pub age_ms: Option<u64>,
 }
 
-/// How far a box knows a cache store.
+/// Sync state of a cache store, as sent to other boxes.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct StoreSyncSummary {
     /// Address of the store.
@@ -46,11 +46,11 @@
 pub struct Digest {
     /// The sending box.
     pub from: BoxEntry,
-    /// How far it knows what operators publish.
+    /// Its sync state of what operators publish.
     pub operators_sync: SyncSummary,
-    /// How far it knows the targets.
+    /// Its sync state of the targets.
     pub targets_sync: SyncSummary,
-    /// How far it knows the stores; sent within a zone only.
+    /// Its sync state of the stores; sent within a zone only.
     pub stores: Vec<StoreSyncSummary>,
     /// The engines' clock.
     pub clock: Option<EngineTime>,
@@ -76,7 +76,7 @@
 /// A datagram between boxes.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Datagram {
-    /// How far a box knows what is published; sent in each round and on each change.
+    /// State and sync state of a box; sent in each round and on each change.
     Digest(Box<Digest>),
     /// The weights leader loads weights at an engine; sent to all boxes immediately.
     WeightLoad(WeightLoadUpdate),
@@ -286,7 +286,7 @@
 pub struct PublishedChanges {
     /// The prefix.
     pub topic: Topic,
-    /// Revision before the changes. A box that knows less fetches a copy instead.
+    /// Revision before the changes. A box with an older revision fetches a copy instead.
     pub after: KvRevision,
     /// Hash of the content before the changes; after a split, only the first message has one.
     pub before: Option<u64>,
@@ -335,9 +335,9 @@
     pub work: Vec<EngineWork>,
     /// Target incarnations that it recently found replaced.
     pub replaced: Vec<IncarnationHash>,
-    /// How far it knows what operators publish.
+    /// Its sync state of what operators publish.
     pub operators_sync: SyncSummary,
-    /// How far it knows the targets.
+    /// Its sync state of the targets.
     pub targets_sync: SyncSummary,
     /// Which stored parts it no longer uses.
     pub retired: Vec<Retired>,
@@ -368,9 +368,9 @@
     pub work: Vec<EngineWork>,
     /// Target incarnations that were recently found replaced.
     pub replaced: Vec<IncarnationHash>,
-    /// How far the hub knows what operators publish.
+    /// The hub's sync state of what operators publish.
     pub operators_sync: SyncSummary,
-    /// How far the hub knows the targets.
+    /// The hub's sync state of the targets.
     pub targets_sync: SyncSummary,
     /// Which stored parts no box may use any more.
     pub retired: Vec<Retired>,
--- a/crates/sillpin-gateway/src/peers/hub.rs
+++ b/crates/sillpin-gateway/src/peers/hub.rs
@@ -38,8 +38,9 @@
 pub const BULLETIN_TIMEOUT: Duration = Duration::from_millis(1_300);
 
 /// Number of boxes to which each box relays a bulletin, and so the factor by which its outgoing
-/// traffic grows. Sixty boxes are reached in four hops of a millisecond. A larger fan-out can
-/// overload links of 20 Mbit/s when weights change.
+/// traffic grows. Sixty boxes are reached in four hops of a millisecond. With a fan-out of eight and
+/// uncompressed store changes, boxes with links of 20 Mbit/s stalled for seconds when weights
+/// changed; the two causes were not tested separately.
 const FAN_OUT: usize = 3;
 
 /// Time for which a box that starts waits for a bulletin before it becomes the hub: several
--- a/crates/sillpin-gateway/src/peers/lag.rs
+++ b/crates/sillpin-gateway/src/peers/lag.rs
@@ -11,10 +11,10 @@
 /// copied within half a second, and must be in force within two seconds.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How far this box lags.
+/// Lag of this box behind other boxes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LagStatus {
-    /// For how long.
+    /// Duration of the lag.
     pub lasted: Duration,
     /// Whether the lag is to be logged now.
     pub is_due: bool,
--- a/crates/sillpin-gateway/src/peers/link.rs
+++ b/crates/sillpin-gateway/src/peers/link.rs
@@ -20,7 +20,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// What a box knows of a prefix.
+/// Content of a prefix that the requesting box lacks.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TopicCopy {
     /// What the requesting box lacks.
@@ -29,7 +29,7 @@
     pub age_ms: u64,
 }
 
-/// What a box knows of a cache store.
+/// Changes or content of a cache store that the requesting box lacks.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StoreCopy {
     /// Address of the store.
--- a/crates/sillpin-gateway/src/peers/sender.rs
+++ b/crates/sillpin-gateway/src/peers/sender.rs
@@ -41,13 +41,13 @@
 /// older updates describe work that is done.
 const WORK_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Boxes of the own zone sent to in each round: all of a zone without a hub.
+/// Number of boxes of the own zone that a box sends to in each round: all of a zone without a hub.
 const ZONE_FAN_OUT: usize = 32;
 
-/// Boxes of other zones that a box of a small fleet sends to in each round.
+/// Number of boxes of other zones that a box of a small fleet sends to in each round.
 const FOREIGN_FAN_OUT: usize = 3;
 
-/// Boxes of each other zone that the [`CROSS_ZONE_SENDER`] sends to in each round.
+/// Number of boxes of each other zone that the [`CROSS_ZONE_SENDER`] sends to in each round.
 const CROSS_ZONE_FAN_OUT: usize = 2;
 
 /// Role of the one box of each zone that sends digests to other zones in a large fleet. The text is
@@ -60,7 +60,7 @@
     pub fleet_key: FleetKey,
     /// This box.
     pub me: BoxEntry,
-    /// Settings; their seeds are sent to when no box is known.
+    /// Settings; digests go to their seeds while no other box is known.
     pub settings: Settings,
     /// What this box knows of the fleet.
     pub fleet: FleetHandle,
@@ -375,7 +375,7 @@
     (view.operators_sync.content, view.targets_sync.content)
 }
 
-/// Summarises for other boxes how far a prefix is known.
+/// Summarises the sync state of a prefix for other boxes.
 pub(super) fn sync_summary(known: SyncState) -> SyncSummary {
     let age = known.confirmed.map(|at| at.elapsed());
     SyncSummary {
--- a/crates/sillpin-gateway/src/placement/allowed.rs
+++ b/crates/sillpin-gateway/src/placement/allowed.rs
@@ -11,9 +11,8 @@
 /// when engines start prompts late. Those that wait longer than this are cancelled.
 const QUEUE_MARGIN: Duration = Duration::from_millis(2_500);
 
-/// The margin if no newer weights are served. Shorter than [`QUEUE_MARGIN`], because there is no
-/// other engine; but not zero, because a cancelled prompt is mostly lost, while a refused one is
-/// sent again by its caller.
+/// The margin if no newer weights are served. A cancelled prompt is usually lost, while a refused
+/// one is sent again by its caller.
 const FALLBACK_MARGIN: Duration = Duration::from_millis(1_000);
 
 /// Prompts that wait at an engine are cancelled this long before the last moment at which they may
--- a/crates/sillpin-gateway/src/placement/choose.rs
+++ b/crates/sillpin-gateway/src/placement/choose.rs
@@ -49,7 +49,7 @@
 const OTHER_ZONE_MS: f64 = 8.0;
 
 /// Cost of sending a request's body to another zone, in milliseconds per byte: 27 ms for a long
-/// prompt of 18 KB, so that another zone is used when the own zone's queues are longer than that.
+/// prompt of 18 KB, less than a queue that matters.
 const OTHER_ZONE_MS_PER_BYTE: f64 = 0.0015;
 
 /// Cost of weights that are being replaced, since responses from them are worth less. Small
--- a/crates/sillpin-rpc/src/transport.rs
+++ b/crates/sillpin-rpc/src/transport.rs
@@ -15,7 +15,7 @@
 /// Maximum frame length, enough for the largest document and its envelope.
 pub const MAX_FRAME_LEN: usize = 4 << 20;
 
-/// Time-out for opening a connection, after which the peer is treated as unreachable.
+/// Timeout for opening a connection, after which the peer is treated as unreachable.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Pause after a failed accept.
