--- a/crates/sillpin-gateway/src/control.rs
+++ b/crates/sillpin-gateway/src/control.rs
@@ -167,7 +167,7 @@
     pub number: u64,
     /// The part.
     pub key: PartKey,
-    /// Number of tokens that are completely stored; `None` if the part is gone.
+    /// Number of tokens that are completely stored; `None` if the part was removed.
     pub tokens: Option<Tokens>,
 }
 
--- a/crates/sillpin-gateway/src/placement/choose.rs
+++ b/crates/sillpin-gateway/src/placement/choose.rs
@@ -164,8 +164,8 @@
 
 /// More engines are considered if the prompt would wait for longer than its latency objective times
 /// this factor: it is late then anyway. With half the objective fewer prompts start in time (0.86
-/// instead of 0.91 at 94 % of the prefill capacity in the same test), because an engine that is reported as idle is
-/// reported so to all boxes.
+/// instead of 0.91 in the same test at 94 % of the prefill capacity), because an engine that is
+/// reported as idle is reported so to all boxes.
 const MAX_WAIT_FACTOR: f64 = 1.0;
 
 /// Returns the target with the lowest cost, or `None` if no target can take the request.
--- a/crates/sillpin-gateway/src/placement/signals/leaving.rs
+++ b/crates/sillpin-gateway/src/placement/signals/leaving.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time after which an unlisted incarnation is removed. Entries lapse while the store is
+/// Time after which an unlisted incarnation is removed. Entries expire while the store is
 /// unreachable, and are written again within seconds after it recovers.
 const UNLISTED_RETENTION: Duration = Duration::from_secs(60);
 
--- a/crates/sillpin-gateway/src/placement/work.rs
+++ b/crates/sillpin-gateway/src/placement/work.rs
@@ -55,7 +55,7 @@
 /// Time for which another box's report of its work is used: three rounds of gossip.
 const REPORT_LIFETIME: Duration = Duration::from_millis(1_300);
 
-/// A hub sends a message every 0.15 s; after this time without one it may be gone.
+/// A hub sends a message every 0.15 s; after this time without one it may have stopped.
 const HUB_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Hash of a target's id, used in messages between boxes.
--- a/crates/sillpin-gateway/src/reload.rs
+++ b/crates/sillpin-gateway/src/reload.rs
@@ -49,7 +49,7 @@
     loaded: Loaded,
     reloader: Reloader,
     tx: watch::Sender<BoxConfig>,
-    /// Faults that were logged last, so that a bad file is not logged at each read.
+    /// Errors that were logged last, so that a bad file is not logged at each read.
     refused: Option<Faults>,
     log: Logger,
 }
