--- a/crates/sillpin-entry/src/runs/drive.rs
+++ b/crates/sillpin-entry/src/runs/drive.rs
@@ -117,9 +117,7 @@
                 .request_ended(target.clone(), started_at.elapsed(), result.is_ok());
             match result {
                 Ok(summary) => return Ok(summary),
-                Err(RunError::CallerDisconnected) => {
-                    return Err(Failure::unknown("the caller has gone"));
-                }
+                Err(RunError::Disconnected) => return Err(Failure::unknown("the caller has gone")),
                 Err(RunError::Engine(EngineError {
                     fault: EngineFault::OtherVersion(version),
                     ..
--- a/crates/sillpin-entry/src/runs/send.rs
+++ b/crates/sillpin-entry/src/runs/send.rs
@@ -19,7 +19,7 @@
     /// The engine failed, or the connection to it.
     Engine(EngineError),
     /// The caller has disconnected.
-    CallerDisconnected,
+    Disconnected,
 }
 
 impl<E: Engine> Driver<E> {
@@ -53,7 +53,7 @@
         let result = self.send_and_read(placed, &order, claim).await;
         let result_text = match &result {
             Ok(_) => "answered".to_owned(),
-            Err(RunError::CallerDisconnected) => "caller gone".to_owned(),
+            Err(RunError::Disconnected) => "caller gone".to_owned(),
             Err(RunError::Engine(e)) => e.to_string(),
         };
         span.set_attribute(KeyValue::new("result", result_text.clone()));
@@ -145,7 +145,7 @@
                     self.deliver(text).await?;
                 }
                 Some(RunEvent::End { summary, .. }) => return Ok(summary),
-                None => return Err(RunError::CallerDisconnected),
+                None => return Err(RunError::Disconnected),
             }
         }
     }
@@ -161,7 +161,7 @@
         self.tokens += 1;
         self.delivered.push_str(&text);
         let sent = self.tx.send(Delivery::Token(text)).await;
-        sent.map_err(|_| RunError::CallerDisconnected)
+        sent.map_err(|_| RunError::Disconnected)
     }
 }
 
--- a/crates/sillpin-gateway/src/cache_stores/retire.rs
+++ b/crates/sillpin-gateway/src/cache_stores/retire.rs
@@ -227,7 +227,7 @@
 
     /// Returns the share of a version's parts that no box fetches: reported by every box that is in contact, or known for so
     /// long that a box without a recent report has either received it too or stopped fetching. A box's report counts even if
-    /// this box has known a larger share for long: a box that restarted has not seen how full the stores were before.
+    /// this box has known a larger share for long: a box that restarted has no record of how full the stores were before.
     pub fn unused_share(&self, weights: &Weights, view: &View, now: Instant) -> f64 {
         let long_in_force = self.share_in_force(
             weights,
--- a/crates/sillpin-gateway/src/fatal/persist.rs
+++ b/crates/sillpin-gateway/src/fatal/persist.rs
@@ -21,7 +21,7 @@
 /// Key of the persisted history.
 pub const FATAL_KEY: &str = "sillpin/fatal";
 
-/// Minimum number of crashes under a request that is persisted. A request that merely ran beside a fatal one has mostly seen one.
+/// Minimum number of crashes under a request that is persisted. A request that merely ran beside a fatal one usually has one.
 const MIN_CRASHES: usize = 2;
 
 /// Maximum number of requests that are persisted: some 10 KB.
--- a/crates/sillpin-gateway/src/fleet_state/mirror.rs
+++ b/crates/sillpin-gateway/src/fleet_state/mirror.rs
@@ -111,7 +111,7 @@
         changes
     }
 
-    /// Applies what another box knows beyond some revision. Keys that it does not list were
+    /// Applies what another box has beyond some revision. Keys that it does not list were
     /// deleted, unless they were written after its revision.
     fn apply_copy(&mut self, copied: Copied, requested_at: Instant) -> Vec<Change> {
         if copied.revision < self.known.revision {
--- a/crates/sillpin-gateway/src/fleet_state/mod.rs
+++ b/crates/sillpin-gateway/src/fleet_state/mod.rs
@@ -1,4 +1,4 @@
-//! What the box knows of the fleet: configuration, targets, desired weights and other boxes, each
+//! This box's state of the fleet: configuration, targets, desired weights and other boxes, each
 //! with its revision, source and age.
 //!
 //! One task owns this state ([`fleet`]) and publishes a [`View`]. It gets data from readers of the
@@ -92,11 +92,11 @@
     /// Since when some box of the fleet has been in contact with the store without a gap of more
     /// than [`STORE_TIMEOUT`].
     pub contact: Option<Instant>,
-    /// Hash of the content, without heartbeats; equal in boxes that know the same.
+    /// Hash of the content, without heartbeats; equal in boxes with the same content.
     pub content: u64,
 }
 
-/// A consistent snapshot of what the box knows.
+/// A consistent snapshot of this box's state of the fleet.
 #[derive(Debug, Clone, Default)]
 pub struct View {
     /// The configuration in force.
@@ -199,7 +199,7 @@
     Stale(Snapshot),
     /// The changes.
     Changes(WatchReply),
-    /// What another box knows beyond this one's revision.
+    /// What another box has beyond this one's revision.
     Copied(Copied),
 }
 
@@ -214,7 +214,7 @@
     }
 }
 
-/// What a box knows of a prefix beyond the revision of the requesting box.
+/// What a box has of a prefix beyond the revision of the requesting box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Copied {
     /// Entries written after that revision.
--- a/crates/sillpin-gateway/src/peers/datagram.rs
+++ b/crates/sillpin-gateway/src/peers/datagram.rs
@@ -341,9 +341,9 @@
     pub targets_sync: SyncSummary,
     /// Which stored parts it no longer uses.
     pub retired: Vec<Retired>,
-    /// Requests during which it recently saw targets crash.
+    /// Requests during which it recently observed crashes of targets.
     pub fatal: Vec<CrashReport>,
-    /// Rate limits that it recently saw targets set or lift.
+    /// Rate limits that it recently observed targets set or lift.
     pub limits: Vec<LimitUpdate>,
     /// Updates for the zone.
     pub updates: Vec<ZoneUpdate>,
--- a/crates/sillpin-gateway/src/peers/link.rs
+++ b/crates/sillpin-gateway/src/peers/link.rs
@@ -54,10 +54,10 @@
 /// The service that boxes offer each other.
 #[tarpc::service]
 pub trait BoxLink {
-    /// Returns a [`TopicCopy`] of what the box knows of a prefix beyond a revision; nothing for a
+    /// Returns a [`TopicCopy`] of what the box has of a prefix beyond a revision; nothing for a
     /// box of another fleet.
     async fn copy(fleet: FleetKey, topic: Topic, after: KvRevision) -> DocumentReply;
-    /// Returns a [`StoreCopy`] for each of the given cache stores, with what the box knows beyond
+    /// Returns a [`StoreCopy`] for each of the given cache stores, with what the box has beyond
     /// the given position, or all of it without a position; nothing for a box of another fleet.
     async fn kept(fleet: FleetKey, stores: Vec<(SocketAddr, Option<Position>)>) -> DocumentReply;
     /// Returns the piece of a large document that begins at a byte, or `None` if the transfer has
@@ -65,12 +65,12 @@
     async fn more(transfer: TransferId, offset: u64) -> Option<Vec<u8>>;
 }
 
-/// Serves copies of what this box knows.
+/// Serves copies of this box's data.
 #[derive(Clone)]
 pub struct PeerServer {
     /// Key of the fleet; boxes of other fleets get nothing.
     pub fleet_key: FleetKey,
-    /// What this box knows of the fleet.
+    /// This box's state of the fleet.
     pub fleet: FleetHandle,
     /// Directory of stored parts.
     pub cache_stores: CacheStores,
--- a/crates/sillpin-gateway/src/peers/peer_client.rs
+++ b/crates/sillpin-gateway/src/peers/peer_client.rs
@@ -81,7 +81,7 @@
 }
 
 impl PeerClient {
-    /// Fetches what a box knows of a prefix beyond `after` and passes it to the fleet task.
+    /// Fetches what a box has of a prefix beyond `after` and passes it to the fleet task.
     pub async fn fetch_copy(
         &self,
         from: &BoxEntry,
@@ -108,7 +108,7 @@
         fleet.send(msg).await;
     }
 
-    /// Fetches what a box knows of some stores and applies it. One call covers all of them, because
+    /// Fetches what a box has of some stores and applies it. One call covers all of them, because
     /// a box that lags lacks changes of dozens of stores.
     pub async fn fetch_stores(
         &self,
@@ -271,7 +271,7 @@
     }
 }
 
-/// Applies what another box knows of a store beyond `after`, the position known here when the call
+/// Applies what another box has of a store beyond `after`, the position known here when the call
 /// was sent.
 fn apply_store_copy(
     copy: StoreCopy,
--- a/crates/sillpin-gateway/src/peers/receiver.rs
+++ b/crates/sillpin-gateway/src/peers/receiver.rs
@@ -81,7 +81,7 @@
 pub struct GossipReceiver {
     /// Key of the fleet; datagrams of other fleets are dropped.
     pub fleet_key: FleetKey,
-    /// What this box knows of the fleet.
+    /// This box's state of the fleet.
     pub fleet: FleetHandle,
     /// Loads of targets.
     pub loads: Loads,
@@ -365,7 +365,7 @@
         }
     }
 
-    /// Fetches changes of stores that another box knows further than this one.
+    /// Fetches changes of stores for which another box has a later position than this one.
     fn fetch_stores(&self, theirs: &[StoreSyncSummary], from: &BoxEntry) {
         let lacking: Vec<SocketAddr> = {
             let mut directory = self.cache_stores.lock();
@@ -397,7 +397,7 @@
 }
 
 /// Returns whether this box lacks changes of a store that another box knows. A box that lags may
-/// know less although it queried the store no longer ago.
+/// have less although it queried the store no longer ago.
 fn lacks_changes(directory: &mut Directory, theirs: &StoreSyncSummary) -> bool {
     let Some(requested_at) = queried_at(Some(theirs.age_ms)) else {
         return false;
@@ -413,7 +413,7 @@
     Instant::now().checked_sub(age)
 }
 
-/// Returns whether another box knows a prefix further.
+/// Returns whether another box has a later revision of a prefix.
 fn is_newer(mine: SyncState, theirs: SyncSummary) -> bool {
     mine.confirmed.is_none() || theirs.revision > mine.revision
 }
--- a/crates/sillpin-gateway/src/peers/sender.rs
+++ b/crates/sillpin-gateway/src/peers/sender.rs
@@ -62,7 +62,7 @@
     pub me: BoxEntry,
     /// Settings; digests go to their seeds while no other box is known.
     pub settings: Settings,
-    /// What this box knows of the fleet.
+    /// This box's state of the fleet.
     pub fleet: FleetHandle,
     /// Loads of targets.
     pub loads: Loads,
--- a/crates/sillpin-gateway/src/placement/signals/replaced.rs
+++ b/crates/sillpin-gateway/src/placement/signals/replaced.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time for which a replaced target is stored: its entry lapses three heartbeats after its last
+/// Time for which a replaced target is stored: its entry expires three heartbeats after its last
 /// write, and boxes read the entries every one to two seconds.
 const RETENTION: Duration = Duration::from_secs(6);
 
