--- a/crates/sillpin-gateway/tests/allowed.rs
+++ b/crates/sillpin-gateway/tests/allowed.rs
@@ -180,7 +180,7 @@
     );
 }
 
-/// All engines served version 2 when versions 3 and 4 were requested, and their loads were delayed.
+/// All engines serve version 2 when versions 3 and 4 are requested, and their loads are delayed.
 #[tokio::test(start_paused = true)]
 async fn without_newer_engines_the_newest_weights_are_used_until_their_limit() {
     let mut desired = DesiredVersions::new(requested(2));
@@ -244,10 +244,10 @@
     );
 }
 
-/// A box that started just after version 2 was requested had known it for 7 s, and no box that
-/// witnessed the request was left. Then another box, frozen until then, found version 2 and
-/// reported that it was requested just now. The first box believed this and used version 1 for
-/// seven more seconds.
+/// Guards against use of replaced weights after a wrong report. A box that started just after
+/// version 2 was requested has known it for 7 s, and no box that witnessed the request is left.
+/// Then another box, frozen until then, finds version 2 and reports that it was requested just now.
+/// If the first box accepts this, it uses version 1 for seven more seconds.
 #[tokio::test(start_paused = true)]
 async fn a_version_known_for_long_is_not_taken_as_new() {
     let mut desired = DesiredVersions::new(DesiredVersion {
@@ -270,9 +270,9 @@
     );
 }
 
-/// After an outage of the store, a prompt was sent to the newest served weights just before the
-/// time allowed after the outage was over. It waited at its engine without a known limit, and the
-/// box checked it only up to a second later.
+/// Guards against a prompt that starts too late: after an outage of the store, it is sent to the
+/// newest served weights just before the time allowed after the outage is over. It waits at its
+/// engine without a known limit, and the box checks it only up to a second later.
 #[tokio::test(start_paused = true)]
 async fn a_prompt_sent_after_an_outage_is_withdrawn_in_time() {
     let mut desired = DesiredVersions::new(requested(1));
@@ -297,9 +297,10 @@
     );
 }
 
-/// No engine served the newest weights. Boxes sent prompts to older ones up to 4 ms before the moment
-/// at which they cancelled them. Such prompts were lost, since they may have run; refused
-/// immediately, their callers would have sent them again.
+/// Guards against prompts that are cancelled soon after they were sent: no engine serves the newest
+/// weights, and boxes sent prompts to older ones 4 to 84 ms before the moment at which they
+/// cancelled them. Such prompts were lost, since they may have run; refused immediately, their
+/// callers would have sent them again.
 #[tokio::test(start_paused = true)]
 async fn a_prompt_that_may_be_sent_has_time_to_start() {
     const MIN_TIME: Duration = Duration::from_millis(200);
@@ -325,9 +326,10 @@
     }
 }
 
-/// Prompts waited at an engine with old weights during an outage of the store. When it ended and
-/// another engine had newer weights, the prompts were cancelled within a second and lost, although
-/// time without the store does not count and they had ten more seconds to start.
+/// Guards against prompts that are cancelled without need: they wait at an engine with old weights
+/// during an outage of the store. When it ends and another engine has newer weights, they must not
+/// be cancelled, since time without the store does not count and they have ten more seconds to
+/// start.
 #[tokio::test(start_paused = true)]
 async fn the_end_of_an_outage_withdraws_no_prompt_sent_during_it() {
     let mut desired = DesiredVersions::new(requested(1));
--- a/crates/sillpin-gateway/tests/cache_stores/changes.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/changes.rs
@@ -1,6 +1,6 @@
 //! Changes of a store's content, as boxes record them and send them to each other.
 
-use crate::{STORE, key, list, news};
+use crate::{STORE, key, list, update};
 use sillpin_core::Tokens;
 use sillpin_gateway::cache_stores::directory::{Directory, Position};
 use sillpin_gateway::control::{PartChange, StoreChanges};
@@ -25,11 +25,11 @@
     let now = Instant::now();
     directory.apply_list(STORE, list(1, &["a"]), now);
     let changes = (11..=15).map(|number| numbered(number, "b")).collect();
-    let news = StoreChanges {
+    let update = StoreChanges {
         next: 15,
-        ..news(1, changes)
+        ..update(1, changes)
     };
-    assert!(directory.apply_changes(STORE, 10, news, now, now));
+    assert!(directory.apply_changes(STORE, 10, update, now, now));
     let numbers = |position| {
         let changes = directory.changes_after(STORE, position)?;
         Some(changes.iter().map(|change| change.number).collect())
@@ -47,11 +47,11 @@
     let now = Instant::now();
     directory.apply_list(STORE, list(1, &["a"]), now);
     for number in 11..=2_000 {
-        let news = StoreChanges {
+        let update = StoreChanges {
             next: number,
-            ..news(1, vec![numbered(number, "b")])
+            ..update(1, vec![numbered(number, "b")])
         };
-        assert!(directory.apply_changes(STORE, number - 1, news, now, now));
+        assert!(directory.apply_changes(STORE, number - 1, update, now, now));
     }
     assert_eq!(directory.changes_after(STORE, at(1_000)), None);
     let oldest = (1_000..2_000).find(|from| directory.changes_after(STORE, at(*from)).is_some());
@@ -108,6 +108,6 @@
         change("a", None),
         change("gone before", None),
     ];
-    assert!(directory.apply_changes(STORE, 10, news(1, changes), now, now));
+    assert!(directory.apply_changes(STORE, 10, update(1, changes), now, now));
     assert_eq!(directory.used(STORE), Tokens(50));
 }
--- a/crates/sillpin-gateway/tests/cache_stores/directory.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/directory.rs
@@ -1,6 +1,6 @@
 //! How long the content of a store counts as known, and when parts are saved.
 
-use crate::{STORE, key, list, news};
+use crate::{STORE, key, list, update};
 use sillpin_core::Tokens;
 use sillpin_gateway::cache_stores::directory::{CONTENT_TTL, Directory};
 use sillpin_gateway::cache_stores::retire::MAX_FETCH_TIME;
@@ -19,7 +19,7 @@
     let now = Instant::now();
     directory.apply_list(STORE, list(1, &["a"]), now);
     assert!(holds(&directory, "a"));
-    assert!(!directory.apply_changes(STORE, 10, news(2, Vec::new()), now, now));
+    assert!(!directory.apply_changes(STORE, 10, update(2, Vec::new()), now, now));
     assert!(!holds(&directory, "a"), "it may be written again");
     assert_eq!(directory.position(STORE), None, "a listing is needed");
 }
@@ -51,7 +51,7 @@
     directory.apply_list(STORE, list(1, &["a"]), now);
     let gap = StoreChanges {
         lost: true,
-        ..news(1, Vec::new())
+        ..update(1, Vec::new())
     };
     assert!(!directory.apply_changes(STORE, 10, gap, now, now));
     assert_eq!(directory.position(STORE), None);
@@ -97,7 +97,7 @@
     directory.apply_list(STORE, list(1, &[]), requested_at);
     tokio::time::advance(Duration::from_millis(900)).await;
     let received_at = Instant::now();
-    directory.apply_changes(STORE, 10, news(1, Vec::new()), requested_at, received_at);
+    directory.apply_changes(STORE, 10, update(1, Vec::new()), requested_at, received_at);
     let read = directory.engine_time(received_at, Duration::ZERO);
     assert_eq!(
         read,
@@ -123,7 +123,7 @@
             fetches_until = now + MAX_FETCH_TIME;
         }
         if round == 7 {
-            assert!(!aware.apply_changes(STORE, 10, news(2, Vec::new()), now, now));
+            assert!(!aware.apply_changes(STORE, 10, update(2, Vec::new()), now, now));
         }
         if round > 7 {
             aware.apply_list(STORE, list(2, &[]), now);
@@ -176,7 +176,8 @@
     assert!(directory.should_save(STORE, &key("a"), Tokens(100), now));
 }
 
-/// Guards against a needless wait: calls to a store failed briefly, but the store did not restart.
+/// Guards against needless waiting when calls to a store fail briefly but the store does not
+/// restart.
 #[tokio::test(start_paused = true)]
 async fn parts_are_saved_immediately_in_a_store_that_was_only_unreachable() {
     let mut directory = Directory::default();
--- a/crates/sillpin-gateway/tests/cache_stores/fetch_shares.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/fetch_shares.rs
@@ -10,8 +10,8 @@
 const LONG: Tokens = Tokens(9_000);
 const SHORT: Tokens = Tokens(800);
 
-/// Latency objective for their first events.
-const AIM: Duration = Duration::from_millis(500);
+/// Latency objective for the first event of their responses.
+const LATENCY_OBJECTIVE: Duration = Duration::from_millis(500);
 
 #[tokio::test(start_paused = true)]
 async fn a_slow_store_gets_a_smaller_share_of_fetches_and_recovers() {
@@ -20,14 +20,26 @@
     for _ in 0..60 {
         tokio::time::advance(Duration::from_millis(50)).await;
         fetch_shares.record_prefill(LONG, Duration::from_millis(20));
-        fetch_shares.record_fetch(STORE, LONG, Duration::from_millis(900), AIM, Instant::now());
+        fetch_shares.record_fetch(
+            STORE,
+            LONG,
+            Duration::from_millis(900),
+            LATENCY_OBJECTIVE,
+            Instant::now(),
+        );
     }
     let slow = fetch_shares.share(STORE, Instant::now());
     assert!(slow < 0.3, "{slow}");
     assert!(slow > 0.0, "some fetches continue, to detect its recovery");
     for _ in 0..200 {
         tokio::time::advance(Duration::from_millis(50)).await;
-        fetch_shares.record_fetch(STORE, LONG, Duration::from_millis(30), AIM, Instant::now());
+        fetch_shares.record_fetch(
+            STORE,
+            LONG,
+            Duration::from_millis(30),
+            LATENCY_OBJECTIVE,
+            Instant::now(),
+        );
     }
     assert_eq!(fetch_shares.share(STORE, Instant::now()), 1.0);
 }
@@ -38,7 +50,13 @@
     for _ in 0..100 {
         fetch_shares.record_prefill(SHORT, Duration::from_millis(20));
         fetch_shares.record_prefill(LONG, Duration::from_millis(700));
-        fetch_shares.record_fetch(STORE, LONG, Duration::from_millis(800), AIM, Instant::now());
+        fetch_shares.record_fetch(
+            STORE,
+            LONG,
+            Duration::from_millis(800),
+            LATENCY_OBJECTIVE,
+            Instant::now(),
+        );
     }
     assert_eq!(fetch_shares.share(STORE, Instant::now()), 1.0);
 }
@@ -59,6 +77,6 @@
         }
         fetch_shares.share(STORE, Instant::now())
     };
-    assert!(share_after(AIM) < 1.0);
-    assert_eq!(share_after(AIM * 3), 1.0);
+    assert!(share_after(LATENCY_OBJECTIVE) < 1.0);
+    assert_eq!(share_after(LATENCY_OBJECTIVE * 3), 1.0);
 }
--- a/crates/sillpin-gateway/tests/cache_stores/listing.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/listing.rs
@@ -2,7 +2,7 @@
 //!
 //! Guards against slow recovery after a power loss of 1.5 s at all of 71 boxes: the boxes waited for their zones' readers, which sent the
 //! listings of full stores to one random box in 0.8 s, and listed the stores themselves only after 1.7 s. Until then every prompt was
-//! recomputed in full; half of the requests that arrived in the second after the power returned were answered late.
+//! recomputed in full; half of the requests that arrived in the second after the power returned got late responses.
 
 use crate::common::{TestKeys, entry, name};
 use rstest::rstest;
--- a/crates/sillpin-gateway/tests/cache_stores/main.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/main.rs
@@ -36,7 +36,7 @@
     }
 }
 
-fn news(epoch: u64, changes: Vec<PartChange>) -> StoreChanges {
+fn update(epoch: u64, changes: Vec<PartChange>) -> StoreChanges {
     StoreChanges {
         epoch,
         next: 11,
--- a/crates/sillpin-gateway/tests/cache_stores/retire.rs
+++ b/crates/sillpin-gateway/tests/cache_stores/retire.rs
@@ -246,7 +246,7 @@
     assert_eq!(leader.unused_share(&old_weights(), &view, now), 0.5);
 }
 
-/// A box without an answer from the platform store reports that, and has stopped fetching: parts that it last used may be freed.
+/// A box without a response from the platform store reports that, and has stopped fetching: parts that it last used may be freed.
 #[tokio::test(start_paused = true)]
 async fn a_box_that_reports_lost_contact_does_not_block_freeing() {
     let mut leader = Retirements::default();
@@ -254,9 +254,9 @@
     leader.update(&view(2, start), FULL, start);
     tokio::time::advance(Duration::from_secs(8)).await;
     let now = Instant::now();
-    let silence = Duration::from_secs(8);
+    let idle_time = Duration::from_secs(8);
     assert!(!Retirements::default().may_fetch(&view(0, start), Duration::ZERO, now));
-    leader.apply_update(name("box-2"), reported(0.0), silence, now);
+    leader.apply_update(name("box-2"), reported(0.0), idle_time, now);
     assert_eq!(leader.unused_share(&old_weights(), &view(2, now), now), 0.5);
 }
 
--- a/crates/sillpin-gateway/tests/documents.rs
+++ b/crates/sillpin-gateway/tests/documents.rs
@@ -32,10 +32,10 @@
 #[tokio::test(start_paused = true)]
 async fn pieces_make_up_the_document() {
     let transfers = DocumentTransfers::default();
-    let whole = document(PIECE_LEN * 3 + 5);
-    let (transfer, mut received) = start_transfer(&transfers, whole.clone());
-    fetch_rest(&transfers, transfer, &mut received, whole.len());
-    assert_eq!(received, whole);
+    let document_bytes = document(PIECE_LEN * 3 + 5);
+    let (transfer, mut received) = start_transfer(&transfers, document_bytes.clone());
+    fetch_rest(&transfers, transfer, &mut received, document_bytes.len());
+    assert_eq!(received, document_bytes);
     let more = transfers.piece_at(transfer, 0, Instant::now());
     assert_eq!(more, None, "a completed transfer is dropped");
 }
--- a/crates/sillpin-gateway/tests/election.rs
+++ b/crates/sillpin-gateway/tests/election.rs
@@ -186,7 +186,7 @@
         assert!(first.renew(&mut leadership).await);
     }
     order(&first, &mut leadership, &target("e2")).await.unwrap();
-    // The first leader dies here; its lease expires 1.4 s later.
+    // The first leader crashes here; its lease expires 1.4 s later.
     let second = election(&store, "box-2");
     let mut successor = second.acquire().await.unwrap();
     let waited = hold_off(&second, &mut successor, &target("e1")).await;
@@ -195,7 +195,7 @@
     assert!(!successor.may_order_target(&target("e2"), Instant::now()));
 }
 
-/// Guards against restarting the wait when two leaders die one after the other: the second rewrote the record of the first one's
+/// Guards against restarting the wait when two leaders crash one after the other: the second rewrote the record of the first one's
 /// engines, and the third treated them as if they had just been ordered.
 #[tokio::test(start_paused = true)]
 async fn a_third_leader_does_not_restart_the_wait_after_the_first_ones_orders() {
--- a/crates/sillpin-gateway/tests/fleet_state.rs
+++ b/crates/sillpin-gateway/tests/fleet_state.rs
@@ -21,7 +21,7 @@
     Fleet::new(common::name("box-1"), TestKeys, log)
 }
 
-fn whole(topic: Topic, entries: Vec<KvEntry>, revision: u64, requested_at: Instant) -> FleetMsg {
+fn listing(topic: Topic, entries: Vec<KvEntry>, revision: u64, requested_at: Instant) -> FleetMsg {
     let revision = KvRevision(revision);
     FleetMsg::Read {
         topic,
@@ -57,9 +57,9 @@
     let mut fleet = fleet();
     let now = Instant::now();
     let newer = vec![entry("ops/config", "7", 5)];
-    fleet.handle(whole(Topic::Operators, newer, 5, now), now);
+    fleet.handle(listing(Topic::Operators, newer, 5, now), now);
     let older = vec![entry("ops/config", "3", 9)];
-    fleet.handle(whole(Topic::Operators, older, 9, now), now);
+    fleet.handle(listing(Topic::Operators, older, 9, now), now);
     assert_eq!(version(&fleet), Some(ConfigVersion(7)));
 }
 
@@ -68,7 +68,7 @@
     let mut fleet = fleet();
     let now = Instant::now();
     let good = vec![entry("ops/config", "7", 5)];
-    fleet.handle(whole(Topic::Operators, good, 5, now), now);
+    fleet.handle(listing(Topic::Operators, good, 5, now), now);
     let bad = vec![entry("ops/config", "{", 6)];
     fleet.handle(changes(Topic::Operators, bad, 6, now), now);
     assert_eq!(version(&fleet), Some(ConfigVersion(7)));
@@ -82,9 +82,9 @@
     let mut fleet = fleet();
     let now = Instant::now();
     let leaving = vec![entry("target/e1", "leaving 1", 8)];
-    fleet.handle(whole(Topic::Targets, leaving, 8, now), now);
+    fleet.handle(listing(Topic::Targets, leaving, 8, now), now);
     let old = vec![entry("target/e1", "ready 1", 4)];
-    fleet.handle(whole(Topic::Targets, old, 4, now), now);
+    fleet.handle(listing(Topic::Targets, old, 4, now), now);
     let known = &fleet.view().targets[&target("e1")];
     assert_eq!(known.presence, Presence::Leaving);
     assert_eq!(fleet.view().targets_sync.revision, KvRevision(8));
@@ -120,7 +120,7 @@
     let all: Vec<KvEntry> = (1..=4)
         .map(|i| entry(&format!("target/e{i}"), "ready 1", i))
         .collect();
-    fleet.handle(whole(Topic::Targets, all.clone(), 4, now), now);
+    fleet.handle(listing(Topic::Targets, all.clone(), 4, now), now);
     let mut theirs = all;
     theirs.remove(0);
     theirs[0] = entry("target/e2", "leaving 1", 6);
@@ -154,7 +154,7 @@
     let mut fleet = fleet();
     let now = Instant::now();
     let first = vec![entry("target/e1", "ready 1", 3)];
-    fleet.handle(whole(Topic::Targets, first.clone(), 3, now), now);
+    fleet.handle(listing(Topic::Targets, first.clone(), 3, now), now);
     // The pages of a listing form no snapshot: an entry may be newer than the listing's revision.
     let later = vec![entry("target/e2", "ready 1", 9)];
     fleet.handle(changes(Topic::Targets, later, 5, now), now);
@@ -167,7 +167,7 @@
     let mut fleet = fleet();
     let now = Instant::now();
     let newer = vec![entry("target/e1", "ready 1", 8)];
-    fleet.handle(whole(Topic::Targets, newer, 8, now), now);
+    fleet.handle(listing(Topic::Targets, newer, 8, now), now);
     fleet.handle(copied(Topic::Targets, &[], 3, 6, now), now);
     assert!(fleet.view().targets.contains_key(&target("e1")));
     assert_eq!(fleet.view().targets_sync.revision, KvRevision(8));
@@ -181,7 +181,7 @@
         entry("target/e1", "ready 1", 3),
         entry("target/e2", "ready 1", 4),
     ];
-    fleet.handle(whole(Topic::Targets, both, 4, now), now);
+    fleet.handle(listing(Topic::Targets, both, 4, now), now);
     let left = vec![deleted("target/e1", 6)];
     fleet.handle(changes(Topic::Targets, left, 6, now), now);
     let late = vec![entry("target/e1", "ready 1", 3)];
@@ -194,7 +194,7 @@
     let mut fleet = fleet();
     let now = Instant::now();
     let all = (0..4).map(|i| entry(&format!("target/e{i}"), "ready 1", 4));
-    fleet.handle(whole(Topic::Targets, all.collect(), 4, now), now);
+    fleet.handle(listing(Topic::Targets, all.collect(), 4, now), now);
     fleet.handle(
         changes(Topic::Targets, vec![deleted("target/e1", 5)], 5, now),
         now,
@@ -210,11 +210,11 @@
         entry("target/e1", "ready 1", 3),
         entry("target/e2", "ready 1", 4),
     ];
-    fleet.handle(whole(Topic::Targets, both, 4, now), now);
+    fleet.handle(listing(Topic::Targets, both, 4, now), now);
     fleet.handle(FleetMsg::StoreUnreachable, now);
     tokio::time::advance(Duration::from_secs(1)).await;
     let now = Instant::now();
-    fleet.handle(whole(Topic::Targets, Vec::new(), 9, now), now);
+    fleet.handle(listing(Topic::Targets, Vec::new(), 9, now), now);
     assert_eq!(fleet.view().targets.len(), 2, "both may still return");
     let back = vec![entry("target/e1", "ready 1", 10)];
     fleet.handle(changes(Topic::Targets, back, 10, now), now);
@@ -231,7 +231,7 @@
     let mut fleet = fleet();
     let now = Instant::now();
     let all = (0..4).map(|i| entry(&format!("target/e{i}"), "ready 1", 4));
-    fleet.handle(whole(Topic::Targets, all.collect(), 4, now), now);
+    fleet.handle(listing(Topic::Targets, all.collect(), 4, now), now);
     fleet.handle(FleetMsg::StoreUnreachable, now);
     tokio::time::advance(Duration::from_millis(3_400)).await;
     let now = Instant::now();
@@ -247,18 +247,18 @@
     let mut fleet = fleet();
     let now = Instant::now();
     let one = vec![entry("target/e1", "leaving 1", 3)];
-    fleet.handle(whole(Topic::Targets, one, 3, now), now);
+    fleet.handle(listing(Topic::Targets, one, 3, now), now);
     fleet.handle(FleetMsg::StoreUnreachable, now);
-    fleet.handle(whole(Topic::Targets, Vec::new(), 9, now), now);
+    fleet.handle(listing(Topic::Targets, Vec::new(), 9, now), now);
     assert!(fleet.view().targets.is_empty());
 }
 
 #[tokio::test(start_paused = true)]
-async fn weights_found_in_an_answer_count_until_the_entry_is_newer() {
+async fn weights_observed_in_a_response_count_until_the_entry_is_newer() {
     let mut fleet = fleet();
     let now = Instant::now();
     let one = vec![entry("target/e1", "ready 1", 3)];
-    fleet.handle(whole(Topic::Targets, one, 3, now), now);
+    fleet.handle(listing(Topic::Targets, one, 3, now), now);
     let model: ModelId = common::name("m");
     let served_msg = FleetMsg::Serves {
         target: target("e1"),
@@ -306,12 +306,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn contact_restarts_after_the_store_was_silent() {
+async fn contact_restarts_after_the_store_was_unresponsive() {
     let mut fleet = fleet();
     let start = Instant::now();
     let confirm = |fleet: &mut Fleet<TestKeys>, requested_at| {
         fleet.handle(
-            whole(Topic::Operators, Vec::new(), 1, requested_at),
+            listing(Topic::Operators, Vec::new(), 1, requested_at),
             requested_at,
         );
         fleet.view().operators_sync.in_contact(requested_at)
@@ -321,8 +321,8 @@
         let requested_at = start + Duration::from_secs(seconds);
         assert_eq!(confirm(&mut fleet, requested_at), Some(start));
     }
-    let silent = start + Duration::from_secs(7);
-    assert_eq!(fleet.view().operators_sync.in_contact(silent), None);
+    let later = start + Duration::from_secs(7);
+    assert_eq!(fleet.view().operators_sync.in_contact(later), None);
     let back = start + Duration::from_secs(9);
     assert_eq!(confirm(&mut fleet, back), Some(back));
     let others = start + Duration::from_secs(5);
@@ -335,7 +335,7 @@
     let mut fleet = fleet();
     let start = Instant::now();
     let found = vec![entry("ops/weights/m", "2", 5)];
-    fleet.handle(whole(Topic::Operators, found, 5, start), start);
+    fleet.handle(listing(Topic::Operators, found, 5, start), start);
     let later = start + Duration::from_secs(1);
     let entries = vec![entry("ops/weights/m", "3", 6)];
     fleet.handle(changes(Topic::Operators, entries, 6, later), later);
@@ -360,15 +360,15 @@
     );
 }
 
-/// One box's call to the store was lost, while the store answered all other boxes. A target's entry
-/// was removed in the same second, and the box took that for an expiry during an outage: it sent
-/// requests there for over two seconds more.
+/// Guards against taking one lost call for an outage: the store answers all other boxes, and a
+/// target's entry is removed in the same second. A box that takes this for an expiry during an
+/// outage sends requests there for over two seconds more.
 #[tokio::test(start_paused = true)]
 async fn one_boxs_lost_call_is_no_outage_of_the_store() {
     let mut fleet = fleet();
     let now = Instant::now();
     let all = (0..4).map(|i| entry(&format!("target/e{i}"), "ready 1", 4));
-    fleet.handle(whole(Topic::Targets, all.collect(), 4, now), now);
+    fleet.handle(listing(Topic::Targets, all.collect(), 4, now), now);
     for revision in 5..8u64 {
         tokio::time::advance(Duration::from_millis(400)).await;
         let now = Instant::now();
@@ -388,9 +388,10 @@
     assert!(!fleet.view().targets.contains_key(&target("e1")));
 }
 
-/// The store refused one box for a long time and answered the others, from which the box got the
-/// changes. Each of its own failed calls restarted the time in which a removed entry may return, so
-/// that each target that left got requests from that box for two seconds more.
+/// Guards against a grace period that failed calls restart: the store refuses one box for a long
+/// time, and the box gets the changes from other boxes. If each of its own failed calls restarts
+/// the time in which a removed entry may return, each target that leaves gets requests from that
+/// box for two seconds more.
 #[tokio::test(start_paused = true)]
 async fn a_removal_read_by_another_box_is_no_expiry_while_this_box_is_refused() {
     let mut fleet = fleet();
@@ -398,7 +399,7 @@
     let mut all: Vec<KvEntry> = (0..4)
         .map(|i| entry(&format!("target/e{i}"), "ready 1", 4))
         .collect();
-    fleet.handle(whole(Topic::Targets, all.clone(), 4, now), now);
+    fleet.handle(listing(Topic::Targets, all.clone(), 4, now), now);
     for _ in 0..10 {
         tokio::time::advance(Duration::from_millis(400)).await;
         let now = Instant::now();
@@ -411,15 +412,16 @@
     assert!(!fleet.view().targets.contains_key(&target("e1")));
 }
 
-/// Most entries expired while the store was unreachable. A box got this from another one that had
-/// queried the store 1.5 s before, and counted the targets' time to return from when it received
-/// it: it sent requests to stopped targets 3.8 s after the store recovered.
+/// Guards against a grace period that starts too late: most entries expire while the store is
+/// unreachable, and a box gets this from another one that queried the store 1.5 s before. If it
+/// counts the targets' time to return from when it received it, it sends requests to stopped
+/// targets 3.8 s after the store recovered.
 #[tokio::test(start_paused = true)]
 async fn the_grace_of_expired_entries_counts_from_the_read_of_the_store() {
     let mut fleet = fleet();
     let now = Instant::now();
     let all = (0..4).map(|i| entry(&format!("target/e{i}"), "ready 1", 4));
-    fleet.handle(whole(Topic::Targets, all.collect(), 4, now), now);
+    fleet.handle(listing(Topic::Targets, all.collect(), 4, now), now);
     let requested_at = now + Duration::from_secs(5);
     tokio::time::advance(Duration::from_millis(6_500)).await;
     let now = Instant::now();
@@ -433,14 +435,15 @@
     );
 }
 
-/// All boxes were frozen for 5 s, and version 2 was requested meanwhile. When they resumed, each
-/// reported that the version was requested at that moment, so version 1 was used for 5 s too long.
+/// Guards against taking a request for weights as new after a suspension: all boxes are frozen for
+/// 5 s, and version 2 is requested meanwhile. If each reports after it resumes that the version was
+/// requested at that moment, version 1 is used for 5 s too long.
 #[tokio::test(start_paused = true)]
-async fn versions_found_after_a_silence_are_not_witnessed() {
+async fn versions_found_after_a_suspension_are_not_witnessed() {
     let mut fleet = fleet();
     let start = Instant::now();
     let found = vec![entry("ops/weights/m", "1", 5)];
-    fleet.handle(whole(Topic::Operators, found, 5, start), start);
+    fleet.handle(listing(Topic::Operators, found, 5, start), start);
     let resumed = start + Duration::from_secs(5);
     let entries = vec![entry("ops/weights/m", "2", 6)];
     fleet.handle(changes(Topic::Operators, entries, 6, resumed), resumed);
@@ -464,12 +467,12 @@
         entry("target/e1", "ready 1", 3),
         entry("target/e2", "ready 1", 4),
     ];
-    fleet.handle(whole(Topic::Targets, two, 4, now), now);
+    fleet.handle(listing(Topic::Targets, two, 4, now), now);
     let two = vec![
         entry("target/e1", value, 5),
         entry("target/e2", "ready 1", 4),
     ];
-    fleet.handle(whole(Topic::Targets, two, 5, now), now);
+    fleet.handle(listing(Topic::Targets, two, 5, now), now);
     let listed: Vec<&str> = fleet.view().targets.keys().map(|id| id.as_str()).collect();
     assert_eq!(listed, ["e2"]);
 }
@@ -495,9 +498,9 @@
     let mut fleet = fleet();
     let now = Instant::now();
     let engines = vec![entry("target/e1", "ready 1", 1)];
-    fleet.handle(whole(Topic::Targets, engines, 1, now), now);
+    fleet.handle(listing(Topic::Targets, engines, 1, now), now);
     let before = vec![entry("ops/config", "7", 2)];
-    fleet.handle(whole(Topic::Operators, before.clone(), 2, now), now);
+    fleet.handle(listing(Topic::Operators, before.clone(), 2, now), now);
     assert!(takes_requests(&fleet));
     let mut during = before.clone();
     during.push(entry(EVACUATION, "{}", 5));
@@ -528,10 +531,10 @@
     let now = Instant::now();
     let other = entry("ops/evacuate/zb", "", 3);
     let first = vec![entry(EVACUATION, "{}", 2), other.clone()];
-    fleet.handle(whole(Topic::Operators, first, 3, now), now);
+    fleet.handle(listing(Topic::Operators, first, 3, now), now);
     assert!(is_evacuated(&fleet));
     let later = vec![other, entry("ops/evacuate/No Zone", "{}", 6)];
-    fleet.handle(whole(Topic::Operators, later, 9, now), now);
+    fleet.handle(listing(Topic::Operators, later, 9, now), now);
     assert!(!is_evacuated(&fleet));
     assert_eq!(
         fleet.view().evacuations.count(),
--- a/crates/sillpin-gateway/tests/herd.rs
+++ b/crates/sillpin-gateway/tests/herd.rs
@@ -1,8 +1,8 @@
 //! Tests of the waits of prompts if reports of other boxes' work arrive late.
 //!
-//! In a zone of 60 boxes and 51 engines, reports were about 0.2 s old. All boxes sent their prompts
-//! to the engine with the least reported load, where these prompts queued while other engines were
-//! idle.
+//! Guards against prompts that all go to the same engine. In a zone of 60 boxes and 51 engines,
+//! reports were about 0.2 s old. All boxes sent their prompts to the engine with the least reported
+//! load, where these prompts queued while other engines were idle.
 
 mod common;
 
--- a/crates/sillpin-gateway/tests/hub.rs
+++ b/crates/sillpin-gateway/tests/hub.rs
@@ -1,8 +1,8 @@
 //! Tests of hubs in a large zone.
 //!
-//! Without hubs, each box of a fleet of 295 boxes would read some 800 datagrams a second, computed
-//! from what others sent: each box sent its work sixteen times a second to 35 others, and each
-//! store's changes to half of a zone.
+//! Guards against the number of datagrams without hubs: each box of a fleet of 295 boxes would
+//! receive some 800 datagrams a second (computed, not measured), since each box sends its work
+//! sixteen times a second to 35 others, and each store's changes to half of a zone.
 
 mod common;
 
--- a/crates/sillpin-gateway/tests/incarnations.rs
+++ b/crates/sillpin-gateway/tests/incarnations.rs
@@ -1,9 +1,9 @@
 //! Tests of targets that restart under the same id.
 //!
-//! A box remembers state by a target's id: weights that it was found to serve, failures,
-//! connections. When a target restarted, that state was applied to the new incarnation too: the
-//! found weights version never went down, so prompts went to an engine that no longer served the
-//! version required by them, and it refused them all.
+//! Guards against state of an earlier incarnation that is applied to the new one. A box keeps state
+//! by a target's id: observed weights, failures, connections. If the observed weights version never
+//! goes down, prompts go to a restarted engine that no longer serves the version required by them,
+//! and it refuses them all.
 
 mod common;
 
@@ -59,7 +59,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn weights_found_in_an_earlier_incarnation_do_not_count_for_the_new_one() {
+async fn weights_observed_in_an_earlier_incarnation_do_not_count_for_the_new_one() {
     let mut fleet = fleet();
     let now = Instant::now();
     fleet.handle(listed(vec![entry(E1, "ready 1 100", 3)], 3), now);
@@ -242,9 +242,9 @@
     assert!(fleet.view().targets.contains_key(&target("e2")));
 }
 
-/// A box that had just started applied the last of several messages as if it followed from nothing,
-/// and reported the latest revision. Other boxes copied from it, and 205 of 262 targets expired in
-/// all zones for twenty seconds.
+/// Guards against changes that are applied without the content that they follow: a box that had
+/// just started did so with the last of several messages and reported the latest revision. Other
+/// boxes copied from it, and 205 of 262 targets expired in all zones for twenty seconds.
 #[rstest]
 #[case::the_last_of_several_messages(None)]
 #[case::a_message_after_nothing(Some(0))]
--- a/crates/sillpin-gateway/tests/lag.rs
+++ b/crates/sillpin-gateway/tests/lag.rs
@@ -63,9 +63,10 @@
     assert!(!record_lag(&mut lag, 2, 3).is_store_retried);
 }
 
-/// Configurations were published in quick succession, and the store sent each of them to one box
-/// well over a second late. Each one that arrived reset the lag, although other boxes had long
-/// known the next, so the box never fetched from them and never logged its lag.
+/// Guards against a lag that is never logged: configurations are published in quick succession, and
+/// the store sends each of them to one box well over a second late. If each one that arrives resets
+/// the lag, although other boxes have long known the next, the box never fetches from them and
+/// never logs its lag.
 #[tokio::test(start_paused = true)]
 async fn a_late_change_does_not_reset_the_lag_of_the_next() {
     let mut lag = LagTracker::default();
@@ -80,7 +81,7 @@
     assert_eq!(lasted[4..], settled, "{lasted:?}");
 }
 
-/// Revisions that other boxes reached without a change of content are no change that this box
+/// Revisions that other boxes reached without a change of content are not changes that this box
 /// lacks.
 #[tokio::test(start_paused = true)]
 async fn a_box_that_has_caught_up_starts_with_no_lag() {
--- a/crates/sillpin-gateway/tests/limited_fleet.rs
+++ b/crates/sillpin-gateway/tests/limited_fleet.rs
@@ -45,7 +45,7 @@
 const PARTITIONS_END: u64 = 13;
 
 /// Longest time after its end for which a box is known to others, in milliseconds: its lease has to
-/// lapse.
+/// expire.
 const REMOVED_AFTER_MS: u64 = 10_000;
 
 /// Number of steps from a request to its response.
@@ -59,7 +59,7 @@
     Partition,
     /// Half of the boxes restart without their state.
     Restart,
-    /// The hubs stop for good; in a small fleet, a third of the boxes.
+    /// The hubs stop and do not return; in a small fleet, a third of the boxes.
     HubsEnd,
 }
 
--- a/crates/sillpin-gateway/tests/place.rs
+++ b/crates/sillpin-gateway/tests/place.rs
@@ -142,8 +142,8 @@
     assert_eq!(fixture.choose(None).as_deref(), Some("e1"));
 }
 
-/// A loading engine that became reachable again was no longer treated as loading: prompts were sent
-/// to it and refused.
+/// Guards against prompts to a loading engine, which refuses them: when it becomes reachable again,
+/// it must still count as loading.
 #[tokio::test(start_paused = true)]
 async fn a_loading_engine_stays_in_cooldown_when_it_becomes_reachable() {
     let fixture = Fixture::new(three());
@@ -156,8 +156,8 @@
     assert_eq!(fixture.choose(None).as_deref(), Some("e1"));
 }
 
-/// An engine that another box reported as loaded, but that this box could not reach, got requests
-/// again.
+/// Guards against requests to an engine that another box reports as loaded but that this box cannot
+/// reach.
 #[tokio::test(start_paused = true)]
 async fn a_loaded_engine_stays_in_cooldown_until_it_is_reachable() {
     let fixture = Fixture::new(three());
@@ -183,8 +183,8 @@
     assert!(load.in_cooldown(Instant::now()));
 }
 
-/// With a zone partitioned, requests went from one unreachable target of that zone to the next, a
-/// third of a second each, until they failed.
+/// Guards against requests that go from one unreachable target of a partitioned zone to the next, a
+/// third of a second each, until they fail.
 #[tokio::test(start_paused = true)]
 async fn a_partitioned_zone_is_avoided_until_a_target_responds() {
     let mut entries = vec![engine("b1", "zb"), engine("b2", "zb"), engine("b3", "zb")];
@@ -213,8 +213,9 @@
     assert!(chosen().starts_with('b'));
 }
 
-/// With 59 boxes, engines that loaded weights on the order of a partitioned leader refused 470
-/// requests in nine seconds: each box tried again every quarter of a second.
+/// Guards against frequent retries at engines that load weights on the order of a partitioned
+/// leader. With 59 boxes, each trying again every quarter of a second, these engines refused 470
+/// requests in nine seconds.
 #[tokio::test(start_paused = true)]
 async fn repeated_refusals_lengthen_the_cooldown() {
     let fixture = Fixture::new(three());
@@ -430,9 +431,10 @@
     assert_eq!(fixture.choose(None).as_deref(), Some("e1"));
 }
 
-/// When prompts considered only engines of their box's zone, four of five parts were fetched from
-/// another zone. Such a fetch takes a store's link for twice as long, so fetches were late already
-/// at 82 % of the capacity that the links have if all fetches stay in their zone.
+/// Guards against fetches from other zones: if prompts consider only engines of their box's zone,
+/// four of five parts are fetched from another zone. Such a fetch takes a store's link for twice as
+/// long, so fetches are late already at 82 % of the capacity that the links have if all fetches
+/// stay in their zone.
 #[rstest]
 #[case::engines_alike(0, 0, "zb")]
 #[case::a_short_queue_there(0, 30, "zb")]
@@ -462,8 +464,8 @@
     assert!(chosen.candidates <= 4 || here_ms + there_ms > 500);
 }
 
-/// Guards against unused capacity while engines are replaced by cold ones in series: a box with a
-/// share of a cold engine's limit considered two other engines for most prompts, so its share went
+/// Guards against unused capacity while engines are replaced by cold ones in series: if a box with
+/// a share of a cold engine's limit considers two other engines for most prompts, its share goes
 /// unused.
 #[tokio::test(start_paused = true)]
 async fn a_box_with_stale_loads_considers_each_limited_engine_that_it_has_a_share_of() {
--- a/crates/sillpin-gateway/tests/reader.rs
+++ b/crates/sillpin-gateway/tests/reader.rs
@@ -213,8 +213,9 @@
 }
 
 /// What a box reads at its start may be stale: until it is confirmed, the box fetches no part and
-/// refuses no request for good. After all of 71 boxes had lost power, the first watch confirmed it
-/// only at the end of its wait of 0.5 s, and 260 long prompts were recomputed completely meanwhile.
+/// refuses no request permanently. Guards against a late confirmation: after all of 71 boxes had
+/// lost power, the first watch confirmed it only at the end of its wait of 0.5 s, and 260 long
+/// prompts were recomputed completely meanwhile.
 #[tokio::test(start_paused = true)]
 async fn a_stale_first_read_is_confirmed_immediately() {
     let store = MemoryStore::default();
--- a/crates/sillpin-gateway/tests/roles.rs
+++ b/crates/sillpin-gateway/tests/roles.rs
@@ -28,11 +28,11 @@
 }
 
 /// Returns the boxes of a zone that consider themselves chosen, if each box knows all others and
-/// takes `crashed` for crashed.
+/// treats those in `crashed` as crashed.
 fn chosen(zone: &str, crashed: &[BoxId]) -> Vec<BoxId> {
     let all = fleet();
     let mine = all.iter().filter(|me| me.zone == name(zone));
-    let alive = mine.filter(|me| !crashed.contains(&me.id));
+    let running = mine.filter(|me| !crashed.contains(&me.id));
     let is_chosen = |me: &&BoxEntry| {
         let others = all.iter().filter(|peer| peer.id != me.id).cloned();
         let view = View {
@@ -41,11 +41,11 @@
         };
         is_among_first(&view, me, "duty", COUNT, |id| !crashed.contains(id))
     };
-    alive.filter(is_chosen).map(|me| me.id.clone()).collect()
+    running.filter(is_chosen).map(|me| me.id.clone()).collect()
 }
 
 #[test]
-fn as_many_boxes_of_each_zone_are_chosen_as_asked() {
+fn as_many_boxes_of_each_zone_are_chosen_as_requested() {
     assert_eq!(chosen("za", &[]).len(), COUNT);
     assert_eq!(chosen("zb", &[]).len(), COUNT);
 }
--- a/crates/sillpin-gateway/tests/rollout.rs
+++ b/crates/sillpin-gateway/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Rollout of the weights that operators request, also to engines that do not answer.
+//! Rollout of the weights that operators request, also to engines that do not respond.
 
 mod common;
 
@@ -33,10 +33,10 @@
 /// Age of reports: a load that has ended is still reported as running.
 const REPORT_AGE: Duration = Duration::from_millis(100);
 
-/// Duration of a call that is answered.
+/// Duration of a call that gets a response.
 const CALL: Duration = Duration::from_millis(2);
 
-/// Time after which a call counts as unanswered.
+/// Time after which a call without a response fails.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// An engine that loads weights when it is ordered to.
@@ -46,9 +46,9 @@
     orders_taken: u64,
     /// Version that it loads, and until when.
     loading: Option<(u64, Instant)>,
-    /// Number of next orders that get no answer and are not carried out.
+    /// Number of next orders that get no response and are not carried out.
     loses: u32,
-    /// Whether it answers no call.
+    /// Whether it responds to no call.
     unresponsive: bool,
     /// Versions ordered, and when each order arrived.
     ordered: Vec<(u64, Instant)>,
@@ -333,7 +333,7 @@
     assert_eq!(versions, [2, 3]);
 }
 
-/// An engine that accepted an order without answering is not ordered a second time.
+/// An engine that accepted an order without a response is not ordered a second time.
 #[tokio::test(start_paused = true)]
 async fn an_order_that_was_accepted_late_is_not_repeated() {
     let mut scene = Scene::new(1).await;
@@ -351,7 +351,7 @@
     assert_eq!(scene.engines.with("e00", |e| e.ordered.len()), 1);
 }
 
-/// Guards against load slots blocked by unresponsive engines: half of the engines did not answer for seconds, came first at each
+/// Guards against load slots blocked by unresponsive engines: half of the engines did not respond for seconds, came first at each
 /// attempt and occupied the slots for 0.85 s each time, while the others waited.
 #[tokio::test(start_paused = true)]
 async fn unresponsive_engines_do_not_delay_the_others() {
--- a/crates/sillpin-gateway/tests/signals.rs
+++ b/crates/sillpin-gateway/tests/signals.rs
@@ -128,7 +128,7 @@
 #[tokio::test(start_paused = true)]
 async fn the_shortest_backoff_of_the_remaining_targets_applies() {
     let mut signals = TargetSignals::default();
-    let [a, b, gone] = ["i-1", "i-2", "i-3"].map(|id| incarnation(id, 1));
+    let [a, b, leaving_target] = ["i-1", "i-2", "i-3"].map(|id| incarnation(id, 1));
     let now = Instant::now();
     let backoff = |signals: &TargetSignals, targets: &[IncarnationHash]| {
         let left = signals.shortest_backoff(targets.iter().copied(), now);
@@ -139,9 +139,9 @@
     assert_eq!(backoff(&signals, &[a, b]), None, "one accepts requests");
     assert_eq!(backoff(&signals, &[]), None);
     signals.record(b, backoff_of(0.5), now);
-    signals.record(gone, leaving(), now);
-    assert_eq!(backoff(&signals, &[a, b, gone]), Some(0.5));
-    assert_eq!(backoff(&signals, &[gone]), None);
+    signals.record(leaving_target, leaving(), now);
+    assert_eq!(backoff(&signals, &[a, b, leaving_target]), Some(0.5));
+    assert_eq!(backoff(&signals, &[leaving_target]), None);
 }
 
 #[tokio::test(start_paused = true)]
@@ -167,7 +167,7 @@
         }
     }
     assert!(!signals.leaving.contains(unlisted));
-    // Its entry lapses in an outage, and is listed again.
+    // Its entry expires in an outage, and is listed again.
     advance(20 * SECOND).await;
     signals.retain_listed(|_| false, Instant::now());
     signals.retain_listed(|life| life == listed, Instant::now());
--- a/crates/sillpin-gateway/tests/slow_start.rs
+++ b/crates/sillpin-gateway/tests/slow_start.rs
@@ -1,8 +1,8 @@
 //! Tests of what a whole fleet sends to cold targets.
 //!
-//! A target that has just started can handle 11 requests a second and fails well above that, but
-//! appears idle to every box. Under load just after the evacuation of a zone, 71 boxes together sent
-//! single targets more than 21 requests in a second.
+//! Guards against overload of cold targets. A target that has just started can handle 11 requests a
+//! second and fails well above that, but appears idle to every box. Under load just after the
+//! evacuation of a zone, 71 boxes together sent single targets more than 21 requests in a second.
 
 mod common;
 
@@ -54,7 +54,7 @@
 /// Time after its start at which a box is known to others: some datagrams get lost.
 const DISCOVERED_AFTER_MS: std::ops::Range<u64> = 10..2_500;
 
-/// Time after its end at which a box is removed by others: its lease has to lapse.
+/// Time after its end at which a box is removed by others: its lease has to expire.
 const REMOVED_AFTER_MS: std::ops::Range<u64> = 0..10_000;
 
 /// What happens to some boxes while the targets are cold.
