--- a/tests/testsuite/answers.rs
+++ b/tests/testsuite/answers.rs
@@ -10,7 +10,7 @@
 use sillpin_testsuite::wait::until;
 use sillpin_testsuite::{Fleet, FleetShape};
 
-fn ask(prompt: &str, tokens: u32) -> CompletionRequest {
+fn request(prompt: &str, tokens: u32) -> CompletionRequest {
     CompletionRequest::new(&api_key("riders"), MODEL, prompt, tokens)
 }
 
@@ -25,9 +25,13 @@
 async fn a_faulty_engine_loses_no_response(#[case] faults: EngineFaults) {
     let fleet = Fleet::start(FleetShape::default()).await;
     fleet.target_faults("engine-kariakoo-0", &faults).await;
-    let asks: Vec<CompletionRequest> = (0..12).map(|i| ask(&format!("prompt {i}"), 12)).collect();
+    let requests: Vec<CompletionRequest> = (0..12)
+        .map(|i| request(&format!("prompt {i}"), 12))
+        .collect();
     let entry = fleet.boxes[0].callers();
-    let calls = asks.iter().map(|ask| call(&fleet.client, entry, ask));
+    let calls = requests
+        .iter()
+        .map(|request| call(&fleet.client, entry, request));
     for got in join_all(calls).await {
         assert!(got.is_answered(), "{got:?}");
     }
@@ -54,7 +58,12 @@
     for engine in ["engine-kariakoo-0", "engine-kariakoo-1"] {
         fleet.proxy_faults(engine, &faults).await;
     }
-    let got = call(&fleet.client, fleet.boxes[0].callers(), &ask("break", 40)).await;
+    let got = call(
+        &fleet.client,
+        fleet.boxes[0].callers(),
+        &request("break", 40),
+    )
+    .await;
     match &got {
         CallResult::Answered { .. } => {}
         CallResult::Refused { problem, .. } => {
@@ -71,8 +80,8 @@
     let client = fleet.client.clone();
     let calls: Vec<_> = (0..8)
         .map(|i| {
-            let (client, ask) = (client.clone(), ask(&format!("kill {i}"), 100));
-            tokio::spawn(async move { call(&client, entry, &ask).await })
+            let (client, request) = (client.clone(), request(&format!("kill {i}"), 100));
+            tokio::spawn(async move { call(&client, entry, &request).await })
         })
         .collect();
     until("runs on both engines", || async {
@@ -104,7 +113,7 @@
     })
     .await;
     let entry = fleet.boxes[0].callers();
-    let long = ask("leave", 4_000);
+    let long = request("leave", 4_000);
     let running = || async {
         let status = fleet.status(&fleet.boxes[0]).await?;
         let engine = status.targets.iter().find(|t| t.entry.model.is_some())?;
@@ -132,9 +141,13 @@
     })
     .await;
     fleet.target("engine-kariakoo-0").process.pause();
-    let asks: Vec<CompletionRequest> = (0..6).map(|i| ask(&format!("frozen {i}"), 12)).collect();
+    let requests: Vec<CompletionRequest> = (0..6)
+        .map(|i| request(&format!("frozen {i}"), 12))
+        .collect();
     let entry = fleet.boxes[0].callers();
-    let calls = asks.iter().map(|ask| call(&fleet.client, entry, ask));
+    let calls = requests
+        .iter()
+        .map(|request| call(&fleet.client, entry, request));
     for got in join_all(calls).await {
         assert!(got.is_answered(), "{got:?}");
     }
--- a/tests/testsuite/arms.rs
+++ b/tests/testsuite/arms.rs
@@ -40,8 +40,8 @@
 }
 
 /// Sends `count` distinct prompts, numbered from `from`.
-async fn ask_many(fleet: &Fleet, from: usize, count: usize) {
-    let asks: Vec<CompletionRequest> = (from..from + count)
+async fn send_many(fleet: &Fleet, from: usize, count: usize) {
+    let requests: Vec<CompletionRequest> = (from..from + count)
         .map(|i| {
             CompletionRequest::new(
                 &api_key("riders"),
@@ -52,7 +52,12 @@
         })
         .collect();
     let entry = fleet.boxes[0].callers();
-    join_all(asks.iter().map(|ask| call(&fleet.client, entry, ask))).await;
+    join_all(
+        requests
+            .iter()
+            .map(|request| call(&fleet.client, entry, request)),
+    )
+    .await;
 }
 
 /// Runs `sillpin bundle compare`; returns its exit code and output.
@@ -77,12 +82,12 @@
     let (code, text) = compare(&fleet, &[]);
     assert_eq!(code, Some(5), "{text}");
     let plot = fleet.dir().join("arms.svg").display().to_string();
-    let mut asked = 0;
+    let mut sent = 0;
     let text = until("both arms' figures", || {
-        asked += 100;
-        let (from, fleet, plot) = (asked, &fleet, &plot);
+        sent += 100;
+        let (from, fleet, plot) = (sent, &fleet, &plot);
         async move {
-            ask_many(fleet, from, 100).await;
+            send_many(fleet, from, 100).await;
             let (code, text) = compare(fleet, &["--plot", plot]);
             (code == Some(0)).then_some(text)
         }
@@ -119,13 +124,13 @@
         arm.policy.limits.engine_queue_ms = 60_000;
     });
     accept(&fleet, &bundle).await;
-    let mut asked = 0;
+    let mut sent = 0;
     let stopped = until("the arm to be stopped", || {
-        asked += 60;
-        let from = asked;
+        sent += 60;
+        let from = sent;
         let fleet = &fleet;
         async move {
-            ask_many(fleet, from, 60).await;
+            send_many(fleet, from, 60).await;
             let status = fleet.status(&fleet.boxes[0]).await?;
             status.stopped_arms.first().cloned()
         }
--- a/tests/testsuite/blocks.rs
+++ b/tests/testsuite/blocks.rs
@@ -21,8 +21,8 @@
 }
 
 async fn usage(fleet: &Fleet, number: usize) -> Usage {
-    let ask = CompletionRequest::new(&api_key("riders"), MODEL, prompt(number), 3);
-    match call(&fleet.client, fleet.boxes[0].callers(), &ask).await {
+    let request = CompletionRequest::new(&api_key("riders"), MODEL, prompt(number), 3);
+    match call(&fleet.client, fleet.boxes[0].callers(), &request).await {
         CallResult::Answered { usage, .. } => usage,
         got => panic!("{got:?}"),
     }
@@ -73,7 +73,7 @@
 }
 
 #[tokio::test]
-async fn a_dead_store_loses_no_response() {
+async fn a_killed_store_loses_no_response() {
     let mut fleet = Fleet::start(small_caches()).await;
     fill_store(&fleet, 6).await;
     let id = "store-0".parse().unwrap();
@@ -106,7 +106,7 @@
 }
 
 #[tokio::test]
-async fn the_directory_is_rebuilt_from_the_store_after_its_keeper_died() {
+async fn the_directory_is_rebuilt_from_the_store_after_its_keeper_was_killed() {
     let mut fleet = Fleet::start(small_caches()).await;
     fill_store(&fleet, 6).await;
     let (peer, entry) = (fleet.boxes[0].peer(), fleet.boxes[0].keeper.addr("entry"));
--- a/tests/testsuite/drain.rs
+++ b/tests/testsuite/drain.rs
@@ -9,7 +9,7 @@
 use sillpin_testsuite::wait::until;
 use sillpin_testsuite::{Fleet, FleetShape};
 
-fn ask(prompt: String, tokens: u32) -> CompletionRequest {
+fn request(prompt: String, tokens: u32) -> CompletionRequest {
     CompletionRequest::new(&api_key("riders"), MODEL, prompt, tokens)
 }
 
@@ -24,8 +24,8 @@
     let client = fleet.client.clone();
     let calls: Vec<_> = (0..20)
         .map(|i| {
-            let (client, ask) = (client.clone(), ask(format!("drain {i}"), 150));
-            tokio::spawn(async move { call(&client, entry, &ask).await })
+            let (client, request) = (client.clone(), request(format!("drain {i}"), 150));
+            tokio::spawn(async move { call(&client, entry, &request).await })
         })
         .collect();
     until("all runs", || async {
@@ -70,8 +70,8 @@
             path: "/readyz",
             timeout: std::time::Duration::from_secs(1),
         };
-        let asked = fleet.client.call(call, None::<&()>).await;
-        asked.err()?.status().filter(|s| s.as_u16() == 503)
+        let readiness = fleet.client.call(call, None::<&()>).await;
+        readiness.err()?.status().filter(|s| s.as_u16() == 503)
     })
     .await;
     let got = fleet.ask(entry_box, "still accepted").await;
@@ -82,7 +82,10 @@
 async fn a_stopped_keeper_interrupts_no_request() {
     let mut fleet = Fleet::start(FleetShape::default()).await;
     let entry = fleet.boxes[0].callers();
-    let (client, long) = (fleet.client.clone(), ask("keeper stops".to_owned(), 150));
+    let (client, long) = (
+        fleet.client.clone(),
+        request("keeper stops".to_owned(), 150),
+    );
     let running = tokio::spawn(async move { call(&client, entry, &long).await });
     fleet.boxes[0].keeper.terminate();
     while fleet.boxes[0].keeper.ended().unwrap().is_none() {
@@ -143,10 +146,12 @@
         })
         .await;
     }
-    let asks: Vec<CompletionRequest> = (0..20).map(|i| ask(format!("leaving {i}"), 2)).collect();
-    let calls = asks.iter().enumerate().map(|(i, ask)| {
+    let requests: Vec<CompletionRequest> = (0..20)
+        .map(|i| request(format!("leaving {i}"), 2))
+        .collect();
+    let calls = requests.iter().enumerate().map(|(i, request)| {
         let entry = fleet.boxes[i % 2].callers();
-        call(&fleet.client, entry, ask)
+        call(&fleet.client, entry, request)
     });
     for got in join_all(calls).await {
         assert!(got.is_answered(), "{got:?}");
--- a/tests/testsuite/membership.rs
+++ b/tests/testsuite/membership.rs
@@ -1,4 +1,4 @@
-//! Dead boxes and targets are out of use within seconds, and in use again soon after they return.
+//! Failed boxes and targets are out of use within seconds, and in use again soon after they return.
 
 use sillpin_core::Presence;
 use sillpin_standin::platform::Faults;
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time limit for a dead box or target to be out of use.
+/// Time limit for a failed box or target to be out of use.
 const REMOVAL_LIMIT: Duration = Duration::from_secs(3);
 /// Time limit for a returned box to be in use.
 const RETURN_LIMIT: Duration = Duration::from_secs(5);
--- a/tests/testsuite/once.rs
+++ b/tests/testsuite/once.rs
@@ -140,7 +140,7 @@
         reply = cut => (reply, None),
         reply = first => (CallResult::NoResponse, Some(reply)),
     };
-    assert_eq!(first, None, "a frozen service cannot have answered");
+    assert_eq!(first, None, "a frozen service cannot have responded");
     assert_eq!(again, CallResult::Refused(409, Outcome::Unknown));
     fleet.target("service-0").process.resume();
     assert_eq!(executions(&fleet, "k").await, 1);
--- a/tests/testsuite/operators.rs
+++ b/tests/testsuite/operators.rs
@@ -69,8 +69,9 @@
         ..FleetShape::default()
     })
     .await;
-    let ask = CompletionRequest::new(&api_key("riders"), MODEL, "Explain me. ".repeat(1_000), 3);
-    let got = call(&fleet.client, fleet.boxes[0].callers(), &ask).await;
+    let request =
+        CompletionRequest::new(&api_key("riders"), MODEL, "Explain me. ".repeat(1_000), 3);
+    let got = call(&fleet.client, fleet.boxes[0].callers(), &request).await;
     let CallResult::Answered {
         request: Some(request),
         ..
--- a/tests/testsuite/organisations.rs
+++ b/tests/testsuite/organisations.rs
@@ -7,8 +7,8 @@
 use sillpin_testsuite::{Fleet, FleetShape};
 
 async fn usage(fleet: &Fleet, org: &str, prompt: &str) -> Usage {
-    let ask = CompletionRequest::new(&api_key(org), MODEL, prompt, 3);
-    match call(&fleet.client, fleet.boxes[0].callers(), &ask).await {
+    let request = CompletionRequest::new(&api_key(org), MODEL, prompt, 3);
+    match call(&fleet.client, fleet.boxes[0].callers(), &request).await {
         CallResult::Answered { usage, .. } => usage,
         got => panic!("{got:?}"),
     }
@@ -44,8 +44,8 @@
         .await
         .unwrap();
     until("the key to be refused", || async {
-        let ask = CompletionRequest::new(&api_key("mechanics"), MODEL, "refuse me", 2);
-        match call(&fleet.client, entry, &ask).await {
+        let request = CompletionRequest::new(&api_key("mechanics"), MODEL, "refuse me", 2);
+        match call(&fleet.client, entry, &request).await {
             CallResult::Refused { problem, .. } if problem.status == 401 => Some(()),
             _ => None,
         }
--- a/tests/testsuite/path.rs
+++ b/tests/testsuite/path.rs
@@ -9,8 +9,8 @@
 async fn a_response_streams_from_engine_to_caller() {
     let fleet = Fleet::start(FleetShape::default()).await;
     let prompt = "The rider says the battery swap failed. ".repeat(400);
-    let ask = CompletionRequest::new(&api_key("riders"), MODEL, prompt, 20);
-    let got = call(&fleet.client, fleet.boxes[0].callers(), &ask).await;
+    let request = CompletionRequest::new(&api_key("riders"), MODEL, prompt, 20);
+    let got = call(&fleet.client, fleet.boxes[0].callers(), &request).await;
     let CallResult::Answered { usage, request, .. } = got else {
         panic!("{got:?}");
     };
@@ -22,19 +22,19 @@
 #[tokio::test]
 async fn an_unstreamed_response_is_one_document() {
     let fleet = Fleet::start(FleetShape::default()).await;
-    let ask = CompletionRequest {
+    let request = CompletionRequest {
         stream: false,
         ..CompletionRequest::new(&api_key("riders"), MODEL, "Is the fee paid?", 7)
     };
-    let got = call(&fleet.client, fleet.boxes[0].callers(), &ask).await;
+    let got = call(&fleet.client, fleet.boxes[0].callers(), &request).await;
     assert!(got.is_answered(), "{got:?}");
 }
 
 #[tokio::test]
 async fn an_unknown_key_is_refused_as_not_run() {
     let fleet = Fleet::start(FleetShape::default()).await;
-    let ask = CompletionRequest::new("key-nobody", MODEL, "hello", 7);
-    let got = call(&fleet.client, fleet.boxes[0].callers(), &ask).await;
+    let request = CompletionRequest::new("key-nobody", MODEL, "hello", 7);
+    let got = call(&fleet.client, fleet.boxes[0].callers(), &request).await;
     let CallResult::Refused { problem, .. } = got else {
         panic!("{got:?}");
     };
--- a/tests/testsuite/src/fleet.rs
+++ b/tests/testsuite/src/fleet.rs
@@ -325,7 +325,7 @@
             .expect("no other operator accepts bundles")
     }
 
-    /// Returns the fleet's status as a box's keeper sees it; `None` if the keeper does not answer.
+    /// Returns the fleet's status as a box's keeper sees it; `None` if the keeper does not respond.
     pub async fn status(&self, entry_box: &EntryBox) -> Option<FleetStatus> {
         ops::fleet::status(entry_box.peer()).await.ok()
     }
@@ -341,7 +341,7 @@
 
     /// Waits until a box serves a request.
     pub async fn wait_ready(&self, entry_box: &EntryBox) {
-        until("the entry to answer", || async {
+        until("the entry to serve a request", || async {
             let got = self.ask(entry_box, "readiness check").await;
             got.is_answered().then_some(())
         })
@@ -351,8 +351,8 @@
     /// Sends a short request to a box and returns its result.
     pub async fn ask(&self, entry_box: &EntryBox, prompt: &str) -> CallResult {
         let key = api_key(self.shape.organisations[0]);
-        let ask = CompletionRequest::new(&key, MODEL, prompt, 4);
-        caller::call(&self.client, entry_box.callers(), &ask).await
+        let request = CompletionRequest::new(&key, MODEL, prompt, 4);
+        caller::call(&self.client, entry_box.callers(), &request).await
     }
 }
 
--- a/tests/testsuite/versions.rs
+++ b/tests/testsuite/versions.rs
@@ -8,7 +8,7 @@
 use sillpin_testsuite::wait::until;
 use sillpin_testsuite::{Fleet, FleetShape};
 
-fn ask(prompt: &str, tokens: u32) -> CompletionRequest {
+fn request(prompt: &str, tokens: u32) -> CompletionRequest {
     CompletionRequest::new(&api_key("riders"), MODEL, prompt, tokens)
 }
 
@@ -32,7 +32,7 @@
     let prompt = "Bye-law pack. ".repeat(1_500);
     let entry = fleet.boxes[0].callers();
     assert!(
-        call(&fleet.client, entry, &ask(&prompt, 2))
+        call(&fleet.client, entry, &request(&prompt, 2))
             .await
             .is_answered()
     );
@@ -41,9 +41,10 @@
     let load = tokio::spawn(async move {
         let mut all = Vec::new();
         for round in 0..20 {
-            let asks: Vec<CompletionRequest> =
-                (0..6).map(|i| ask(&format!("{round} {i}"), 20)).collect();
-            let calls = asks.iter().map(|ask| call(&client, entry, ask));
+            let requests: Vec<CompletionRequest> = (0..6)
+                .map(|i| request(&format!("{round} {i}"), 20))
+                .collect();
+            let calls = requests.iter().map(|request| call(&client, entry, request));
             all.extend(join_all(calls).await);
         }
         all
@@ -61,7 +62,7 @@
     let counted = counted.unwrap();
     assert!(counted.most_at_once <= 3, "{counted:?}");
     assert_eq!(counted.loads, 8);
-    let got = call(&fleet.client, entry, &ask(&prompt, 2)).await;
+    let got = call(&fleet.client, entry, &request(&prompt, 2)).await;
     let CallResult::Answered { usage, .. } = got else {
         panic!("{got:?}");
     };
