--- a/xtask/src/ops/compare.rs
+++ b/xtask/src/ops/compare.rs
@@ -28,7 +28,7 @@
     pub name: &'static str,
     /// How engines are chosen.
     pub placement: PlacementKind,
-    /// Which blocks are kept at stores.
+    /// Which blocks are saved in cache stores.
     pub keeping: KeepingKind,
     /// Requests per second.
     pub rate: f64,
@@ -57,7 +57,7 @@
     pub name: &'static str,
     /// Number of runs.
     pub runs: usize,
-    /// Share of requests that were answered.
+    /// Share of requests that got a complete response.
     pub answered_share: Spread,
     /// Median time to first token, in milliseconds.
     pub ttft_p50_ms: Spread,
@@ -77,7 +77,7 @@
     pub belady_share: f64,
     /// Bytes fetched from stores.
     pub link_bytes: Spread,
-    /// Number of requests lost, run twice or answered with another request's response, in all runs.
+    /// Number of requests lost, run twice or given another request's response, in all runs.
     pub bad: u64,
 }
 
--- a/xtask/src/ops/demo.rs
+++ b/xtask/src/ops/demo.rs
@@ -51,7 +51,7 @@
 }
 
 impl DemoReport {
-    /// Returns whether requests were lost, run twice or answered with another request's response.
+    /// Returns whether requests were lost, run twice or given another request's response.
     pub fn is_bad(&self) -> bool {
         self.report.lost + self.report.doubled + self.report.mixed > 0
     }
--- a/xtask/src/ops/faults/mod.rs
+++ b/xtask/src/ops/faults/mod.rs
@@ -139,7 +139,7 @@
         tokio::time::sleep(FAULT_DURATION).await;
         self.clear_faults().await;
         let records = sending.await.unwrap_or_default();
-        self.check_answers(&records, report);
+        self.check_responses(&records, report);
         self.check_calls(&records, report).await;
         self.check_bundle(accepted, report).await;
         self.check_loads(report).await;
@@ -313,7 +313,7 @@
         }
     }
 
-    fn check_answers(&self, records: &[RequestRecord], report: &mut FaultReport) {
+    fn check_responses(&self, records: &[RequestRecord], report: &mut FaultReport) {
         let is_wrong =
             |r: &&RequestRecord| matches!(r.result, CallResult::Lost(_) | CallResult::Mixed(_));
         let wrong: Vec<&RequestRecord> = records.iter().filter(is_wrong).collect();
@@ -322,10 +322,10 @@
         }
         report.whole_own_answer.count(records.len(), wrong.len());
         let repeatable = || records.iter().filter(|record| record.once_key.is_none());
-        let unanswered = repeatable().filter(|record| !record.result.is_answered());
+        let incomplete = repeatable().filter(|record| !record.result.is_answered());
         report
             .repeatable
-            .count(repeatable().count(), unanswered.count());
+            .count(repeatable().count(), incomplete.count());
         let unknown = records
             .iter()
             .filter(|record| record.result.outcome() == Some(Outcome::Unknown));
